--- /dev/null
+++ b/test/golden/core-trace.ts
@@ -0,0 +1,431 @@
+import { createHash, type Hash } from "node:crypto";
+import { pathToFileURL } from "node:url";
+import { DEFAULTS } from "../../src/config/operator.js";
+import type {
+  Answer,
+  CloudCall,
+  CloudReply,
+  CommandReply,
+  Effect,
+  Input,
+} from "../../src/coordination/effects.js";
+import type { JobSpec, Report, Tuning } from "../../src/coordination/model.js";
+import { listPath, rentBody, returnBody } from "../../src/protocol/cloud.js";
+import { jobBody } from "../../src/protocol/jobs.js";
+import {
+  type StateCall,
+  type StateReply,
+  stateRequest,
+} from "../../src/protocol/state.js";
+import {
+  answerBody,
+  commandBody,
+  redirectBody,
+} from "../../src/protocol/workers.js";
+import {
+  largeJob,
+  pipelines,
+  randomJob,
+  troubles,
+  users,
+} from "../sim/days.js";
+import { World } from "../sim/world.js";
+
+/**
+ * A recorded run of the core: everything that controllers are told and return on a seeded day of the simulation, in the form in which it
+ * crosses the wire, as one hash. Internal names of fields don't enter it, so a rename leaves it as it is and a change of behaviour does not.
+ * The present hashes: node target/test-build/test/golden/core-trace.js
+ */
+export const TRACE_DAYS: readonly TraceDay[] = [
+  { name: "usual jobs", seed: 11, draw: randomJob, tuning: {} },
+  { name: "large gangs", seed: 12, draw: largeJob, tuning: {} },
+  {
+    name: "divided limits, ends told",
+    seed: 13,
+    draw: randomJob,
+    tuning: { dividedLimits: true, tellEnds: true },
+  },
+];
+
+/** One of the recorded days. */
+export interface TraceDay {
+  name: string;
+  seed: number;
+  /** How users draw their jobs. */
+  draw: (world: World, place: number) => JobSpec;
+  tuning: Partial<Tuning>;
+}
+
+const DAY_MS = 55_000;
+const TROUBLES_UNTIL_MS = 50_000;
+const SILENT_RETURN_S = 20;
+
+/** What a recorded run leaves. */
+export interface CoreTrace {
+  sha256: string;
+  /** How often what the run is to cover occurred in it. */
+  coverage: string;
+  /** Names of the fields in the values that were written to the state service, by kind of key. */
+  storedFields: Map<string, Set<string>>;
+}
+
+/** One recorded line: plain values in a fixed order. */
+type Line = readonly unknown[];
+
+const jobLine = (spec: JobSpec): Line => [
+  spec.id,
+  spec.class,
+  spec.team,
+  spec.shape,
+  spec.urgency,
+  spec.tasks,
+  spec.cpus,
+  spec.gpus,
+  spec.memGb,
+  spec.image,
+  spec.imageGb,
+  spec.types,
+  spec.zone,
+  spec.samePlace,
+  spec.spread,
+  spec.spot,
+  spec.estimateS,
+  spec.checkpointS,
+  spec.saveS,
+  spec.deadlineS,
+];
+
+const reportLine = (report: Report): Line => [
+  report.worker,
+  report.address,
+  report.type,
+  report.zone,
+  report.spot,
+  report.session,
+  report.tally,
+  report.token,
+  report.noticeS,
+  report.tasks.map((task) => [
+    task.job,
+    task.index,
+    task.attempt,
+    task.state,
+    task.cause,
+    task.saved,
+  ]),
+];
+
+function stateReplyLine(reply: StateReply): Line {
+  switch (reply.is) {
+    case "item":
+      return [
+        "value",
+        reply.item && [reply.item.key, reply.item.value, reply.item.version],
+      ];
+    case "items":
+      return [
+        "values",
+        reply.epoch,
+        reply.more,
+        reply.items.map((item) => [item.key, item.value, item.version]),
+      ];
+    case "committed":
+      return ["committed", reply.epoch];
+    case "hold":
+      return ["session", reply.hold];
+    case "changes":
+      return [
+        "log",
+        reply.epoch,
+        reply.changes.map((change) => [
+          change.op,
+          change.key,
+          change.op === "put" ? change.value : null,
+          change.version,
+        ]),
+      ];
+    case "refused":
+      return ["refused", reply.why];
+    case "unknown":
+      return ["unknown", reply.why];
+    case "conflict":
+      return ["conflict"];
+    case "touched":
+      return ["touched"];
+    case "gone":
+      return ["gone"];
+  }
+}
+
+function cloudReplyLine(reply: CloudReply): Line {
+  switch (reply.is) {
+    case "catalog":
+      return [
+        "catalog",
+        reply.types.map((type) => [
+          type.name,
+          type.cpus,
+          type.gpus,
+          type.memGb,
+          type.cacheGb,
+          type.fetchGbPerS,
+          type.price,
+          type.spotPrice,
+          type.bootS,
+          type.zones,
+        ]),
+      ];
+    case "rented":
+      return ["rented", reply.machines];
+    case "list":
+      return [
+        "list",
+        reply.more,
+        reply.machines.map((machine) => [
+          machine.id,
+          machine.address,
+          machine.type,
+          machine.zone,
+          machine.spot,
+          machine.state,
+          machine.ageS,
+        ]),
+      ];
+    case "failed":
+      return ["failed", reply.why];
+    case "noCapacity":
+      return ["sold out"];
+    case "returned":
+      return ["returned"];
+  }
+}
+
+const commandReplyLine = (reply: CommandReply): Line =>
+  reply.is === "answered" ? ["answered", reply.status] : [reply.is];
+
+function inputLine(input: Input): Line {
+  switch (input.is) {
+    case "submit":
+      return ["submit", input.req, jobLine(input.spec), input.awaits ?? []];
+    case "status":
+      return ["status", input.req, input.id];
+    case "withdraw":
+      return ["withdraw", input.req, input.id];
+    case "report":
+      return ["report", input.req, input.relayed, reportLine(input.report)];
+    case "unserved":
+      return ["not relayed", input.zone];
+    case "peers":
+      return ["peers", input.up];
+    case "state":
+      return ["state", input.op, input.sentMs, stateReplyLine(input.reply)];
+    case "cloud":
+      return ["cloud", input.op, cloudReplyLine(input.reply)];
+    case "command":
+      return ["command", input.op, commandReplyLine(input.reply)];
+    case "inspected":
+      return ["inspected", input.op, input.report && reportLine(input.report)];
+    case "memory":
+      return ["memory", input.short];
+    case "tick":
+      return ["tick"];
+    case "wake":
+      return ["wake"];
+  }
+}
+
+function answerLine(answer: Answer): Line {
+  switch (answer.is) {
+    case "job": {
+      const counts =
+        answer.done === undefined
+          ? undefined
+          : { done: answer.done, running: answer.running ?? 0 };
+      const body = jobBody(answer.id, answer.state, counts, answer.awaits);
+      return [answer.status, body];
+    }
+    case "never":
+      return [422, answer.error];
+    case "tooLong":
+      return [400, answer.error];
+    case "unknownJob":
+      return [404];
+    case "later":
+      return [503, answer.afterS, answer.why];
+    case "orders":
+      return [200, answerBody(answer.token, answer.orders)];
+    case "elsewhere":
+      return [421, redirectBody(answer.master)];
+    case "relay":
+      return ["relay", answer.master];
+  }
+}
+
+const stateCallLine = (call: StateCall): Line => {
+  const request = stateRequest(call);
+  return [request.method, request.path, request.body ?? null];
+};
+
+function cloudCallLine(call: CloudCall): Line {
+  switch (call.op) {
+    case "catalog":
+      return ["/catalog"];
+    case "rent":
+      return [
+        "/hosts",
+        rentBody(call.request, call.type, call.zone, call.spot, call.count),
+      ];
+    case "return":
+      return ["/hosts/return", returnBody(call.machines)];
+    case "list":
+      return [listPath(call.after)];
+  }
+}
+
+/** null: not recorded. */
+function effectLine(effect: Effect): Line | null {
+  switch (effect.do) {
+    case "answer":
+      return ["answer", effect.req, answerLine(effect.answer)];
+    case "state":
+      return ["state", effect.op, effect.urgent, stateCallLine(effect.call)];
+    case "cloud":
+      return ["cloud", effect.op, effect.urgent, cloudCallLine(effect.call)];
+    case "command":
+      return [
+        "command",
+        effect.op,
+        effect.address,
+        commandBody(effect.token, effect.session, effect.orders),
+      ];
+    case "inspect":
+      return ["inspect", effect.op, effect.address];
+    case "seen":
+      return ["seen", effect.from, effect.to, effect.changes.length];
+    case "wake":
+      return ["wake", effect.afterMs];
+    case "log":
+      return null;
+  }
+}
+
+const ID = /^(req|n|node)-/;
+
+/** Names of the fields of a value; `*` stands for the names that are data. */
+function fieldPaths(value: unknown, path: string, found: Set<string>): void {
+  if (Array.isArray(value)) {
+    for (const member of value) fieldPaths(member, `${path}[]`, found);
+    return;
+  }
+  if (typeof value !== "object" || value === null) return;
+  for (const [field, member] of Object.entries(value)) {
+    const isData = ID.test(field) || DATA_NAMES.has(field);
+    const inner = `${path}.${isData ? "*" : field}`;
+    found.add(inner);
+    fieldPaths(member, inner, found);
+  }
+}
+/** Teams and groups of the simulation: they are names of fields in some values. */
+const DATA_NAMES = new Set(["red", "blue", "east", "mid", "west", "attic"]);
+
+/** Counts what a run is to cover and gathers what it stored. */
+class Coverage {
+  private readonly counts = new Map<string, number>();
+  readonly storedFields = new Map<string, Set<string>>();
+
+  add(what: string): void {
+    this.counts.set(what, (this.counts.get(what) ?? 0) + 1);
+  }
+  input(input: Input): void {
+    if (input.is === "withdraw") this.add("cancellations");
+    if (input.is === "submit" && (input.awaits ?? []).length > 0)
+      this.add("submissions that name other jobs");
+  }
+  effect(effect: Effect): void {
+    if (effect.do !== "state" || effect.call.op !== "commit") return;
+    this.add("commits");
+    for (const write of effect.call.writes) {
+      const kind = write.key.split("/").slice(0, 3).join("/");
+      const keyKind = kind.startsWith("lc/past/") ? "lc/past" : kind;
+      this.add(`${write.op} ${keyKind}`);
+      if (write.op === "put") this.stored(keyKind, write.value);
+    }
+  }
+  private stored(keyKind: string, value: unknown): void {
+    const found = this.storedFields.get(keyKind) ?? new Set<string>();
+    this.storedFields.set(keyKind, found);
+    fieldPaths(value, "", found);
+  }
+  toString(): string {
+    return [...this.counts]
+      .sort(([left], [right]) => (left < right ? -1 : 1))
+      .map(([what, count]) => `${what}: ${count}`)
+      .join("\n");
+  }
+}
+
+function record(hash: Hash, world: World, name: string, line: Line): void {
+  hash.update(`${world.now} ${name} ${JSON.stringify(line)}\n`);
+}
+
+/** Plays one seeded day. */
+export function recordCoreTrace(day: TraceDay): CoreTrace {
+  const world = new World(day.seed, {
+    ...DEFAULTS,
+    silentReturnS: SILENT_RETURN_S,
+    ...day.tuning,
+  });
+  const hash = createHash("sha256");
+  const coverage = new Coverage();
+  world.onStep = (name, input, effects) => {
+    coverage.input(input);
+    record(hash, world, name, ["in", ...inputLine(input)]);
+    for (const effect of effects) {
+      coverage.effect(effect);
+      const line = effectLine(effect);
+      if (line) record(hash, world, name, ["out", ...line]);
+    }
+  };
+  for (const zone of world.zones)
+    world.cloud.add(world.types[0]!, zone, false, 0);
+  users(world, TROUBLES_UNTIL_MS, day.draw);
+  pipelines(world, 5_000, TROUBLES_UNTIL_MS);
+  troubles(world, TROUBLES_UNTIL_MS);
+  // Beside what the troubles bring: one failover at a fixed time.
+  world.at(30_000, () => world.crash("node-a"));
+  world.at(42_000, () => world.nodes.get("node-a") ?? world.boot("node-a"));
+  world.run(DAY_MS);
+  for (const broken of world.checker.broken)
+    coverage.add(`broken rule ${JSON.stringify(broken)}`);
+  return {
+    sha256: hash.digest("hex"),
+    coverage: coverage.toString(),
+    storedFields: coverage.storedFields,
+  };
+}
+
+/** Stored fields of several runs, one line for each kind of key. */
+export function describeStoredFields(traces: readonly CoreTrace[]): string {
+  const all = new Map<string, Set<string>>();
+  for (const { storedFields } of traces)
+    for (const [keyKind, fields] of storedFields) {
+      const known = all.get(keyKind) ?? new Set<string>();
+      for (const field of fields) known.add(field);
+      all.set(keyKind, known);
+    }
+  return [...all]
+    .map(([keyKind, fields]) => `${keyKind} ${[...fields].sort().join(" ")}`)
+    .sort()
+    .join("\n");
+}
+
+function main(): void {
+  const traces = TRACE_DAYS.map(recordCoreTrace);
+  for (const [place, trace] of traces.entries())
+    console.log(
+      `${TRACE_DAYS[place]!.name}: ${trace.sha256}\n${trace.coverage}`,
+    );
+  console.log(describeStoredFields(traces));
+}
+
+if (import.meta.url === pathToFileURL(process.argv[1] ?? "").href) main();
--- /dev/null
+++ b/test/golden/hooks-trace.ts
@@ -0,0 +1,60 @@
+import { createHash } from "node:crypto";
+import { stateRequest } from "../../src/protocol/state.js";
+import { calm, HookWorld, LIMITS, troubles } from "../hooks/days.js";
+
+const DAY_MS = 60_000;
+const REST_MS = 30_000;
+
+/**
+ * A recorded day of the sending of hooks: all calls to the state service as they cross the wire, all calls that receivers got, and what
+ * users were answered, as one hash.
+ */
+export function recordHooksTrace(seed: number): string {
+  const hash = createHash("sha256");
+  const world = new HookWorld(seed, LIMITS, 3, 15);
+  const { store } = world;
+  const handle = store.handle.bind(store);
+  store.handle = (call, ...rest): void => {
+    hash.update(`${world.now} ${JSON.stringify(stateRequest(call))}\n`);
+    handle(call, ...rest);
+  };
+  world.run(3_000);
+  world.add("all");
+  world.add("red-only", { crews: ["red"], ordered: true });
+  world.add("asked", { ask: true });
+  world.lossy = 0.02;
+  troubles(world, DAY_MS);
+  for (let place = 0; place < 150; place++)
+    world.at(place * 400, () =>
+      world.end(
+        `req-${place}`,
+        world.rng.pick(["red", "blue"]),
+        world.rng.chance(0.8) ? "done" : "cancelled",
+      ),
+    );
+  world.run(DAY_MS);
+  calm(world);
+  world.run(REST_MS);
+  const [node] = world.nodes;
+  const requests = [
+    { is: "list" },
+    { is: "show", name: "all" },
+    { is: "act", name: "all", act: "test" },
+    { is: "act", name: "asked", act: "pause" },
+    { is: "dead", name: "all", after: "" },
+    { is: "remove", name: "red-only" },
+  ] as const;
+  for (const request of requests) {
+    world.ask(node!, request);
+    world.run(5_000);
+  }
+  for (const receiver of world.receivers.values())
+    for (const call of receiver.calls)
+      hash.update(
+        `${JSON.stringify([call.hook, call.id, call.attempt, call.reason, call.node, call.atMs])}\n`,
+      );
+  for (const [request, { status, body }] of world.replies)
+    hash.update(`${request} ${status} ${JSON.stringify(body)}\n`);
+  hash.update(JSON.stringify(world.broken));
+  return hash.digest("hex");
+}
--- /dev/null
+++ b/test/golden/records.ts
@@ -0,0 +1,413 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { RangeSet } from "../../src/coordination/ranges.js";
+import type { Item } from "../../src/protocol/state.js";
+import * as hooks from "../../src/hooks/records.js";
+import { endingOf } from "../../src/hooks/tail.js";
+import * as records from "../../src/storage/records.js";
+import { expectJson, expectStored, expectText } from "./expect.js";
+import { JOB } from "./protocol.js";
+
+test("golden: keys of records", () => {
+  expectJson(
+    [records.ROOT, records.NOW, records.PAST],
+    '["lc/","lc/now/","lc/past/"]',
+  );
+  expectText(records.groupKey("east"), "lc/now/group/east");
+  expectText(records.claimKey("east"), "lc/now/claim/east");
+  expectText(records.jobKey("req-1"), "lc/now/job/req-1");
+  expectText(records.pastKey("req-1"), "lc/past/req-1");
+  expectText(
+    records.finKey("req-1", "east", 1003),
+    "lc/now/fin/req-1/east/1003",
+  );
+  expectText(records.gangKey("req-1"), "lc/now/gang/req-1");
+  expectText(records.readyKey("req-1", "east"), "lc/now/ready/req-1/east");
+  expectText(records.rosterKey("east", 2), "lc/now/roster/east/2");
+  expectText(records.roomKey("east"), "lc/now/room/east");
+  expectText(records.QUOTA_KEY, "lc/now/quota");
+  expectText(records.limitKey(3), "lc/now/limit/3");
+  expectText(records.beliefKey("node-a"), "lc/now/belief/node-a");
+  expectText(records.RECLAIM_KEY, "lc/now/reclaim");
+});
+
+test("golden: keys are read as what they are", () => {
+  const readAs: readonly [string, records.Key | null][] = [
+    ["lc/now/group/east", { kind: "group", group: "east" }],
+    ["lc/now/claim/east", { kind: "claim", group: "east" }],
+    ["lc/now/room/east", { kind: "room", group: "east" }],
+    ["lc/now/job/req-1", { kind: "job", id: "req-1" }],
+    ["lc/past/req-1", { kind: "past", id: "req-1" }],
+    [
+      "lc/now/fin/req-1/east/1003",
+      { kind: "fin", id: "req-1", group: "east", chunk: 1003 },
+    ],
+    ["lc/now/roster/east/2", { kind: "roster", group: "east", chunk: 2 }],
+    ["lc/now/gang/req-1", { kind: "gang", id: "req-1" }],
+    ["lc/now/ready/req-1/east", { kind: "ready", id: "req-1", group: "east" }],
+    ["lc/now/quota", { kind: "limits" }],
+    ["lc/now/limit/3", { kind: "limits" }],
+    ["lc/now/reclaim", { kind: "reclaim" }],
+    ["lc/now/belief/node-a", { kind: "belief", label: "node-a" }],
+    ["lc/now/other", null],
+    ["lc/hook/now/sub/alerts", null],
+  ];
+  for (const [key, parsed] of readAs)
+    assert.deepEqual(records.parseKey(key), parsed);
+});
+
+test("golden: jobs, live and final", () => {
+  const ranges = RangeSet.of([
+    [0, 3],
+    [5, 6],
+  ]);
+  const live: records.JobRecord = {
+    spec: JOB,
+    acceptedAt: 1_700_000_000_123,
+    split: new Map([["east", ranges]]),
+    awaits: [],
+    releasedAt: null,
+  };
+  expectStored(
+    live,
+    records.writeJob,
+    records.readJob,
+    '{"spec":{"id":"req-000412","class":"arrays","team":"red","shape":"ensemble","urgency":"best_effort","tasks":7,"cpus":2.5,"gpus":1,"memGb":16,"image":"img-3","imageGb":4,"types":["small","big"],"zone":"east","samePlace":true,"spread":false,"spot":true,"estimateS":120,"checkpointS":30,"saveS":5,"deadlineS":900},"at":1700000000123,"split":[["east",[[0,3],[5,6]]]]}',
+  );
+  expectStored(
+    {
+      ...live,
+      spec: { ...JOB, types: null, zone: null, deadlineS: null },
+      split: new Map(),
+      awaits: ["req-1", "req-2"],
+    },
+    records.writeJob,
+    records.readJob,
+    '{"spec":{"id":"req-000412","class":"arrays","team":"red","shape":"ensemble","urgency":"best_effort","tasks":7,"cpus":2.5,"gpus":1,"memGb":16,"image":"img-3","imageGb":4,"types":null,"zone":null,"samePlace":true,"spread":false,"spot":true,"estimateS":120,"checkpointS":30,"saveS":5,"deadlineS":null},"at":1700000000123,"split":[],"needs":["req-1","req-2"]}',
+  );
+  expectStored(
+    { ...live, releasedAt: 1_700_000_000_456 },
+    records.writeJob,
+    records.readJob,
+    '{"spec":{"id":"req-000412","class":"arrays","team":"red","shape":"ensemble","urgency":"best_effort","tasks":7,"cpus":2.5,"gpus":1,"memGb":16,"image":"img-3","imageGb":4,"types":["small","big"],"zone":"east","samePlace":true,"spread":false,"spot":true,"estimateS":120,"checkpointS":30,"saveS":5,"deadlineS":900},"at":1700000000123,"split":[["east",[[0,3],[5,6]]]],"rel":1700000000456}',
+  );
+  const done: records.PastRecord = { status: "done", tasks: 7, done: 7 };
+  expectStored(
+    done,
+    records.writePast,
+    records.readPast,
+    '{"s":"done","n":7,"d":7}',
+  );
+  expectStored(
+    {
+      status: "cancelled",
+      tasks: 7,
+      done: 3,
+      end: { team: "red", class: "arrays", at: 1_700_000_000_789 },
+    },
+    records.writePast,
+    records.readPast,
+    '{"s":"cancelled","n":7,"d":3,"h":["red","arrays",1700000000789]}',
+  );
+  expectJson(
+    records.endWrites("req-1", done, ["lc/now/gang/req-1"]),
+    '[{"op":"put","key":"lc/past/req-1","value":{"s":"done","n":7,"d":7}},{"op":"delete","key":"lc/now/job/req-1"},{"op":"delete","key":"lc/now/gang/req-1"}]',
+  );
+});
+
+test("golden: finished tasks, gangs, machines of a group", () => {
+  const ranges = RangeSet.of([
+    [384, 390],
+    [400, 400],
+  ]);
+  expectStored(
+    ranges,
+    records.writeFin,
+    (stored) => records.readFin(stored, 1003),
+    '{"r":[[384,390],[400,400]]}',
+  );
+  expectJson([records.FIN_BLOCK, records.finBlock(384)], "[128,1003]");
+  expectJson(
+    records.readFin(JSON.parse('{"b":"BQ=="}'), 1)?.pairs(),
+    "[[16384,16384],[16386,16386]]",
+  );
+  assert.equal(records.readAttempt(JSON.parse('{"attempt":4000001}')), 4000001);
+  expectStored(
+    {
+      complete: true,
+      machines: new Map([
+        ["n-1", { going: false, type: "small" }],
+        ["n-2", { going: true, type: "big" }],
+        ["n-3", { going: false, type: "small" }],
+      ]),
+    },
+    records.writeRoster,
+    records.readRoster,
+    '{"t":["small","big"],"m":[["n-1",0,0],["n-2",1,1],["n-3",0,0]],"c":1}',
+  );
+  expectStored(
+    { complete: false, machines: new Map() },
+    records.writeRoster,
+    records.readRoster,
+    '{"t":[],"m":[]}',
+  );
+});
+
+const ROOM: records.RoomRecord = {
+  rows: [
+    {
+      type: "small",
+      zone: "east",
+      spot: true,
+      machines: 4,
+      free: [[6, 0, 20.5, 2]],
+      reserved: [[8, 0, 32, 1]],
+      yields: [[8, 0, 32, 1, 1, 3]],
+    },
+    {
+      type: "big",
+      zone: "mid",
+      spot: false,
+      machines: 1,
+      free: [],
+      reserved: [],
+    },
+  ],
+  queue: { plain: 5, accelerated: 2 },
+  queueFrom: [
+    [5, 2],
+    [4, 1],
+    [3, 0],
+    [1, 0],
+  ],
+  running: new Map([["req-000412", 3]]),
+  soldOut: ["small/east/true"],
+  left: new Map([["big/mid/false", 2]]),
+  wants: new Map([["red", { cpus: 8, gpus: 1, since: 1_700_000_000_001 }]]),
+  teams: new Map([
+    [
+      "red",
+      {
+        use: [1, 2],
+        may: [3, 4],
+        now: [5, 6],
+        nowSince: [1_700_000_000_002, 1_700_000_000_003],
+        soon: [7, 8],
+        soonSince: [1_700_000_000_004, 1_700_000_000_005],
+        beyond: [9, 10],
+        waits: [11, 12.25],
+      },
+    ],
+    [
+      "blue",
+      {
+        use: [0, 0],
+        may: [0, 0],
+        now: [0, 0],
+        nowSince: [Infinity, Infinity],
+        soon: [0, 0],
+        soonSince: [Infinity, Infinity],
+        beyond: [0, 0],
+        waits: [0, 0],
+      },
+    ],
+  ]),
+  cut: true,
+};
+
+test("golden: a group's room", () => {
+  expectStored(
+    ROOM,
+    records.writeRoom,
+    records.readRoom,
+    '{"rows":[{"t":"small","z":"east","s":true,"n":4,"f":[[6,0,20.5,2]],"r":[[8,0,32,1]],"y":[[8,0,32,1,1,3]]},{"t":"big","z":"mid","s":false,"n":1,"f":[],"r":[]}],"q":[5,2],"qu":[[5,2],[4,1],[3,0],[1,0]],"run":[["req-000412",3]],"out":["small/east/true"],"left":[["big/mid/false",2]],"want":[["red",8,1,1700000000001]],"team":[["red",1,2,3,4,5,6,1700000000002,7,8,1700000000004,9,10,11,12.25,1700000000003,1700000000005],["blue",0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0]],"cut":true}',
+  );
+  const { queueFrom: _, ...empty } = ROOM;
+  expectStored(
+    {
+      ...empty,
+      rows: [],
+      running: new Map(),
+      soldOut: [],
+      left: new Map(),
+      wants: new Map(),
+      teams: null,
+      cut: false,
+    },
+    records.writeRoom,
+    records.readRoom,
+    '{"rows":[],"q":[5,2],"run":[],"out":[],"left":[],"want":[]}',
+  );
+});
+
+test("golden: group, claim, limits, belief and reclaims", () => {
+  const group: records.GroupRecord = { owner: "node-a", hold: 77 };
+  assert.deepEqual(
+    records.readGroup(JSON.parse('{"owner":"node-a","hold":77}')),
+    group,
+  );
+  const claim: records.ClaimRecord = { by: "node-b", token: 12 };
+  assert.deepEqual(
+    records.readClaim(JSON.parse('{"by":"node-b","token":12}')),
+    claim,
+  );
+  assert.deepEqual(
+    records.readQuota(
+      JSON.parse('{"red":{"east":[1,2],"/cap":[3,4]},"blue":{}}'),
+    ),
+    { red: { east: [1, 2], "/cap": [3, 4] }, blue: {} },
+  );
+  assert.equal(
+    records.readBelief(JSON.parse('{"limits":"[\\"red\\",48]"}')),
+    '["red",48]',
+  );
+  expectStored<Map<string, records.Reclaim[]>>(
+    new Map([
+      [
+        "east",
+        [
+          {
+            token: 12,
+            team: "red",
+            need: [8, 1],
+            from: [["blue", 4, 1]],
+            until: 1_700_000_000_006,
+          },
+        ],
+      ],
+    ]),
+    records.writeReclaims,
+    records.readReclaims,
+    '{"by":{"east":[{"t":12,"team":"red","n":[8,1],"from":[["blue",4,1]],"u":1700000000006}]}}',
+  );
+});
+
+test("golden: keys of hooks", () => {
+  expectJson(
+    [hooks.HOOKS, hooks.HOOKS_NOW, hooks.SUBS, hooks.UPTO_KEY],
+    '["lc/hook/","lc/hook/now/","lc/hook/now/sub/","lc/hook/now/upto"]',
+  );
+  expectText(hooks.subKey("alerts"), "lc/hook/now/sub/alerts");
+  expectText(hooks.atKey("alerts"), "lc/hook/now/at/alerts");
+  expectText(hooks.ownKey(3), "lc/hook/now/own/3");
+  expectText(hooks.hereKey("node-a"), "lc/hook/now/here/node-a");
+  expectText(hooks.spoolPrefix("alerts"), "lc/hook/spool/alerts/");
+  expectText(hooks.deadPrefix("alerts"), "lc/hook/dead/alerts/");
+  expectText(hooks.spoolKey("alerts", 12), "lc/hook/spool/alerts/0000000012");
+  expectText(hooks.deadKey("alerts", 13), "lc/hook/dead/alerts/0000000013");
+  assert.equal(hooks.batchNumber("lc/hook/spool/alerts/0000000012"), 12);
+  assert.equal(hooks.LANES, 16);
+});
+
+const SUBSCRIPTION: hooks.Subscription = {
+  url: "https://example.org/in",
+  teams: ["red"],
+  classes: null,
+  outcomes: ["done", "cancelled"],
+  keys: ["k2", "k1"],
+  ordered: true,
+  ask: false,
+  state: "paused",
+  redrives: 4,
+  tests: 5,
+};
+const OWED: readonly hooks.Owed[] = (
+  ["done", "cancelled", "test"] as const
+).map((outcome, place) => ({
+  end: {
+    id: `req-${place}`,
+    outcome,
+    tasks: 7,
+    done: place,
+    team: "red",
+    class: "arrays",
+    at: 1_700_000_000_000,
+    since: 1_700_000_000_000 + place,
+  },
+  attempts: place,
+}));
+
+function packed(): hooks.Packer {
+  const packer = new hooks.Packer(1_000);
+  for (const owed of OWED) assert.ok(packer.add(owed));
+  return packer;
+}
+
+test("golden: values of hooks", () => {
+  expectStored(
+    SUBSCRIPTION,
+    hooks.writeSub,
+    hooks.readSub,
+    '{"u":"https://example.org/in","t":["red"],"c":null,"o":["done","cancelled"],"k":["k2","k1"],"ord":true,"ask":false,"st":"paused","rd":4,"ts":5}',
+  );
+  expectStored(
+    { ...SUBSCRIPTION, teams: null, classes: ["arrays"], state: "ended" },
+    hooks.writeSub,
+    hooks.readSub,
+    '{"u":"https://example.org/in","t":null,"c":["arrays"],"o":["done","cancelled"],"k":["k2","k1"],"ord":true,"ask":false,"st":"ended","rd":4,"ts":5}',
+  );
+  const at: hooks.AtRecord = {
+    seq: 1,
+    token: 2,
+    cursor: { version: 3, id: "req-0" },
+    window: [...OWED],
+    spool: { first: 4, taken: 5, next: 6 },
+    dead: { first: 7, next: 8 },
+    redrives: 9,
+    tests: 10,
+    listing: { to: 11, after: "lc/past/req-0" },
+  };
+  const writeAt = (record: hooks.AtRecord): object =>
+    hooks.writeAt(record, packed());
+  expectStored(
+    at,
+    writeAt,
+    hooks.readAt,
+    '{"q":1,"tk":2,"c":[3,"req-0"],"nm":["red","arrays"],"w":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]],"sp":[4,5,6],"dd":[7,8],"rd":9,"ts":10,"ls":[11,"lc/past/req-0"]}',
+  );
+  expectJson(
+    hooks.newAt(),
+    '{"q":0,"tk":0,"c":null,"nm":[],"w":[],"sp":[0,0,0],"dd":[0,0],"rd":0,"ts":0}',
+  );
+  const writeBatch = (batch: hooks.Batch): object =>
+    hooks.writeBatch(packed(), batch.to);
+  expectStored(
+    { to: { version: 3, id: "req-0" }, entries: [...OWED] },
+    writeBatch,
+    hooks.readBatch,
+    '{"to":[3,"req-0"],"nm":["red","arrays"],"e":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]]}',
+  );
+  expectStored(
+    { to: null, entries: [...OWED] },
+    writeBatch,
+    hooks.readBatch,
+    '{"to":null,"nm":["red","arrays"],"e":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]]}',
+  );
+  assert.deepEqual(hooks.readOwn(JSON.parse('{"owner":"node-a","hold":77}')), {
+    owner: "node-a",
+    hold: 77,
+  });
+  assert.deepEqual(hooks.readHere(JSON.parse('{"hold":77}')), { hold: 77 });
+  assert.deepEqual(hooks.readUpto(JSON.parse('{"3":41}')), { 3: 41 });
+});
+
+test("golden: the end that a final record tells", () => {
+  const change: Item = {
+    key: "lc/past/req-9",
+    value: JSON.parse(
+      '{"s":"cancelled","n":7,"d":3,"h":["red","arrays",1700000000789]}',
+    ) as unknown,
+    version: 5,
+  };
+  const end: hooks.Ending = {
+    id: "req-9",
+    outcome: "cancelled",
+    tasks: 7,
+    done: 3,
+    team: "red",
+    class: "arrays",
+    at: 1_700_000_000_789,
+    since: 1_700_000_000_789,
+  };
+  assert.deepEqual(endingOf(change), { at: { version: 5, id: "req-9" }, end });
+});
--- /dev/null
+++ b/test/golden/transport.ts
@@ -0,0 +1,478 @@
+import assert from "node:assert/strict";
+import http from "node:http";
+import type { AddressInfo } from "node:net";
+import { test } from "node:test";
+import type {
+  Answer,
+  CloudCall,
+  Input,
+} from "../../src/coordination/effects.js";
+import type { Settings } from "../../src/config/settings.js";
+import type { Launch } from "../../src/hooks/delivery.js";
+import { Networks } from "../../src/hooks/networks.js";
+import type { Ending, Subscription } from "../../src/hooks/records.js";
+import { HookCore, type HookInput } from "../../src/hooks/core.js";
+import { hookRoutes } from "../../src/hooks/http.js";
+import { Sender } from "../../src/hooks/sender.js";
+import { messageBody, signature, webhookId } from "../../src/hooks/signing.js";
+import { CloudClient } from "../../src/transport/cloud.js";
+import { api, type Asked, toHttp } from "../../src/transport/server.js";
+import { WorkerClient } from "../../src/transport/workers.js";
+import { LIMITS } from "../hooks/days.js";
+import { Store } from "../hooks/store.js";
+import { World } from "../sim/world.js";
+import { expectJson, expectText } from "./expect.js";
+import { ORDERS } from "./protocol.js";
+
+/** Status, headers that count and body of an answer, in one text. */
+async function inOneText(response: Response): Promise<string> {
+  const retry = response.headers.get("retry-after");
+  const type = response.headers.get("content-type");
+  return `${response.status} ${type} ${retry ?? "-"} ${await response.text()}`;
+}
+
+/** One answer of each kind. */
+const ANSWERS: readonly [Answer, string][] = [
+  [
+    { is: "job", status: 201, id: "req-1", state: "queued", awaits: ["req-2"] },
+    '201 application/json - {"id":"req-1","status":"queued","awaits":["req-2"]}',
+  ],
+  [
+    {
+      is: "job",
+      status: 200,
+      id: "req-1",
+      state: "running",
+      done: 3,
+      running: 2,
+    },
+    '200 application/json - {"id":"req-1","status":"running","done":3,"running":2}',
+  ],
+  [
+    { is: "job", status: 200, id: "req-1", state: "cancelled", done: 3 },
+    '200 application/json - {"id":"req-1","status":"cancelled","done":3,"running":0}',
+  ],
+  [
+    { is: "job", status: 200, id: "req-1", state: "done" },
+    '200 application/json - {"id":"req-1","status":"done"}',
+  ],
+  [
+    { is: "never", error: "no such crew" },
+    '422 application/json - {"error":"no such crew"}',
+  ],
+  [
+    { is: "tooLong", error: "too long" },
+    '400 application/json - {"error":"too long"}',
+  ],
+  [{ is: "unknownJob" }, '404 application/json - {"error":"no such job"}'],
+  [
+    { is: "later", afterS: 3, why: "no permit" },
+    '503 application/json 3 {"error":"no permit"}',
+  ],
+  [
+    { is: "orders", token: 9, orders: [...ORDERS] },
+    '200 application/json - {"baton":9,"orders":[{"verb":"start","shard":"req-000412/3","try":2},{"verb":"kill","shard":"req-000412/4","try":6,"leewayS":1.5},{"verb":"clear","shard":"req-000412/5","try":7}]}',
+  ],
+  [
+    { is: "elsewhere", master: "node-b" },
+    '421 application/json - {"harbormaster":"node-b"}',
+  ],
+  [{ is: "elsewhere", master: null }, "421 application/json - {}"],
+  [{ is: "relay", master: "node-b" }, "421 application/json - {}"],
+];
+
+test("golden: status and body of each answer", async () => {
+  for (const [answer, literal] of ANSWERS)
+    expectText(await inOneText(toHttp(answer)), literal);
+});
+
+const LEAST_JOB =
+  '{"id":"req-1","jobclass":"arrays","crew":"red","shape":"batch","urgency":"prod","shards":1,"cores":1,"memoryGb":2}';
+const LEAST_REPORT =
+  '{"berth":"n-17","address":"10.0.0.7:8001","hull":"small","yard":"east","watch":3,"tally":41}';
+
+test("golden: routes for users, workers and the platform", async () => {
+  const inputs: Input[] = [];
+  const relayed: string[] = [];
+  let answer: Answer = { is: "unknownJob" };
+  let relayAnswer: { status: number; body: string } | null = null;
+  const core: Asked = {
+    ask: (input) => {
+      inputs.push(input(1));
+      if (inputs.length > 20) throw new Error("unexpected");
+      return Promise.resolve(answer);
+    },
+    ready: () => true,
+    relay: (master, zone, body) => {
+      relayed.push(`${master} ${zone} ${body}`);
+      return Promise.resolve(relayAnswer);
+    },
+    malformed: (what, error) => void relayed.push(`${what} ${error}`),
+    fault: (error) => void relayed.push(error.message),
+  };
+  const app = api(core);
+  const ask = async (
+    method: string,
+    path: string,
+    body?: string,
+  ): Promise<string> =>
+    inOneText(await app.request(path, { method, body: body ?? null }));
+  expectText(
+    await ask("GET", "/ready"),
+    '200 application/json - {"ready":true}',
+  );
+  expectText(
+    await ask("POST", "/v1/jobs", LEAST_JOB),
+    '404 application/json - {"error":"no such job"}',
+  );
+  expectText(
+    await ask("POST", "/v1/jobs", "{"),
+    '400 application/json - {"error":"body: not JSON"}',
+  );
+  expectText(
+    await ask("GET", "/v1/jobs/req-1"),
+    '404 application/json - {"error":"no such job"}',
+  );
+  expectText(
+    await ask("GET", "/v1/jobs/other"),
+    '404 application/json - {"error":"no such job"}',
+  );
+  expectText(
+    await ask("POST", "/v1/jobs/req-1/withdraw"),
+    '404 application/json - {"error":"no such job"}',
+  );
+  expectText(
+    await ask("POST", "/hello", LEAST_REPORT),
+    '404 application/json - {"error":"no such job"}',
+  );
+  expectText(
+    await ask("POST", "/hello", "{}"),
+    '400 application/json - {"error":"berth: Invalid key: Expected \\"berth\\" but received undefined"}',
+  );
+  answer = { is: "relay", master: "node-b" };
+  expectText(
+    await ask("POST", "/hello", LEAST_REPORT),
+    "421 application/json - {}",
+  );
+  relayAnswer = { status: 200, body: '{"baton":1,"orders":[]}' };
+  expectText(
+    await ask("POST", "/hello", LEAST_REPORT),
+    '200 application/json - {"baton":1,"orders":[]}',
+  );
+  expectText(
+    await ask("DELETE", "/v1/jobs"),
+    '405 application/json - {"error":"method not allowed"}',
+  );
+  expectText(
+    await ask("GET", "/hello"),
+    '405 application/json - {"error":"method not allowed"}',
+  );
+  expectText(
+    await ask("GET", "/v2"),
+    '404 application/json - {"error":"no such path"}',
+  );
+  assert.deepEqual(
+    inputs.map((input) => input.is),
+    ["submit", "status", "withdraw", "report", "report", "report"],
+  );
+  expectText(
+    relayed.join("\n"),
+    `report berth: Invalid key: Expected "berth" but received undefined
+node-b east {"berth":"n-17","address":"10.0.0.7:8001","hull":"small","yard":"east","watch":3,"tally":41}
+node-b east {"berth":"n-17","address":"10.0.0.7:8001","hull":"small","yard":"east","watch":3,"tally":41}`,
+  );
+  core.ready = (): boolean => false;
+  expectText(
+    await ask("GET", "/ready"),
+    '503 application/json - {"ready":false}',
+  );
+  core.ask = (): Promise<Answer> => Promise.reject(new Error("defect"));
+  expectText(
+    await ask("GET", "/v1/jobs/req-1"),
+    '503 application/json 1 {"error":"unexpected fault"}',
+  );
+});
+
+/** A server that keeps what it was sent, and answers all with one body. */
+async function recording(
+  answerBody: string,
+  use: (
+    port: number,
+    requests: http.IncomingMessage[],
+    bodies: string[],
+  ) => Promise<void>,
+): Promise<void> {
+  const requests: http.IncomingMessage[] = [];
+  const bodies: string[] = [];
+  const server = http.createServer((request, response) => {
+    let body = "";
+    request.on("data", (data: Buffer) => (body += data.toString()));
+    request.on("end", () => {
+      requests.push(request);
+      bodies.push(`${request.method} ${request.url} ${body}`);
+      response.end(answerBody);
+    });
+  });
+  await new Promise<void>((resolve) =>
+    server.listen(0, "127.0.0.1", () => resolve()),
+  );
+  try {
+    await use((server.address() as AddressInfo).port, requests, bodies);
+  } finally {
+    server.closeAllConnections();
+    server.close();
+  }
+}
+
+test("golden: requests to the cloud", async () => {
+  await recording('{"hulls":[],"berths":["n-1"]}', async (port, _, bodies) => {
+    const { settings } = new World(1);
+    const nearby: Settings = {
+      ...settings,
+      cloud: { host: "127.0.0.1", port, rps: 100, listLagS: 1 },
+    };
+    const client = new CloudClient(nearby);
+    const calls: CloudCall[] = [
+      { op: "catalog" },
+      {
+        op: "rent",
+        request: "node-a-1",
+        type: "small",
+        zone: "east",
+        spot: true,
+        count: 3,
+      },
+      { op: "return", machines: ["n-1", "n-2"] },
+      { op: "list", after: "n-1" },
+    ];
+    for (const call of calls) await client.call(call, 1);
+    expectText(
+      bodies.join("\n"),
+      `GET /catalog 
+POST /hosts {"charter":"node-a-1","hull":"small","yard":"east","loaners":true,"number":3}
+POST /hosts/return {"berths":["n-1","n-2"]}
+GET /hosts?most=500&since=n-1 `,
+    );
+  });
+});
+
+test("golden: requests to workers", async () => {
+  await recording(LEAST_REPORT, async (port, _, bodies) => {
+    const client = new WorkerClient(100);
+    const address = `127.0.0.1:${port}`;
+    await client.command(address, 9, 3, ORDERS);
+    const report = await client.inspect(address);
+    expectText(
+      bodies.join("\n"),
+      `POST /commands {"baton":9,"watch":3,"orders":[{"verb":"start","shard":"req-000412/3","try":2},{"verb":"kill","shard":"req-000412/4","try":6,"leewayS":1.5},{"verb":"clear","shard":"req-000412/5","try":7}]}
+GET /inspect `,
+    );
+    assert.equal(report?.worker, "n-17");
+  });
+});
+
+const END: Ending = {
+  id: "req-9",
+  outcome: "cancelled",
+  tasks: 7,
+  done: 3,
+  team: "red",
+  class: "arrays",
+  at: 1_700_000_000_789,
+  since: 1_700_000_000_789,
+};
+const KEY = new Uint8Array(24).fill(7);
+
+test("golden: a notification's body, id and signature", () => {
+  expectText(
+    messageBody(END),
+    '{"type":"job.cancelled","timestamp":"2023-11-14T22:13:20.789Z","data":{"id":"req-9","status":"cancelled","crew":"red","jobclass":"arrays","shards":7,"done":3}}',
+  );
+  expectText(
+    messageBody({ ...END, outcome: "done" }),
+    '{"type":"job.done","timestamp":"2023-11-14T22:13:20.789Z","data":{"id":"req-9","status":"done","crew":"red","jobclass":"arrays","shards":7,"done":3}}',
+  );
+  expectText(
+    messageBody({ ...END, outcome: "test" }),
+    '{"type":"hook.test","timestamp":"2023-11-14T22:13:20.789Z","data":{}}',
+  );
+  expectText(webhookId("alerts", END), "alerts.req-9");
+  expectText(
+    signature(KEY, "alerts.req-9", 1_700_000_001, "{}"),
+    "v1,V3huM3L00mOgcqzCItoB6p3GNQbs8o/XGYpBh94Gg8s=",
+  );
+});
+
+test("golden: the requests that carry a notification", async () => {
+  await recording("{}", async (port, requests, bodies) => {
+    const sender = new Sender({
+      networks: new Networks(["127.0.0.1"], true),
+      keys: new Map([["k1", KEY]]),
+      allowHttp: true,
+      deadlineMs: 5_000,
+      maxSockets: 4,
+      maxAnswerBytes: 100,
+      ca: null,
+      agent: "linencove/1",
+    });
+    const sub: Subscription = {
+      url: `http://127.0.0.1:${port}/in`,
+      teams: null,
+      classes: null,
+      outcomes: ["done", "cancelled"],
+      keys: ["k1"],
+      ordered: false,
+      ask: true,
+      state: "active",
+      redrives: 0,
+      tests: 0,
+    };
+    const launch: Launch = {
+      end: END,
+      attempt: 2,
+      reason: "timeout",
+      ask: false,
+      sub,
+    };
+    assert.equal((await sender.attempt(1, "alerts", launch)).is, "answered");
+    assert.equal(
+      (await sender.attempt(2, "alerts", { ...launch, ask: true })).is,
+      "had",
+    );
+    expectText(
+      bodies.join("\n"),
+      `POST /in {"type":"job.cancelled","timestamp":"2023-11-14T22:13:20.789Z","data":{"id":"req-9","status":"cancelled","crew":"red","jobclass":"arrays","shards":7,"done":3}}
+GET /in `,
+    );
+    const [post] = requests;
+    const names = Object.keys(post!.headers).sort().join(" ");
+    expectText(
+      names,
+      "connection content-length content-type host linencove-attempt linencove-repeat user-agent webhook-id webhook-signature webhook-timestamp",
+    );
+    const { headers } = post!;
+    const fixed = [
+      "user-agent",
+      "webhook-id",
+      "linencove-attempt",
+      "linencove-repeat",
+      "content-type",
+    ];
+    expectJson(
+      fixed.map((name) => headers[name]),
+      '["linencove/1","alerts.req-9","2","timeout","application/json"]',
+    );
+    assert.equal(
+      headers["webhook-signature"],
+      signature(
+        KEY,
+        "alerts.req-9",
+        Number(headers["webhook-timestamp"]),
+        messageBody(END),
+      ),
+    );
+  });
+});
+
+/** Hooks' routes over a store, without a controller around them. */
+function hooksApp(): ReturnType<typeof hookRoutes> {
+  const store = new Store(() => 0);
+  const core = new HookCore(
+    "node-a",
+    LIMITS,
+    () => 0.5,
+    new Set(["k1"]),
+    () => null,
+  );
+  const replies = new Map<number, { status: number; body: object }>();
+  const feed = (input: HookInput): void => {
+    for (const effect of core.step(input, 1_000, 1_000)) {
+      if (effect.do === "reply") replies.set(effect.req, effect);
+      if (effect.do === "state")
+        store.handle(effect.call, (reply) =>
+          feed({ is: "state", op: effect.op, reply }),
+        );
+    }
+  };
+  feed({ is: "permit", hold: 1, untilMs: 1e9 });
+  let asked = 0;
+  return hookRoutes(
+    (request) => {
+      feed({ is: "request", req: ++asked, request });
+      return Promise.resolve(replies.get(asked)!);
+    },
+    (_, next) => next(),
+  );
+}
+
+test("golden: routes of hooks", async () => {
+  const app = hooksApp();
+  const ask = async (
+    method: string,
+    path: string,
+    body?: string,
+  ): Promise<string> =>
+    inOneText(await app.request(path, { method, body: body ?? null }));
+  const added =
+    '{"name":"alerts","url":"https://example.org/in","crews":["red"],"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true}';
+  expectText(
+    await ask("POST", "/v1/hooks", added),
+    '201 application/json - {"name":"alerts","url":"https://example.org/in","crews":["red"],"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
+  );
+  expectText(
+    await ask("POST", "/v1/hooks", added),
+    '409 application/json - {"error":"name: there is such a hook"}',
+  );
+  expectText(
+    await ask("POST", "/v1/hooks", '{"name":"b"}'),
+    '400 application/json - {"error":"url: Invalid key: Expected \\"url\\" but received undefined"}',
+  );
+  expectText(
+    await ask("POST", "/v1/hooks", "{"),
+    '400 application/json - {"error":"body: not JSON"}',
+  );
+  expectText(
+    await ask("GET", "/v1/hooks"),
+    '200 application/json - {"hooks":[{"name":"alerts","url":"https://example.org/in","crews":["red"],"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}]}',
+  );
+  expectText(
+    await ask("GET", "/v1/hooks/alerts"),
+    '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":["red"],"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active","sending":null}',
+  );
+  expectText(
+    await ask("PATCH", "/v1/hooks/alerts", '{"crews":null}'),
+    '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
+  );
+  expectText(
+    await ask("POST", "/v1/hooks/alerts/test"),
+    '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
+  );
+  expectText(
+    await ask("POST", "/v1/hooks/alerts/redrive"),
+    '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
+  );
+  expectText(
+    await ask("POST", "/v1/hooks/alerts/pause"),
+    '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"paused"}',
+  );
+  expectText(
+    await ask("POST", "/v1/hooks/alerts/test"),
+    '409 application/json - {"error":"hook is paused: resume it first"}',
+  );
+  expectText(
+    await ask("POST", "/v1/hooks/alerts/resume"),
+    '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
+  );
+  expectText(
+    await ask("GET", "/v1/hooks/alerts/dead"),
+    '200 application/json - {"dead":[],"next":null}',
+  );
+  expectText(
+    await ask("DELETE", "/v1/hooks/alerts"),
+    '200 application/json - {"name":"alerts","removed":true}',
+  );
+  expectText(
+    await ask("GET", "/v1/hooks/alerts"),
+    '404 application/json - {"error":"no such hook"}',
+  );
+});
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -151,6 +151,10 @@
   ) => void)[] = [];
   /** Called with each report that a machine makes. */
   readonly onReport: ((report: Report) => void)[] = [];
+  /** Called with each step of a controller: what it was told and what it returned. */
+  onStep:
+    ((name: string, input: Input, effects: readonly Effect[]) => void) | null =
+    null;
   /** Looks at a controller after each of its steps. */
   afterStep: ((core: Controller) => void) | null = null;
   starts = 0;
@@ -501,6 +505,7 @@
   private step(name: string, node: Node, input: Input): void {
     if (this.nodes.get(name) !== node) return;
     const effects = node.core.step(input, this.now * node.drift, this.now);
+    this.onStep?.(name, input, effects);
     this.afterStep?.(node.core);
     // A controller looks at its permit once more before anything leaves: it may stand still before that, or after it.
     const looksFirst = node.stillFor > 0 && this.rng.chance(0.5);
