--- a/src/coordination/awaiting.ts
+++ b/src/coordination/awaiting.ts
@@ -264,10 +264,10 @@
       [{ op: "put", key: jobKey(view.id), value: writeJob(record) }],
       Urgent.Master,
       () =>
-        this.ctx.log("debug", "job released", {
+        this.ctx.log("job dependencies satisfied", {
           job: view.id,
           class: view.spec.class,
-          split: [...split].map(([g, r]) => [g, r.size]),
+          assignment: [...split].map(([g, r]) => [g, r.size]),
         }),
     );
   }
@@ -284,7 +284,7 @@
         ),
       );
       this.commit(some, writes, Urgent.Spare, () =>
-        this.ctx.log("info", "jobs cancelled with one that they need", {
+        this.ctx.log("dependent jobs cancelled", {
           jobs: some.map((e) => e.view.id),
         }),
       );
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,12 +1,7 @@
 import type { Settings } from "../config/settings.js";
+import type { EventLog } from "../logging/events.js";
 import type { Condition, Write } from "../protocol/state.js";
-import type {
-  CloudCall,
-  CloudReply,
-  CommandReply,
-  Level,
-  Urgent,
-} from "./effects.js";
+import type { CloudCall, CloudReply, CommandReply, Urgent } from "./effects.js";
 import type { Groups } from "./groups.js";
 import type { Handed } from "./splitter.js";
 import type { Mirror } from "./mirror.js";
@@ -16,7 +11,7 @@
 export type CommitEnd = "ok" | "conflict" | "refused" | "unknown";
 
 /** What the parts of the core share; the controller provides it and sets the times before each step. */
-export interface Context {
+export interface Context extends EventLog {
   readonly settings: Settings;
   readonly tuning: Tuning;
   readonly groups: Groups;
@@ -53,7 +48,6 @@
   /** Handed to each group, by splits and moves, since it last wrote its room. */
   readonly handed: ReadonlyMap<string, readonly Handed[]>;
   noteHanded(group: string, spec: JobSpec, tasks: number): void;
-  log(level: Level, msg: string, fields?: Record<string, unknown>): void;
 }
 
 /** Steady clocks of different machines may drift apart by 0.05%; waiting for another's clock takes this factor. */
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -18,7 +18,6 @@
   type CommandReply,
   type Effect,
   type Input,
-  type Level,
   Urgent,
 } from "./effects.js";
 import { Groups } from "./groups.js";
@@ -30,6 +29,11 @@
 import { Orphans } from "./orphans.js";
 import { Ownership } from "./ownership.js";
 import { StateReader } from "./state-reader.js";
+import {
+  type LogEvent,
+  type LogEventFields,
+  logEntry,
+} from "../logging/events.js";
 import { RateLimitedLog } from "./rate-limited-log.js";
 import type { Handed } from "./splitter.js";
 import { UnansweredCommits } from "./unanswered-commits.js";
@@ -256,8 +260,8 @@
 
   // ---- effects -------------------------------------------------------------------------------------------
 
-  log(level: Level, msg: string, fields: Record<string, unknown> = {}): void {
-    this.out.push({ do: "log", level, msg, fields });
+  log<E extends LogEvent>(event: E, fields: LogEventFields[E]): void {
+    this.out.push({ do: "log", ...logEntry(event, fields) });
   }
   private answer(req: number, answer: Answer): void {
     this.out.push({ do: "answer", req, answer });
@@ -289,7 +293,7 @@
           if (w.op === "put" && w.hold !== undefined)
             this.ownership.holdEnded(w.hold);
       } else if (r.is === "refused" && r.why === "400")
-        this.log("error", "state service refuses a transaction", {
+        this.log("transaction rejected by the store", {
           writes: writes.map((w) => [
             w.op,
             w.key,
@@ -317,11 +321,8 @@
       if (r.is === "failed" && !down) return done(r);
       if (down !== this.cloudDown) {
         this.cloudDown = down;
-        this.log(
-          down ? "warn" : "info",
-          down ? "cloud does not answer" : "cloud answers again",
-          down && r.is === "failed" ? { why: r.why } : {},
-        );
+        if (r.is === "failed") this.log("cloud unavailable", { reason: r.why });
+        else this.log("cloud available again", {});
       }
       done(r);
     });
@@ -374,7 +375,7 @@
           this.handed.delete(s.group);
           break;
         case "unreadable":
-          this.contradictions.warn("record can't be read", s.key);
+          this.contradictions.warn("unreadable record", s.key, {});
           break;
         default:
           break;
@@ -387,7 +388,7 @@
   /** For those who follow the ends of jobs, and for the log; this core has no need of it. */
   private tell(from: number, to: number, changes: readonly Change[]): void {
     for (const late of this.unanswered.among(changes, this.nowMs))
-      this.log("info", "transaction without an answer was carried out", late);
+      this.log("indeterminate transaction was applied", late);
     if (!this.tuning.tellEnds) return;
     const theirs = changes.filter(
       (c) => c.key.startsWith(PAST) || parseKey(c.key) === null,
@@ -487,8 +488,8 @@
     for (const [group, m] of this.masters) {
       if (this.ownership.tokenOf(group) === m.token) continue;
       this.masters.delete(group);
-      this.log("info", "group lost", {
-        group,
+      this.log("partition lost", {
+        partition: group,
         token: m.token,
         owner: this.mirror.groups.get(group)?.owner ?? null,
       });
@@ -509,12 +510,16 @@
             this.ownership.tokenOf(group) === token,
         ),
       );
-      this.log("info", "group taken", { group, token });
+      this.log("partition acquired", { partition: group, token });
     }
   }
   private dropMasters(): void {
     for (const [group, m] of this.masters)
-      this.log("info", "group lost", { group, token: m.token, owner: null });
+      this.log("partition lost", {
+        partition: group,
+        token: m.token,
+        owner: null,
+      });
     this.masters.clear();
   }
 
--- a/src/coordination/effects.ts
+++ b/src/coordination/effects.ts
@@ -1,3 +1,4 @@
+import type { LogEntry } from "../logging/events.js";
 import type { Change, StateCall, StateReply } from "../protocol/state.js";
 import type {
   JobSpec,
@@ -86,8 +87,6 @@
   /** The worker can't reach its master: the report is to be passed on to it. */
   | { is: "relay"; master: string };
 
-export type Level = "error" | "warn" | "info" | "debug";
-
 export type Effect =
   | { do: "answer"; req: number; answer: Answer }
   | { do: "state"; op: number; call: StateCall; urgent: Urgent }
@@ -109,4 +108,4 @@
   | { do: "seen"; from: number; to: number; changes: Change[] }
   /** To be called again after this time, sooner than by the next tick; one at a time. */
   | { do: "wake"; afterMs: number }
-  | { do: "log"; level: Level; msg: string; fields: Record<string, unknown> };
+  | ({ do: "log" } & LogEntry);
--- a/src/coordination/failures.ts
+++ b/src/coordination/failures.ts
@@ -46,7 +46,7 @@
     job.failedTries = 0;
     job.backoffUntilMs = 0;
     job.errors.clear();
-    this.ctx.log("info", "job runs after all", { job: job.id });
+    this.ctx.log("job recovered after failures", { job: job.id });
   }
 
   private isSuspicious(task: TaskRun): boolean {
@@ -76,7 +76,7 @@
       worker.avoidUntilMs,
       this.ctx.nowMs + 5_000 * worker.failed.size,
     );
-    this.ctx.log("info", "task failed", {
+    this.ctx.log("task failed", {
       task: taskKey(task.job.id, task.index),
       worker: worker.id,
       jobsFailedHere: worker.failed.size,
@@ -95,16 +95,12 @@
     for (const worker of this.own.workers.values())
       if (worker.failed.delete(job.id) && worker.failed.size === 0)
         worker.avoidUntilMs = Math.min(worker.avoidUntilMs, now);
-    this.ctx.log(
-      "warn",
-      "job fails wherever it runs; tried again ever more slowly",
-      {
-        job: job.id,
-        class: job.view.spec.class,
-        team: job.view.spec.team,
-        machines: [...job.errors.keys()].slice(0, 5),
-        failures: [...job.errors.values()].reduce((a, b) => a + b, 0),
-      },
-    );
+    this.ctx.log("job fails on every machine, retrying with backoff", {
+      job: job.id,
+      class: job.view.spec.class,
+      team: job.view.spec.team,
+      machines: [...job.errors.keys()].slice(0, 5),
+      failures: [...job.errors.values()].reduce((a, b) => a + b, 0),
+    });
   }
 }
--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet.ts
@@ -84,7 +84,7 @@
 
   giveBack(id: string, type: string, why: string): void {
     if (this.going.has(id)) return;
-    this.ctx.log("info", "giving machine back", { worker: id, type, why });
+    this.ctx.log("scaling in", { worker: id, type, reason: why });
     this.going.set(id, { why, retryMs: 0, sent: false });
     this.renting.booting.delete(id);
     // Marked before the request can leave: a return that is carried out late must find the machine unused.
--- a/src/coordination/group-state.ts
+++ b/src/coordination/group-state.ts
@@ -128,10 +128,10 @@
     if (t.stop && t.stop.graceS <= graceS) return;
     t.stop = { graceS, why };
     this.untold.add(t.worker);
-    this.ctx.log("debug", "stopping task", {
+    this.ctx.log("stopping task", {
       task: taskKey(t.job.id, t.index),
       worker: t.worker.id,
-      why,
+      reason: why,
     });
   }
 
@@ -219,10 +219,10 @@
 
   releaseAll(w: Worker, why: string): void {
     if (w.tasks.size > 0)
-      this.ctx.log("info", "tasks lost with their machine's session", {
+      this.ctx.log("tasks lost with worker incarnation", {
         worker: w.id,
         tasks: w.tasks.size,
-        why,
+        reason: why,
       });
     for (const t of [...w.tasks.values()]) this.requeue(t);
     this.ledger.clearStrays(w);
@@ -337,10 +337,10 @@
   }
 
   private liftFence(why: string): void {
-    this.ctx.log("info", "takeover complete", {
-      group: this.group,
+    this.ctx.log("failover complete", {
+      partition: this.group,
       token: this.token,
-      why,
+      reason: why,
       silent: [...(this.fence?.keys() ?? [])].slice(0, 10),
       afterMs: Math.round(this.ctx.nowMs - this.sinceMs),
     });
@@ -383,7 +383,7 @@
     if (this.fenceLacksList) this.fenceListed(machines);
     for (const id of [...(this.fence?.keys() ?? [])]) {
       if (machines.has(id) || this.workers.has(id)) continue;
-      this.ctx.log("info", "machine of the former master is gone", {
+      this.ctx.log("machine of former leader is gone", {
         worker: id,
       });
       this.forgetMachine(id);
@@ -405,8 +405,8 @@
       this.fence!.set(id, machine.type);
       added++;
     }
-    this.ctx.log("info", "takeover waits for machines that the roster lacks", {
-      group: this.group,
+    this.ctx.log("failover waits for machines missing from the registry", {
+      partition: this.group,
       machines: added,
     });
     if (this.fence!.size === 0) this.liftFence("every machine has reported");
@@ -432,7 +432,7 @@
       )
         continue;
       w.lost = true;
-      this.ctx.log("info", "worker is silent past its lease", {
+      this.ctx.log("worker lease expired", {
         worker: w.id,
         tasks: w.tasks.size,
       });
--- a/src/coordination/limits/sharing.ts
+++ b/src/coordination/limits/sharing.ts
@@ -330,17 +330,17 @@
       change: new Handover(base, plan.writes),
     };
     for (const g of plan.given)
-      this.ctx.log("info", "giving part of a team's limit to another group", {
+      this.ctx.log("transferring quota to another partition", {
         team: g.team,
         to: g.to,
         cpus: g.give[0],
         gpus: g.give[1],
       });
     for (const team of plan.caps)
-      this.ctx.log("info", "writing a team's limit", { team, agreed });
+      this.ctx.log("writing team quota", { team, agreed });
     for (const group of plan.gone)
-      this.ctx.log("info", "parts of a group that is gone come back", {
-        group,
+      this.ctx.log("reclaiming quota of removed partition", {
+        partition: group,
       });
     this.send();
   }
--- a/src/coordination/limits/shortfall.ts
+++ b/src/coordination/limits/shortfall.ts
@@ -70,13 +70,13 @@
             : givers.length > 0
               ? "others are beyond theirs and are being stopped, or what they run here makes no room for it"
               : "nothing more is to be rented and nobody is beyond a guarantee";
-      this.ctx.log("info", "a guarantee is not met", {
+      this.ctx.log("guarantee not met", {
         team: spec.team,
-        group: this.own.group,
+        partition: this.own.group,
         job: spec.id,
-        waitsS: Math.round((this.ctx.wallMs - readyAt) / 1000),
-        lacksCpus: Number.isFinite(lacks[0]) ? Math.round(lacks[0]) : null,
-        why,
+        waitingS: Math.round((this.ctx.wallMs - readyAt) / 1000),
+        missingCpus: Number.isFinite(lacks[0]) ? Math.round(lacks[0]) : null,
+        reason: why,
       });
     }
   }
--- a/src/coordination/master.ts
+++ b/src/coordination/master.ts
@@ -143,9 +143,9 @@
     ) {
       // Names are not given twice, and a machine does not change: whoever sent this, nothing is learnt from it.
       this.contradictions.warn(
-        "report contradicts what is known of its machine",
+        "heartbeat contradicts known machine",
         r.worker,
-        { had: w.kind, says: offer(r.type, r.zone, r.spot) },
+        { known: w.kind, received: offer(r.type, r.zone, r.spot) },
       );
       return {
         is: "later",
@@ -164,11 +164,11 @@
     if (w ? this.receipts.isLate(w, r) : this.fleet.isGone(r.worker)) {
       // A late message: its list is as old as itself, and the worker doesn't wait for the answer any more.
       this.lateReports++;
-      this.ctx.log("debug", "late report", {
+      this.ctx.log("stale heartbeat ignored", {
         worker: r.worker,
-        session: r.session,
-        tally: r.tally,
-        had: w ? [w.session, w.tally, w.token] : "gone",
+        incarnation: r.session,
+        sequence: r.tally,
+        known: w ? [w.session, w.tally, w.token] : "gone",
         lost: w?.lost,
       });
       if (w && this.receipts.mayAsk(w)) this.inspect(w);
@@ -185,12 +185,12 @@
     this.receipts.note(w, r, rose);
     if (rose) this.newSession(w, r.session);
     if (r.token > this.token)
-      this.ctx.log("warn", "worker has seen a higher token", {
+      this.ctx.log("worker has seen a higher fencing token", {
         worker: w.id,
         token: r.token,
-        mine: this.token,
-        tally: r.tally,
-        session: r.session,
+        ownToken: this.token,
+        sequence: r.tally,
+        incarnation: r.session,
       });
     w.tally = r.tally;
     w.token = Math.max(w.token, r.token);
@@ -200,9 +200,9 @@
     w.heardMs = now;
     if (wasLost) {
       w.lost = false;
-      this.ctx.log("info", "worker is back", {
+      this.ctx.log("worker returned after lease expiry", {
         worker: w.id,
-        session: r.session,
+        incarnation: r.session,
       });
     }
     if (!w.type) {
@@ -299,14 +299,14 @@
       )
         return;
       if (!this.receipts.isLate(w, r)) return;
-      this.ctx.log("info", "machine has begun anew", {
+      this.ctx.log("machine restarted", {
         worker: w.id,
-        had: [w.session, w.tally],
+        known: [w.session, w.tally],
         now: [r.session, r.tally],
         tasks: w.tasks.size,
       });
       this.receipts.beganAnew(w);
-      this.own.releaseAll(w, "machine has begun anew");
+      this.own.releaseAll(w, "machine restarted");
       w.openStarts.clear();
       w.images.clear();
       Object.assign(w, {
@@ -327,7 +327,7 @@
 
   /** A new session: the worker has killed and forgotten all its tasks, and takes no older message any more. */
   private newSession(w: Worker, session: number): void {
-    this.own.releaseAll(w, "new session");
+    this.own.releaseAll(w, "new incarnation");
     w.session = session;
     w.tally = -1;
     w.openStarts.clear();
--- a/src/coordination/moves.ts
+++ b/src/coordination/moves.ts
@@ -252,7 +252,7 @@
     if (bytesOf(value) > this.ctx.settings.state.valueBytes) return;
     job.moving = { tasks, change: new Handover(job.view.version, value) };
     job.waiting.removeAll(tasks);
-    this.ctx.log("info", "moving waiting tasks to an idle group", {
+    this.ctx.log("rebalancing waiting tasks", {
       job: job.id,
       tasks: tasks.size,
       to,
--- a/src/coordination/orphans.ts
+++ b/src/coordination/orphans.ts
@@ -66,7 +66,7 @@
     const value = writeJob({ ...job, split: next });
     if (bytesOf(value) > this.ctx.settings.state.valueBytes) return;
     this.busy.add(job.id);
-    this.ctx.log("info", "tasks of a group that is gone go to another", {
+    this.ctx.log("reassigning tasks of removed partition", {
       job: job.id,
       tasks: rest.size,
       from: group,
--- a/src/coordination/ownership.ts
+++ b/src/coordination/ownership.ts
@@ -98,18 +98,15 @@
     if (this.hold === null || permitted === this.hadPermit) return;
     this.hadPermit = permitted;
     const { nowMs } = this.ctx;
-    if (permitted) this.ctx.log("info", "permit is there", { hold: this.hold });
+    if (permitted)
+      this.ctx.log("leadership lease acquired", { storeLease: this.hold });
     else
-      this.ctx.log(
-        "warn",
-        "permit ended: workers are not answered until the state service is",
-        {
-          touchAgeMs: Math.round(nowMs - this.touchedMs),
-          readAgeMs: Math.round(nowMs - this.readMs),
-          ttlMs: this.ttlMs,
-          hold: this.hold,
-        },
-      );
+      this.ctx.log("leadership lease expired", {
+        renewalAgeMs: Math.round(nowMs - this.touchedMs),
+        readAgeMs: Math.round(nowMs - this.readMs),
+        ttlMs: this.ttlMs,
+        storeLease: this.hold,
+      });
   }
   private hadPermit = false;
 
@@ -148,8 +145,8 @@
     if (hold !== this.hold) return;
     this.hold = null;
     this.touchAgainMs = 0;
-    this.ctx.log("warn", "hold ended; groups are lost until taken again", {
-      hold,
+    this.ctx.log("store lease expired", {
+      storeLease: hold,
     });
     this.lostHold();
     this.keepHold();
@@ -205,7 +202,7 @@
     if (this.ctx.nowMs - (this.claimMs.get(group) ?? -Infinity) < CLAIM_GAP_MS)
       return;
     this.claimMs.set(group, this.ctx.nowMs);
-    this.ctx.log("info", "asking for a group", { group, token });
+    this.ctx.log("leadership bid placed", { partition: group, token });
     this.ctx.commit(
       [{ key: groupKey(group), version: token }],
       [
@@ -231,7 +228,11 @@
       )
         continue;
       if (c.by !== group && !this.deaf(group)) continue;
-      this.ctx.log("info", "handing group over", { group, token, to: c.by });
+      this.ctx.log("transferring leadership", {
+        partition: group,
+        token,
+        to: c.by,
+      });
       this.ceding.set(group, token);
       this.changed();
     }
--- a/src/coordination/placing.ts
+++ b/src/coordination/placing.ts
@@ -230,7 +230,7 @@
       job.active.set(index, t);
       this.own.ledger.put(t);
       w.idleSinceMs = null;
-      this.ctx.log("debug", "starting task", {
+      this.ctx.log("starting task", {
         task: taskKey(job.id, index),
         attempt,
         worker: w.id,
--- a/src/coordination/preemption.ts
+++ b/src/coordination/preemption.ts
@@ -281,7 +281,7 @@
       const still = victims.filter(
         (t) => !t.stop && t.job.active.get(t.index) === t,
       );
-      this.ctx.log("info", "stopping tasks for a job that comes first", {
+      this.ctx.log("preempting tasks", {
         job: job.id,
         team: spec.team,
         workers: [...new Set(still.map((t) => t.worker.id))],
--- a/src/coordination/rate-limited-log.ts
+++ b/src/coordination/rate-limited-log.ts
@@ -1,26 +1,35 @@
-import type { Context } from "./context.js";
+import type {
+  EventLog,
+  LogEventFields,
+  RateLimitedEvent,
+  RateLimitedFields,
+} from "../logging/events.js";
 
 const GAP_MS = 60_000;
 const MOST = 500;
 
-/** Log lines about what contradicts itself or what is known to be newer: each subject once a minute at most, with how often it was seen. */
+/** Logs each event of a subject once a minute at most, with the number of its occurrences. */
 export class RateLimitedLog {
   private readonly seen = new Map<string, { atMs: number; times: number }>();
 
-  constructor(private readonly ctx: Pick<Context, "nowMs" | "log">) {}
+  constructor(private readonly ctx: EventLog & { readonly nowMs: number }) {}
 
-  /** `of`: the key or the machine's name. */
-  warn(msg: string, of: string, fields: Record<string, unknown> = {}): void {
-    const subject = `${msg}/${of}`;
-    const s = this.seen.get(subject) ?? { atMs: -Infinity, times: 0 };
+  warn<E extends RateLimitedEvent>(
+    event: E,
+    subject: string,
+    details: Omit<LogEventFields[E], keyof RateLimitedFields>,
+  ): void {
+    const key = `${event}/${subject}`;
+    const s = this.seen.get(key) ?? { atMs: -Infinity, times: 0 };
     s.times++;
     if (this.ctx.nowMs - s.atMs >= GAP_MS) {
-      this.ctx.log("warn", msg, { of, ...fields, times: s.times });
+      const fields = { subject, ...details, occurrences: s.times };
+      this.ctx.log(event, fields as unknown as LogEventFields[E]);
       s.atMs = this.ctx.nowMs;
       s.times = 0;
-      this.seen.delete(subject);
+      this.seen.delete(key);
     }
-    this.seen.set(subject, s);
+    this.seen.set(key, s);
     if (this.seen.size > MOST) this.seen.delete(this.seen.keys().next().value!);
   }
 }
--- a/src/coordination/receipt.ts
+++ b/src/coordination/receipt.ts
@@ -167,10 +167,10 @@
     if (c.deafMs !== null) return;
     c.deafMs = this.ctx.nowMs;
     c.deafTimes++;
-    this.ctx.log("warn", "machine does not receive", {
+    this.ctx.log("machine unreachable", {
       worker: w.id,
-      why,
-      times: c.deafTimes,
+      reason: why,
+      occurrences: c.deafTimes,
       tasks: w.tasks.size,
     });
   }
@@ -180,9 +180,9 @@
     c.proven = true;
     c.missed = 0;
     if (c.deafMs === null) return;
-    this.ctx.log("info", "machine receives again", {
+    this.ctx.log("machine reachable again", {
       worker: w.id,
-      why,
+      reason: why,
       afterMs: Math.round(this.ctx.nowMs - c.deafMs),
     });
     c.deafMs = null;
--- a/src/coordination/reconciliation.ts
+++ b/src/coordination/reconciliation.ts
@@ -109,7 +109,7 @@
   ): void {
     const now = this.ctx.nowMs;
     if (task.phase !== state) {
-      this.ctx.log("debug", "task phase", {
+      this.ctx.log("task phase changed", {
         task: taskKey(task.job.id, task.index),
         worker: worker.id,
         from: task.phase,
@@ -219,7 +219,7 @@
   }
 
   private lostTask(task: TaskRun): void {
-    this.ctx.log("info", "task vanished from its machine", {
+    this.ctx.log("task missing from its worker", {
       task: taskKey(task.job.id, task.index),
       worker: task.worker.id,
     });
@@ -228,11 +228,11 @@
 
   private exited(task: TaskRun, cause: Cause | null, saved: boolean): void {
     const { job, worker } = task;
-    this.ctx.log("debug", "task ended", {
+    this.ctx.log("task ended", {
       task: taskKey(job.id, task.index),
       worker: worker.id,
       cause,
-      saved,
+      checkpointed: saved,
     });
     if (cause === "done" && !job.gone && job.view.spec.shape !== "daemon")
       this.finishing.finish(job, task.index);
--- a/src/coordination/renting.ts
+++ b/src/coordination/renting.ts
@@ -176,7 +176,7 @@
         retryMs: 0,
       };
       this.rentals.push(r);
-      this.ctx.log("info", "renting machines", { request, ...next });
+      this.ctx.log("scaling out", { rentalRequestId: request, ...next });
     }
     if (r.sent || this.ctx.nowMs < r.retryMs) return;
     const rental = r;
@@ -212,12 +212,12 @@
         if (got.length > 0) this.ceilings.delete(offer(type, zone, spot));
         if (got.length < count) {
           this.noteEmpty(rental);
-          this.ctx.log("info", "cloud has no more machines", {
+          this.ctx.log("cloud capacity exhausted", {
             type,
             zone,
             spot,
-            asked: count,
-            got: got.length,
+            requested: count,
+            granted: got.length,
           });
         }
         this.planMs = -Infinity;
--- a/src/coordination/roster.ts
+++ b/src/coordination/roster.ts
@@ -163,8 +163,8 @@
       parts.add(to);
       last = to;
     }
-    this.ctx.log("info", "dividing a roster record that became too large", {
-      group: this.group,
+    this.ctx.log("splitting oversized registry record", {
+      partition: this.group,
       chunk,
       parts: [...parts],
     });
--- a/src/coordination/state-reader.ts
+++ b/src/coordination/state-reader.ts
@@ -79,14 +79,10 @@
       const newer =
         r.is === "items" ? r.items.find((i) => i.version > r.epoch) : undefined;
       if (r.is === "items" && newer)
-        this.contradictions.warn(
-          "state service contradicts itself",
-          newer.key,
-          {
-            stamp: newer.version,
-            epoch: r.epoch,
-          },
-        );
+        this.contradictions.warn("inconsistent store response", newer.key, {
+          itemRevision: newer.version,
+          storeRevision: r.epoch,
+        });
       if (r.is !== "items" || newer) {
         this.loading = false;
         this.nextWatchMs = this.ctx.nowMs + 300;
@@ -141,9 +137,13 @@
             : undefined;
         if (r.is === "changes" && (newer || r.epoch < since)) {
           this.contradictions.warn(
-            "state service contradicts itself",
+            "inconsistent store response",
             newer?.key ?? ROOT,
-            { stamp: newer?.version, epoch: r.epoch, since },
+            {
+              itemRevision: newer?.version,
+              storeRevision: r.epoch,
+              sinceRevision: since,
+            },
           );
           this.noteState(false);
           return done(false);
@@ -156,10 +156,7 @@
           done(true);
         } else {
           if (r.is === "gone") {
-            this.ctx.log(
-              "warn",
-              "watch fell too far behind; reading everything again",
-            );
+            this.ctx.log("store watch fell behind, reading all records", {});
             if (!this.loading) this.load();
           } else this.noteState(false);
           done(false);
@@ -172,10 +169,12 @@
     if (up === !this.stateDown) return;
     if (!up && this.ownership.staleMs < 3_000) return;
     this.stateDown = !up;
-    if (up) this.ctx.log("info", "state service answers again");
+    if (up) this.ctx.log("store available again", {});
     else
-      this.ctx.log("warn", "state service does not answer", {
-        permitLeftMs: Math.round(this.ownership.permitUntilMs - this.ctx.nowMs),
+      this.ctx.log("store unavailable", {
+        leadershipLeaseRemainingMs: Math.round(
+          this.ownership.permitUntilMs - this.ctx.nowMs,
+        ),
       });
   }
 
--- a/src/coordination/users.ts
+++ b/src/coordination/users.ts
@@ -68,10 +68,9 @@
     if (short === this.short) return;
     this.short = short;
     this.ctx.log(
-      short ? "warn" : "info",
       short
-        ? "memory is short: new jobs are refused"
-        : "memory is there again: new jobs are accepted",
+        ? "memory low, new jobs rejected"
+        : "memory recovered, new jobs accepted",
       { jobs: this.ctx.mirror.jobs.size },
     );
   }
@@ -316,12 +315,12 @@
           id: spec.id,
           state: "queued",
         });
-        this.ctx.log("debug", "job accepted", {
+        this.ctx.log("job accepted", {
           job: spec.id,
           class: spec.class,
           tasks: spec.tasks,
-          awaits,
-          split: [...split].map(([g, r]) => [g, r.size]),
+          dependsOn: awaits,
+          assignment: [...split].map(([g, r]) => [g, r.size]),
         });
         this.reader.watchSoon();
       },
--- a/src/daemon.ts
+++ b/src/daemon.ts
@@ -11,8 +11,8 @@
   CloudReply,
   Effect,
   Input,
-  Level,
 } from "./coordination/effects.js";
+import { type LogEntry, type LogEvent, logEntry } from "./logging/events.js";
 import type { Tuning } from "./coordination/model.js";
 import { StateClient } from "./storage/client.js";
 import { CloudClient } from "./transport/cloud.js";
@@ -46,7 +46,7 @@
   seen?(e: Extract<Effect, { do: "seen" }>): void;
   tick?(): void;
   /** A line of the log, whether it is written or not. */
-  logged?(msg: string): void;
+  logged?(event: LogEvent): void;
   /** A call ended. `waitedMs`: for this controller's own limit. */
   called?(
     service: "state" | "cloud",
@@ -106,7 +106,7 @@
     get nowMs() {
       return performance.now();
     },
-    log: (level, msg, fields = {}) => this.write(level, fields, msg),
+    log: (event, fields) => this.write(logEntry(event, fields)),
   });
 
   /** Before `run`. */
@@ -126,8 +126,12 @@
   async callForExtra(call: StateCall, urgent: number): Promise<StateReply> {
     return (await this.callState(call, urgent)).reply;
   }
-  write(level: Level, fields: Record<string, unknown>, msg: string): void {
-    for (const x of this.extras) x.logged?.(msg);
+  /** Writes a line that the metrics count. */
+  write(entry: LogEntry): void {
+    for (const x of this.extras) x.logged?.(entry.msg);
+    this.writeUncounted(entry);
+  }
+  private writeUncounted({ level, msg, fields }: LogEntry): void {
     this.log[level](fields, msg);
   }
   private async callState(
@@ -169,9 +173,11 @@
       ),
       this.settings,
     );
-    this.log.info(
-      { area: this.settings.area, groups: this.core.groups.names },
-      "controller started",
+    this.writeUncounted(
+      logEntry("controller started", {
+        area: this.settings.area,
+        partitions: this.core.groups.names,
+      }),
     );
     this.feed({ is: "tick" });
     setInterval(() => this.tick(), TICK_MS);
@@ -202,7 +208,9 @@
   private tick(): void {
     const up = this.mesh.up();
     if (up.join() !== this.up) {
-      this.log.info({ up }, "peers in touch changed");
+      this.writeUncounted(
+        logEntry("reachable peers changed", { reachable: up }),
+      );
       this.up = up.join();
       this.feed({ is: "peers", up });
     }
@@ -250,15 +258,18 @@
     return this.core.ready;
   }
 
-  malformed(what: string, error: string): void {
-    this.odd.warn(`malformed ${what}`, error);
+  malformed(error: string): void {
+    this.odd.warn("malformed heartbeat", error, {});
   }
 
   fault(error: Error): void {
     this.faults++;
-    this.log.error(
-      { err: error, stack: error.stack, faults: this.faults },
-      "fault while serving a request",
+    this.writeUncounted(
+      logEntry("internal error while serving a request", {
+        err: error,
+        stack: error.stack,
+        faults: this.faults,
+      }),
     );
   }
 
@@ -291,13 +302,11 @@
     if (now - this.toldWithheldMs > WITHHELD_LOG_MS) {
       this.toldWithheldMs = now;
       this.write(
-        "warn",
-        {
+        logEntry("message withheld after leadership lease expiry", {
           what: e.do,
           withheld: this.withheld,
-          permitEndedMs: Math.round(now - this.core.permit.untilMs),
-        },
-        "not sent, for its permit ended before it could leave",
+          leadershipLeaseExpiredMs: Math.round(now - this.core.permit.untilMs),
+        }),
       );
     }
     if (e.do === "answer")
@@ -345,7 +354,7 @@
         setTimeout(() => this.feed({ is: "wake" }), e.afterMs);
         break;
       case "log":
-        this.write(e.level, e.fields, e.msg);
+        this.write(e);
         break;
     }
   }
--- a/src/extras.ts
+++ b/src/extras.ts
@@ -28,7 +28,7 @@
     {
       state: (call, urgent) => daemon.callForExtra(call, urgent),
       permit: () => daemon.permit,
-      log: (level, fields, msg) => daemon.write(level, fields, msg),
+      log: (entry) => daemon.write(entry),
       settled: (outcome, tookMs) => metrics?.hookSettled(outcome, tookMs),
       attempted: (outcome, tookMs) => metrics?.hookAttempted(outcome, tookMs),
     },
--- a/src/hooks/core.ts
+++ b/src/hooks/core.ts
@@ -1,3 +1,9 @@
+import {
+  type LogEntry,
+  type LogEvent,
+  type LogEventFields,
+  logEntry,
+} from "../logging/events.js";
 import type {
   Change,
   Condition,
@@ -57,12 +63,7 @@
       attempts: number;
       /** From the end of the job, ms by time of day. */ tookMs: number;
     }
-  | {
-      do: "log";
-      level: "error" | "warn" | "info" | "debug";
-      msg: string;
-      fields: Record<string, unknown>;
-    };
+  | ({ do: "log" } & LogEntry);
 
 export interface HookLimits extends DeliveryLimits {
   /** Changes a second that hooks may make, and how many at once. */
@@ -237,9 +238,9 @@
     const attempt = ++this.attempts;
     this.flights.set(attempt, d);
     this.out.push({ do: "attempt", attempt, hook: d.name, launch });
-    this.log("debug", "hook's attempt", {
-      hook: d.name,
-      id: launch.end.id,
+    this.log("webhook delivery attempt", {
+      webhook: d.name,
+      job: launch.end.id,
       attempt: launch.attempt,
       reason: launch.reason,
     });
@@ -264,18 +265,14 @@
       tookMs: Math.max(0, this.wallMs - o.end.at),
     });
     if (o.outcome === "dead")
-      this.log("warn", "hook's notification given up", {
-        hook,
-        id: o.end.id,
+      this.log("webhook notification given up", {
+        webhook: hook,
+        job: o.end.id,
         attempts: o.attempts,
       });
   }
-  log(
-    level: "error" | "warn" | "info" | "debug",
-    msg: string,
-    fields: Record<string, unknown> = {},
-  ): void {
-    this.out.push({ do: "log", level, msg, fields });
+  log<E extends LogEvent>(event: E, fields: LogEventFields[E]): void {
+    this.out.push({ do: "log", ...logEntry(event, fields) });
   }
   ended(name: string): void {
     const s = this.subs.get(name);
@@ -288,7 +285,7 @@
       this.writing.has(`sub ${name}`)
     )
       return;
-    this.log("warn", "hook's receiver is gone for good", { hook: name });
+    this.log("webhook receiver is gone", { webhook: name });
     this.put(
       `sub ${name}`,
       [
@@ -311,11 +308,9 @@
     const { unnamed } = this.tail;
     this.tail.push(from, to, changes);
     if (this.tail.unnamed > unnamed)
-      this.log(
-        "warn",
-        "jobs ended on a controller without hooks; nobody is told of them",
-        { jobs: this.tail.unnamed - unnamed },
-      );
+      this.log("jobs ended without webhook notification", {
+        jobs: this.tail.unnamed - unnamed,
+      });
     if (this.listing) {
       this.backlog.push({ from, to, changes });
       return;
--- a/src/hooks/delivery.ts
+++ b/src/hooks/delivery.ts
@@ -1,3 +1,4 @@
+import type { EventLog } from "../logging/events.js";
 import type {
   Condition,
   Item,
@@ -70,7 +71,7 @@
 }
 
 /** What a delivery needs of its core. */
-export interface Host {
+export interface Host extends EventLog {
   readonly nowMs: number;
   readonly wallMs: number;
   readonly limits: DeliveryLimits;
@@ -90,11 +91,6 @@
     name: string,
     o: { outcome: "delivered" | "dead"; end: Ending; attempts: number },
   ): void;
-  log(
-    level: "error" | "warn" | "info" | "debug",
-    msg: string,
-    fields?: Record<string, unknown>,
-  ): void;
 }
 
 interface Entry extends Owed {
@@ -331,11 +327,10 @@
    * are owed; the record says how far that has come, so that nothing is found twice.
    */
   private startListing(): void {
-    this.host.log(
-      "warn",
-      "hook is too far behind the log; reading all final records",
-      { hook: this.name, since: this.pos.version },
-    );
+    this.host.log("webhook fell behind, reading all final records", {
+      webhook: this.name,
+      sinceRevision: this.pos.version,
+    });
     this.reading = true;
     this.host.state({ op: "list", prefix: PAST, after: `${PAST}~` }, (r) => {
       this.reading = false;
@@ -436,8 +431,8 @@
       if (this.stopped || r.is !== "item") return;
       const b = r.item ? readBatch(r.item.value) : null;
       if (!b)
-        this.host.log("error", "hook's batch can't be read", {
-          hook: this.name,
+        this.host.log("unreadable webhook outbox batch", {
+          webhook: this.name,
           batch: first,
         });
       if (this.rec.spool.first === first)
@@ -862,8 +857,8 @@
           this.busy = false;
         } else {
           this.foreign = true;
-          this.host.log("info", "hook's record is another's", {
-            hook: this.name,
+          this.host.log("webhook record belongs to another controller", {
+            webhook: this.name,
             key,
           });
         }
--- a/src/hooks/index.ts
+++ b/src/hooks/index.ts
@@ -5,6 +5,7 @@
 import type { HooksFile } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
 import type { Effect } from "../coordination/effects.js";
+import type { LogEntry } from "../logging/events.js";
 import type { StateCall, StateReply } from "../protocol/state.js";
 import { HookCore, type HookEffect, type HookInput } from "./core.js";
 import { hookRoutes } from "./http.js";
@@ -19,11 +20,7 @@
   /** A call to the state service, within this controller's limits. */
   state(call: StateCall, urgent: number): Promise<StateReply>;
   permit(): { hold: number | null; untilMs: number };
-  log(
-    level: "error" | "warn" | "info" | "debug",
-    fields: Record<string, unknown>,
-    msg: string,
-  ): void;
+  log(entry: LogEntry): void;
   /** For metrics. */
   settled(outcome: "delivered" | "dead", tookMs: number): void;
   attempted(outcome: string, tookMs: number): void;
@@ -132,7 +129,7 @@
         this.host.settled(e.outcome, e.tookMs);
         break;
       case "log":
-        this.host.log(e.level, e.fields, e.msg);
+        this.host.log(e);
         break;
     }
   }
--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -1,4 +1,5 @@
 /** The door of metrics: GET /metrics in the Prometheus text format, for the whole service. Loaded only when turned on. */
+import { type LogEvent, metricLabel } from "../logging/events.js";
 import { Hono } from "hono";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Controller, TeamFigures } from "../coordination/controller.js";
@@ -255,8 +256,8 @@
     });
   }
 
-  logged(msg: string): void {
-    this.events.inc({ event: msg });
+  logged(event: LogEvent): void {
+    this.events.inc({ event: metricLabel(event) });
   }
   called(
     service: "state" | "cloud",
--- a/src/transport/server.ts
+++ b/src/transport/server.ts
@@ -27,7 +27,7 @@
     body: string,
   ): Promise<{ status: number; body: string } | null>;
   /** Somebody sent what can't be read. */
-  malformed(what: string, error: string): void;
+  malformed(error: string): void;
   /** A defect of the program met a request. */
   fault(error: Error): void;
 }
@@ -121,7 +121,7 @@
     const text = await c.req.text();
     const r = parseReport(text);
     if (!r.ok) {
-      core.malformed("report", r.error);
+      core.malformed(r.error);
       return bad(r.error);
     }
     const answer = await core.ask((req) => ({
--- a/test/awaiting.test.ts
+++ b/test/awaiting.test.ts
@@ -485,7 +485,9 @@
       `seed ${seed}`,
     );
     ends.add(
-      w.logs.some((l) => l.includes("job released") && l.includes(spec.id))
+      w.logs.some(
+        (l) => l.includes("job dependencies satisfied") && l.includes(spec.id),
+      )
         ? "released first"
         : "cancelled first",
     );
--- a/test/contradictions.test.ts
+++ b/test/contradictions.test.ts
@@ -43,13 +43,13 @@
     );
     assert.equal(core.mirror.epoch, had);
     assert.equal(
-      lines(w, "state service contradicts itself").length,
+      lines(w, "inconsistent store response").length,
       1,
       describeDay(w),
     );
     w.run(75_000);
     assert.equal(
-      lines(w, "state service contradicts itself").length,
+      lines(w, "inconsistent store response").length,
       2,
       "once a minute",
     );
@@ -83,8 +83,8 @@
   const { mirror } = w.nodes.get("node-a")!.core;
   assert.equal(mirror.rooms.has("node-z"), false);
   assert.equal(mirror.claims.get("node-z")?.by, "node-b");
-  assert.equal(lines(w, "record can't be read").length, 1);
-  assert.match(lines(w, "record can't be read")[0]!, /lc\/now\/room\/node-z/);
+  assert.equal(lines(w, "unreadable record").length, 1);
+  assert.match(lines(w, "unreadable record")[0]!, /lc\/now\/room\/node-z/);
 });
 
 test("a report that says another type, zone or kind of a known machine is not taken, and told of once a minute", () => {
@@ -105,7 +105,7 @@
     [known.tally >= 90_000, known.zone, known.typeName],
     [false, before[1], before[2]],
   );
-  assert.equal(lines(w, "report contradicts").length, 1);
+  assert.equal(lines(w, "heartbeat contradicts").length, 1);
   w.run(20_000);
   assert.equal(known.lost, false, "its own reports count on");
 });
--- a/test/hooks/processes.ts
+++ b/test/hooks/processes.ts
@@ -187,8 +187,8 @@
   readonly has = new Map<string, number>();
   /** What the controllers' logs say of attempts. */
   readonly logged: {
-    hook: string;
-    id: string;
+    webhook: string;
+    job: string;
     attempt: number;
     reason: string | null;
   }[] = [];
@@ -388,7 +388,7 @@
     node.child = child;
     createInterface({ input: child.stderr! }).on("line", (line) => {
       if (!line.startsWith("{")) return void this.logErrors.push(line);
-      if (line.includes('"hook\'s attempt"'))
+      if (line.includes('"webhook delivery attempt"'))
         this.logged.push(JSON.parse(line) as never);
       else if (line.includes('"level":50')) this.logErrors.push(line);
     });
@@ -518,7 +518,7 @@
       if (!owed.has(id)) wrong.push(`${id}: not owed`);
     const seen = new Map<string, Call>();
     const log = new Map(
-      this.logged.map((l) => [`${l.hook}.${l.id} ${l.attempt}`, l]),
+      this.logged.map((l) => [`${l.webhook}.${l.job} ${l.attempt}`, l]),
     );
     for (const c of this.calls) {
       const before = seen.get(c.id);
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -517,14 +517,14 @@
       w.checker.broken,
       [],
       `seed ${seed}: ${w.checker.broken.join()}\n${w.logs
-        .filter((l) => /limit|group/.test(l))
+        .filter((l) => /quota|partition/.test(l))
         .slice(-25)
         .join("\n")}`,
     );
     assert.ok(
       most > 45,
       `seed ${seed}: only ${most} of 50 used after it was raised\n${w.logs
-        .filter((l) => /limit|group/.test(l))
+        .filter((l) => /quota|partition/.test(l))
         .slice(-25)
         .join("\n")}`,
     );
@@ -568,7 +568,9 @@
   look();
   w.run(60_000);
   assert.equal(part("node-c"), 0);
-  const at = w.logs.find((l) => l.includes("gone come back"))!;
+  const at = w.logs.find((l) =>
+    l.includes("reclaiming quota of removed partition"),
+  )!;
   assert.ok(
     Number(at.split(" ")[0]) * 1000 > goneMs + w.settings.leaseS * 1000,
     `${at}, gone ${goneMs}`,
@@ -634,7 +636,7 @@
 }
 const stopped = (w: World): number =>
   w.logs
-    .filter((l) => l.includes("stopping tasks for a job"))
+    .filter((l) => l.includes("preempting tasks"))
     .reduce((n, l) => n + 4 * Number(/"tasks":(\d+)/.exec(l)![1]), 0);
 const running = (w: World, t: string): number =>
   w.workers.reduce(
@@ -737,7 +739,7 @@
   assert.equal(
     running(w, "red"),
     28,
-    w.logs.filter((l) => /limit|group/.test(l)).join("\n"),
+    w.logs.filter((l) => /quota|partition/.test(l)).join("\n"),
   );
 });
 
@@ -917,7 +919,7 @@
   w.run(60_000);
   assert.deepEqual(w.checker.broken, []);
   const given = w.logs.filter(
-    (l) => l.includes("giving part") && Number(l.split(" ")[0]) > 25,
+    (l) => l.includes("transferring quota") && Number(l.split(" ")[0]) > 25,
   );
   assert.ok(
     given.length < 8,
@@ -953,7 +955,9 @@
     w.logs
       .flatMap(
         (l) =>
-          /task phase .*"task":"([^"]*)".*"to":"running"/.exec(l)?.[1] ?? [],
+          /task phase changed .*"task":"([^"]*)".*"to":"running"/.exec(
+            l,
+          )?.[1] ?? [],
       )
       .filter((t) => t.startsWith(`${other}/`)),
   );
@@ -987,7 +991,9 @@
   w.run(140_000);
   assert.deepEqual(w.checker.broken, []);
   assert.ok(
-    w.logs.some((l) => l.includes("task phase") && l.includes(`"${array}/`)),
+    w.logs.some(
+      (l) => l.includes("task phase changed") && l.includes(`"${array}/`),
+    ),
     "it begins",
   );
 });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -138,8 +138,9 @@
   });
   w.run(10_000 + 3 * ttlMs);
   assert.ok(
-    w.logs.some((l) => /node-[bc] group taken .*"group":"node-a"/.test(l)) ||
-      w.checker.broken.length > 0,
+    w.logs.some((l) =>
+      /node-[bc] partition acquired .*"partition":"node-a"/.test(l),
+    ) || w.checker.broken.length > 0,
     "a peer takes the group",
   );
   return w;
@@ -147,12 +148,14 @@
 test("guard: the permit counts from the last touch as well as from the last read: no group has two masters", () => {
   const w = touchesHeld();
   assert.deepEqual(w.checker.broken, []);
-  const ended = w.logs.filter((l) => l.includes("node-a permit ended"));
+  const ended = w.logs.filter((l) =>
+    l.includes("node-a leadership lease expired"),
+  );
   assert.equal(ended.length, 1, "said once, with the age of each term");
-  const { touchAgeMs, readAgeMs, ttlMs } = JSON.parse(
+  const { renewalAgeMs, readAgeMs, ttlMs } = JSON.parse(
     ended[0]!.slice(ended[0]!.indexOf("{")),
   ) as Record<string, number>;
-  assert.ok(touchAgeMs! > ttlMs! - 500 && readAgeMs! < 6_000, ended[0]);
+  assert.ok(renewalAgeMs! > ttlMs! - 500 && readAgeMs! < 6_000, ended[0]);
   const on = permitBy((o) => o.readMs)();
   try {
     assert.match(touchesHeld().checker.broken.join(), /two_masters/);
@@ -440,7 +443,7 @@
   assert.equal(late.release(), "committed");
   w.run(w.now + 2_000);
   const lines = w.logs.filter((l) =>
-    l.includes("transaction without an answer was carried out"),
+    l.includes("indeterminate transaction was applied"),
   );
   assert.equal(lines.length, 1, lines.join("\n"));
   assert.match(lines[0]!, /lc\/now\/fin\/.*"afterMs":\d+/);
--- a/test/nights.test.ts
+++ b/test/nights.test.ts
@@ -23,8 +23,8 @@
     const open = w.checker.unfinished();
     assert.ok(open.length <= 2, `seed ${seed}: ${open.join()}`);
     starts += w.starts;
-    anew += w.logs.filter((l) => l.includes("machine has begun anew")).length;
-    deaf += w.logs.filter((l) => l.includes("machine does not receive")).length;
+    anew += w.logs.filter((l) => l.includes("machine restarted")).length;
+    deaf += w.logs.filter((l) => l.includes("machine unreachable")).length;
   }
   assert.ok(
     starts > 2_500 && anew > 20 && deaf > 20,
@@ -162,7 +162,7 @@
   w.run(130_000);
   for (const s of jobs) assert.ok(isDone(w, s), `${s.id}\n${describeDay(w)}`);
   assert.ok(
-    w.logs.some((l) => l.includes("machine receives again")),
+    w.logs.some((l) => l.includes("machine reachable again")),
     "they come back by the same evidence",
   );
 });
@@ -190,7 +190,7 @@
     0,
   );
   assert.equal(
-    w.logs.filter((l) => l.includes("job fails wherever it runs")).length,
+    w.logs.filter((l) => l.includes("job fails on every machine")).length,
     3,
     "each told of once",
   );
@@ -376,7 +376,7 @@
     w.run(120_000);
     assert.deepEqual(w.checker.broken, [], describeDay(w));
     assert.ok(
-      w.logs.some((l) => l.includes("tasks of a group that is gone")),
+      w.logs.some((l) => l.includes("reassigning tasks of removed partition")),
       "something was split to it",
     );
     for (const s of jobs)
--- a/test/receipts.test.ts
+++ b/test/receipts.test.ts
@@ -237,7 +237,7 @@
   const carriedOut = [...m.tasks.keys()];
   assert.equal(carriedOut.length, 1, "its new life has carried out a start");
   assert.equal(
-    w.logs.some((l) => l.includes("begun anew")),
+    w.logs.some((l) => l.includes("machine restarted")),
     false,
   );
   w.run(asked + 1_700);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -128,7 +128,7 @@
     const w = standingStill(seed);
     assert.deepEqual(w.checker.broken, [], report(w, seed));
     starts += w.starts;
-    ended += w.logs.filter((l) => l.includes("hold ended")).length;
+    ended += w.logs.filter((l) => l.includes("store lease expired")).length;
   }
   assert.ok(starts > 1_500, `only ${starts} starts`);
   assert.ok(
@@ -447,7 +447,7 @@
   }
   w.run(65_000);
   const given = (): number =>
-    w.logs.filter((l) => l.includes("giving part")).length;
+    w.logs.filter((l) => l.includes("transferring quota")).length;
   assert.ok(given() <= 40, `handed over ${given()} times`);
   w.capacity = 3;
   w.run(140_000);
@@ -687,10 +687,12 @@
   );
   w.run(5_200);
   assert.ok(
-    w.logs.some((l) => l.includes("hold ended")),
+    w.logs.some((l) => l.includes("store lease expired")),
     w.logs.join("\n"),
   );
-  assert.ok(!w.logs.some((l) => l.includes("refuses a transaction")));
+  assert.ok(
+    !w.logs.some((l) => l.includes("transaction rejected by the store")),
+  );
   w.run(7_000);
   assert.notEqual((ownership as unknown as { hold: number | null }).hold, hold);
   assert.ok(ownership.tokenOf("node-a") !== null, "it has its group again");
@@ -774,7 +776,7 @@
   w.run(70_000);
   assert.deepEqual(w.checker.broken, [], report(w, 11));
   const taken = w.logs.filter(
-    (l) => l.includes("takeover complete") && l.includes("node-a"),
+    (l) => l.includes("failover complete") && l.includes("node-a"),
   );
   assert.equal(taken.length, 2, taken.join("\n"));
   for (const l of taken) assert.match(l, /every machine has reported/);
@@ -828,7 +830,7 @@
   w.run(60_000);
   const line =
     w.logs.find(
-      (l) => l.includes("takeover complete") && Number(l.split(" ")[0]) > 26,
+      (l) => l.includes("failover complete") && Number(l.split(" ")[0]) > 26,
     ) ?? assert.fail("no takeover");
   return { w, afterMs: Number(/"afterMs":(\d+)/.exec(line)![1]) };
 }
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -476,7 +476,8 @@
       `${stages(w, "done").length} done, ${stages(w, "cancelled").length} cancelled`,
     );
     assert.equal(
-      w.logs.filter((l) => l.includes("refuses a transaction")).length,
+      w.logs.filter((l) => l.includes("transaction rejected by the store"))
+        .length,
       0,
       "nothing is over a limit",
     );
