--- a/src/coordination/gathering.ts
+++ b/src/coordination/gathering.ts
@@ -9,6 +9,7 @@
   placeAsked,
   suits,
 } from "./placement.js";
+import type { Due } from "./queues.js";
 import {
   freeOn,
   type JobRun,
@@ -35,16 +36,6 @@
 const STOPPING_S = 5;
 const MAX_CLASSES = 500;
 
-export type Due =
-  /** Its turn is as the queues say. */
-  | "no"
-  /** First of its urgency where all its places are free at this moment: nobody's machine stands idle for it. */
-  | "fit"
-  /** First of its urgency, and what comes free is kept for it: it has to gather its machines from now on. */
-  | "gang"
-  /** One task of it before everything else: nothing of it has begun, and that costs nobody more than that task's place. */
-  | "array";
-
 /**
  * Which jobs have to begin now so that none waits longer than `begin_within_s` for its first start. Small work passes large
  * work in the queues, so a gang of many machines never found them free together; holding freed room from the first moment
--- a/src/coordination/placing.ts
+++ b/src/coordination/placing.ts
@@ -3,7 +3,7 @@
 import { Urgent } from "./effects.js";
 import type { GroupState } from "./group-state.js";
 import { NO_USE, type Use } from "./ledger.js";
-import { type Due, Gathering } from "./gathering.js";
+import { Gathering } from "./gathering.js";
 import type { Guarantees, Sharing } from "./limits/index.js";
 import { type JobSpec, taskKey } from "./model.js";
 import { inParts, partStep } from "./parts.js";
@@ -17,7 +17,7 @@
   zoneCap,
 } from "./placement.js";
 import type { Preemption } from "./preemption.js";
-import { isLate, isShort, Round } from "./queues.js";
+import { type Due, isLate, isShort, Round } from "./queues.js";
 import {
   freeOn,
   type JobRun,
--- a/src/coordination/queues.ts
+++ b/src/coordination/queues.ts
@@ -1,4 +1,3 @@
-import type { Due } from "./gathering.js";
 import {
   type JobSpec,
   type Standing,
@@ -6,6 +5,17 @@
   URGENCIES,
 } from "./model.js";
 
+/** Whether a job has to begin now, and what it comes before for that: see `Gathering`. */
+export type Due =
+  /** Its turn is as the queues say. */
+  | "no"
+  /** First of its urgency where all its places are free at this moment: nobody's machine stands idle for it. */
+  | "fit"
+  /** First of its urgency, and what comes free is kept for it: it has to gather its machines from now on. */
+  | "gang"
+  /** One task of it before everything else: nothing of it has begun, and that costs nobody more than that task's place. */
+  | "array";
+
 /** What the queues need to know of a job that has waiting tasks in this group. */
 export interface Queued {
   spec: JobSpec;
--- a/src/coordination/receipt.ts
+++ b/src/coordination/receipt.ts
@@ -1,6 +1,6 @@
 import type { Context } from "./context.js";
 import type { Report } from "./model.js";
-import type { Worker } from "./tasks.js";
+import type { Receipt, Worker } from "./tasks.js";
 
 /** Reports in a row that contradict receipt before a machine gets nothing new; one answer may be lost on any network. */
 const MISSED = 2;
@@ -13,27 +13,6 @@
 const ASK_GAP_MS = 2_000;
 const PROBE_GAP_MS = 10_000;
 
-/** What a master knows of whether a machine gets its answers and commands, and of its life before. */
-export interface Receipt {
-  /** It has shown that it gets what this master sends, or was known to run for this group before. */
-  proven: boolean;
-  /** Since when it gets nothing, as far as its reports say; null: it does. */
-  deafMs: number | null;
-  /** Times that it was found deaf: the more, the longer it has to show the contrary. */
-  deafTimes: number;
-  /** Reports in a row that don't show what answers before them bore. */
-  missed: number;
-  /** When its present session was first seen. */
-  sessionMs: number;
-  /** When it was last asked by `inspect`, and whether that is on its way. */
-  askedMs: number;
-  asking: boolean;
-  /** It began anew: what its former life had reached at most, and until when late copies of it may come. */
-  former: { session: number; tally: number; untilMs: number } | null;
-  /** When the last command with starts that was sent straight to it ended. */
-  commandMs: number;
-}
-
 export const newReceipt = (proven: boolean, nowMs: number): Receipt => ({
   proven,
   deafMs: null,
--- a/src/coordination/tasks.ts
+++ b/src/coordination/tasks.ts
@@ -2,7 +2,6 @@
 import type { JobView } from "./mirror.js";
 import type { Cause, MachineType, TaskState } from "./model.js";
 import type { Amounts } from "./placement.js";
-import type { Receipt } from "./receipt.js";
 import { RangeSet } from "./ranges.js";
 
 /** One task on one machine, from the start order until the machine is known not to have it any more. */
@@ -68,6 +67,27 @@
   sinceMs: number;
 }
 
+/** What a master knows of whether a machine gets its answers and commands, and of its life before. */
+export interface Receipt {
+  /** It has shown that it gets what this master sends, or was known to run for this group before. */
+  proven: boolean;
+  /** Since when it gets nothing, as far as its reports say; null: it does. */
+  deafMs: number | null;
+  /** Times that it was found deaf: the more, the longer it has to show the contrary. */
+  deafTimes: number;
+  /** Reports in a row that don't show what answers before them bore. */
+  missed: number;
+  /** When its present session was first seen. */
+  sessionMs: number;
+  /** When it was last asked by `inspect`, and whether that is on its way. */
+  askedMs: number;
+  asking: boolean;
+  /** It began anew: what its former life had reached at most, and until when late copies of it may come. */
+  former: { session: number; tally: number; untilMs: number } | null;
+  /** When the last command with starts that was sent straight to it ended. */
+  commandMs: number;
+}
+
 export interface Worker {
   id: string;
   address: string;
