--- a/test/sim/checker.ts
+++ b/test/sim/checker.ts
@@ -1,9 +1,27 @@
+import type { Settings } from "../../src/config/settings.js";
 import type { Controller } from "../../src/coordination/controller.js";
 import type { Effect } from "../../src/coordination/effects.js";
 import type { JobSpec } from "../../src/coordination/model.js";
 import type { Write } from "../../src/protocol/state.js";
 import type { SimWorker } from "./machine.js";
-import type { World } from "./world.js";
+
+/** What the checker reads of the world that it watches; `World` says what each of them means. */
+export interface CheckedWorld {
+  readonly now: number;
+  readonly settings: Settings;
+  readonly teamLimits: Settings["teams"] | null;
+  readonly nextLimits: { readonly valueBytes: number; readonly txnOps: number };
+  readonly names: readonly string[];
+  readonly old: ReadonlySet<string>;
+  readonly nodes: ReadonlyMap<string, { readonly core: Controller } | null>;
+  readonly workers: readonly SimWorker[];
+  readonly specs: ReadonlyMap<string, JobSpec>;
+  readonly awaits: ReadonlyMap<string, readonly string[]>;
+  readonly results: ReadonlySet<string>;
+  readonly polled: ReadonlySet<string>;
+  starts: number;
+  clockOf(name: string): number;
+}
 
 /** PROTOCOL's rules, checked on what the workers really do and what users are really told. */
 export class Checker {
@@ -13,7 +31,7 @@
   readonly told = new Map<string, "accepted" | "done" | "cancelled">();
   private readonly cancelledMs = new Map<string, number>();
 
-  constructor(private readonly world: World) {}
+  constructor(private readonly world: CheckedWorld) {}
 
   fail(rule: string, what: string): void {
     this.broken.push(
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -1,7 +1,17 @@
 import type { CloudCall, CloudReply } from "../../src/coordination/effects.js";
 import type { MachineType } from "../../src/coordination/model.js";
-import { SimWorker } from "./machine.js";
-import type { World } from "./world.js";
+import { type MachineWorld, SimWorker } from "./machine.js";
+
+/** What the cloud's stand-in needs of the world around it. */
+export interface CloudWorld extends MachineWorld {
+  readonly workers: SimWorker[];
+  readonly types: MachineType[];
+  readonly cloudDown: boolean;
+  /** Machines of one type, zone and kind that can be rented at most. */
+  readonly capacity: number;
+  /** Machines boot so many times as slowly. */
+  readonly bootFactor: number;
+}
 
 /** A stand-in for the cloud: rents machines, takes them back and lists them with a lag. */
 export class Cloud {
@@ -9,7 +19,7 @@
   private readonly charters = new Map<string, string[]>();
   readonly rented = new Map<string, SimWorker>();
 
-  constructor(private readonly world: World) {}
+  constructor(private readonly world: CloudWorld) {}
 
   add(
     type: MachineType,
--- a/test/sim/machine.ts
+++ b/test/sim/machine.ts
@@ -1,4 +1,5 @@
-import type { CommandReply } from "../../src/coordination/effects.js";
+import type { Settings } from "../../src/config/settings.js";
+import type { Answer, CommandReply } from "../../src/coordination/effects.js";
 import type {
   Cause,
   JobSpec,
@@ -8,7 +9,7 @@
   ReportedTask,
   TaskState,
 } from "../../src/coordination/model.js";
-import type { World } from "./world.js";
+import type { Rng } from "./rng.js";
 
 /** A task on a simulated machine. */
 export interface SimTask {
@@ -23,6 +24,53 @@
   endsMs: number | null;
 }
 
+/** A direct command that is held up: for how long, and what is called just before the machine looks at it. */
+export interface CommandHold {
+  forMs: number;
+  onArrival: () => void;
+}
+
+/** What a simulated machine needs of the world around it; `World` says what each of them means. */
+export interface MachineWorld {
+  readonly now: number;
+  readonly rng: Rng;
+  readonly settings: Settings;
+  readonly names: readonly string[];
+  readonly loss: number;
+  readonly copies: number;
+  readonly forNext: number;
+  readonly runFactor: number;
+  readonly specs: ReadonlyMap<string, JobSpec>;
+  readonly broken: ReadonlySet<string>;
+  readonly results: Set<string>;
+  readonly kept: Report[];
+  readonly onReport: readonly ((report: Report) => void)[];
+  readonly jobEnded: ((id: string) => void) | null;
+  readonly commandHold:
+    | ((
+        name: string,
+        machine: SimWorker,
+        token: number,
+        orders: readonly Order[],
+      ) => CommandHold | undefined)
+    | null;
+  readonly checker: {
+    begins(machine: SimWorker, job: string, index: number): void;
+    isDone(job: string): boolean;
+  };
+  lateReports: number;
+  lateCommands: number;
+  muteCommands: number;
+  at(delayMs: number, fn: () => void): void;
+  apart(a: string | null, b: string | null): boolean;
+  zoneOf(name: string): string;
+  note(what: string, fields?: Record<string, unknown>): void;
+  report(name: string, r: Report, done: (a: Answer | null) => void): void;
+  gangReady(job: string, attempt: number, spec: JobSpec): void;
+  gangComplete(job: string, attempt: number, spec: JobSpec): boolean;
+  gangDone(job: string, attempt: number, spec: JobSpec): void;
+}
+
 /** A simulated machine with its worker, as PROTOCOL describes it. */
 export class SimWorker {
   session = 1;
@@ -52,7 +100,7 @@
   removedMs = Infinity;
 
   constructor(
-    readonly world: World,
+    readonly world: MachineWorld,
     readonly id: string,
     readonly type: MachineType,
     readonly zone: string,
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -1,3 +1,4 @@
+import type { Settings } from "../../src/config/settings.js";
 import {
   type Change,
   HOLD_ENDED,
@@ -5,7 +6,19 @@
   type StateCall,
   type StateReply,
 } from "../../src/protocol/state.js";
-import type { World } from "./world.js";
+import type { Rng } from "./rng.js";
+
+/** What the state service's stand-in needs of the world around it. */
+export interface StateServiceWorld {
+  readonly now: number;
+  readonly rng: Rng;
+  readonly settings: Settings;
+  readonly stateDown: boolean;
+  /** The limits that count once `limitsFell`. */
+  readonly nextLimits: { readonly valueBytes: number; readonly txnOps: number };
+  readonly limitsFell: boolean;
+  at(delayMs: number, fn: () => void): void;
+}
 
 /** A stand-in for the state service: records, conditional transactions, holds and watches. */
 export class StateService {
@@ -23,7 +36,7 @@
   }>();
   private holdIds = 0;
 
-  constructor(private readonly world: World) {}
+  constructor(private readonly world: StateServiceWorld) {}
 
   /** After an outage every hold has its full time again. */
   restart(): void {
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -17,11 +17,11 @@
 } from "../../src/coordination/model.js";
 import type { StateCall, StateReply } from "../../src/protocol/state.js";
 import { Controller as ProductionController } from "../production/coordination/controller.js";
-import { Checker } from "./checker.js";
-import { Cloud } from "./cloud.js";
-import type { SimTask, SimWorker } from "./machine.js";
+import { type CheckedWorld, Checker } from "./checker.js";
+import { Cloud, type CloudWorld } from "./cloud.js";
+import type { CommandHold, SimTask, SimWorker } from "./machine.js";
 import { Rng } from "./rng.js";
-import { StateService } from "./state-service.js";
+import { StateService, type StateServiceWorld } from "./state-service.js";
 
 export type CommitCall = Extract<StateCall, { op: "commit" }>;
 /** How a transaction fares: when it is carried out after its sending, and whether and when its answer comes. */
@@ -30,11 +30,6 @@
   answered: boolean;
   afterMs?: number;
 }
-/** A direct command that is held up: for how long, and what is called just before the machine looks at it. */
-export interface CommandHold {
-  forMs: number;
-  onArrival: () => void;
-}
 /** Orders ride in the answer to a report, or are sent straight to the machine. */
 export type OrderChannel = "answer" | "command";
 
@@ -54,7 +49,7 @@
 }
 
 /** A small world for the core: seeded, in simulated time, with a stand-in for everything around a controller. */
-export class World {
+export class World implements CheckedWorld, CloudWorld, StateServiceWorld {
   now = 0;
   loss = 0.01;
   /** Part of the reports that are copied on their way. */
