--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -211,8 +211,8 @@
     ),
     objectives: c.objectives.map((o) => ({
       kind: o.kind,
-      class: o.class,
-      withinS: o.within_s,
+      ...(o.class !== undefined && { class: o.class }),
+      ...(o.within_s !== undefined && { withinS: o.within_s }),
     })),
     reportS: c.workers.report_s,
     leaseS: c.workers.lease_s,
--- a/src/coordination/effects.ts
+++ b/src/coordination/effects.ts
@@ -9,7 +9,12 @@
 
 /** What the core is told. Times come with each input: the core has no clock of its own. */
 export type Input =
-  | { is: "submit"; req: number; spec: JobSpec; awaits?: readonly string[] }
+  | {
+      is: "submit";
+      req: number;
+      spec: JobSpec;
+      awaits?: readonly string[] | undefined;
+    }
   | { is: "status"; req: number; id: string }
   | { is: "withdraw"; req: number; id: string }
   /** `relayed`: by a peer that the worker can reach; it is not passed on again. */
--- a/src/daemon.ts
+++ b/src/daemon.ts
@@ -212,7 +212,7 @@
 
   /** What a peer asks for: to answer a worker's report, or to carry a call to the state service. */
   private async serve(
-    type: Frame.Report | Frame.State,
+    type: typeof Frame.Report | typeof Frame.State,
     body: string,
   ): Promise<{ status: number; body: string }> {
     if (type === Frame.State) {
--- a/src/protocol/frames.ts
+++ b/src/protocol/frames.ts
@@ -7,16 +7,21 @@
 export const MAX_FRAME = 1 << 20;
 const HEAD = 10;
 
-export const enum Frame {
-  Ping = 1,
-  Pong = 2,
+/** Types of frames, as they stand in a frame's head. */
+export const Frame = {
+  Ping: 1,
+  Pong: 2,
   /** A worker's report that came to the wrong node: payload is its JSON body. */
-  Report = 3,
+  Report: 3,
   /** A call to the state service, for a controller that it refuses. */
-  State = 4,
+  State: 4,
   /** Reply to either: status (u16), then the body. */
-  Reply = 5,
-}
+  Reply: 5,
+} as const;
+export type Frame = (typeof Frame)[keyof typeof Frame];
+
+const FIRST_TYPE: number = Frame.Ping;
+const LAST_TYPE: number = Frame.Reply;
 
 export interface Message {
   type: Frame;
@@ -62,13 +67,13 @@
       if (
         b.length >= 6 &&
         (b.readUInt8(4) !== VERSION ||
-          b.readUInt8(5) < Frame.Ping ||
-          b.readUInt8(5) > Frame.Reply)
+          b.readUInt8(5) < FIRST_TYPE ||
+          b.readUInt8(5) > LAST_TYPE)
       )
         return null;
       if (b.length < length + 4) break;
       out.push({
-        type: b.readUInt8(5),
+        type: b.readUInt8(5) as Frame,
         id: b.readUInt32BE(6),
         payload: Buffer.from(b.subarray(HEAD, length + 4)),
       });
--- a/src/storage/client.ts
+++ b/src/storage/client.ts
@@ -21,7 +21,7 @@
   withState(): string | null;
   call(
     label: string,
-    type: Frame.State,
+    type: typeof Frame.State,
     body: string,
     timeoutMs: number,
   ): Promise<{ status: number; body: string } | null>;
--- a/src/transport/mesh.ts
+++ b/src/transport/mesh.ts
@@ -18,7 +18,7 @@
 export interface MeshHandlers {
   /** Carries out what a peer asks for. */
   serve(
-    type: Frame.Report | Frame.State,
+    type: typeof Frame.Report | typeof Frame.State,
     body: string,
   ): Promise<{ status: number; body: string }>;
   /** Whether this controller's own calls to the state service are answered. */
@@ -93,7 +93,7 @@
   /** null: no answer. The request may have arrived all the same. */
   call(
     label: string,
-    type: Frame.Report | Frame.State,
+    type: typeof Frame.Report | typeof Frame.State,
     body: string,
     timeoutMs: number,
   ): Promise<{ status: number; body: string } | null> {
@@ -147,14 +147,20 @@
     });
     socket.on("data", (d: Buffer) => {
       const frames = reader.push(d);
-      if (!frames) return socket.destroy();
+      if (!frames) {
+        socket.destroy();
+        return;
+      }
       for (const f of frames) {
         p.heardMs = performance.now();
         if (f.type === Frame.Pong)
           p.stateOk = f.payload.length > 0 && f.payload.readUInt8(0) === 1;
         else if (f.type === Frame.Reply)
           p.open.get(f.id)?.(decodeReply(f.payload));
-        else return socket.destroy();
+        else {
+          socket.destroy();
+          return;
+        }
       }
     });
     socket.on("error", () => socket.destroy());
@@ -174,7 +180,10 @@
     let serving = 0;
     socket.on("data", (d: Buffer) => {
       const frames = reader.push(d);
-      if (!frames) return socket.destroy();
+      if (!frames) {
+        socket.destroy();
+        return;
+      }
       for (const f of frames) {
         if (f.type === Frame.Ping)
           socket.write(
@@ -185,8 +194,10 @@
             ),
           );
         else if (f.type === Frame.Report || f.type === Frame.State) {
-          if (serving >= MAX_OPEN || socket.writableLength > MAX_BACKLOG)
-            return socket.destroy();
+          if (serving >= MAX_OPEN || socket.writableLength > MAX_BACKLOG) {
+            socket.destroy();
+            return;
+          }
           serving++;
           void this.handlers
             .serve(f.type, f.payload.toString("utf8"))
@@ -197,7 +208,10 @@
               if (!socket.destroyed)
                 socket.write(encodeReply(f.id, r.status, r.body));
             });
-        } else return socket.destroy();
+        } else {
+          socket.destroy();
+          return;
+        }
       }
     });
   }
--- a/test/daemon.test.ts
+++ b/test/daemon.test.ts
@@ -124,7 +124,10 @@
   body: Record<string, unknown>;
   headers: Headers;
 }> {
-  const r = await fetch(`http://127.0.0.1:${client}${path}`, { method, body });
+  const r = await fetch(`http://127.0.0.1:${client}${path}`, {
+    method,
+    body: body ?? null,
+  });
   return {
     status: r.status,
     body: (await r.json()) as Record<string, unknown>,
--- a/test/sim/hunt.ts
+++ b/test/sim/hunt.ts
@@ -22,7 +22,7 @@
   /** Everything submitted had time to end. */
   comesToRest?: boolean;
   /** For days of drawn troubles: the fewest that still break a rule. */
-  fewest?: () => readonly Trouble[];
+  fewest?: (() => readonly Trouble[]) | undefined;
 }
 
 function upgrade(seed: number): Day {
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -25,7 +25,7 @@
   epoch = 0;
   readonly data = new Map<
     string,
-    { value: unknown; version: number; hold?: number }
+    { value: unknown; version: number; hold?: number | undefined }
   >();
   readonly holds = new Map<number, { ttlMs: number; endsMs: number }>();
   private readonly log: Change[] = [];
--- a/test/transport.test.ts
+++ b/test/transport.test.ts
@@ -57,7 +57,7 @@
     core.step = () => {
       throw new Error("defect");
     };
-    const r = await app.request(path, { method, body });
+    const r = await app.request(path, { method, body: body ?? null });
     assert.deepEqual(
       [
         r.status,
@@ -70,7 +70,7 @@
     assert.equal((daemon as unknown as { faults: number }).faults, k + 1);
     core.step = step;
     assert.equal(
-      (await app.request(path, { method, body })).status,
+      (await app.request(path, { method, body: body ?? null })).status,
       path === "/hello" ? 421 : 503,
     );
   }
