--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -175,7 +175,8 @@
       [number, number],
     ][]) {
       const value = (of as Record<string, unknown>)[key];
-      const field = path + key.replace(/[A-Z]/g, (c) => `_${c.toLowerCase()}`);
+      const field =
+        path + key.replaceAll(/[A-Z]/g, (c) => `_${c.toLowerCase()}`);
       if (
         value !== undefined &&
         !(typeof value === "number" && value >= lo && value <= hi)
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -142,9 +142,7 @@
     this.ownership = new Ownership(
       this,
       (call, done) =>
-        this.state(call, Urgent.Hold, (r, sentMs) =>
-          done(r as { is: string; hold?: number }, sentMs),
-        ),
+        this.state(call, Urgent.Hold, (r, sentMs) => done(r, sentMs)),
       () => this.dropMasters(),
       () => this.checkMasters(),
       (group) => this.masters.get(group)?.own.deaf() ?? false,
--- a/src/coordination/master.ts
+++ b/src/coordination/master.ts
@@ -6,7 +6,7 @@
 import { GroupState } from "./group-state.js";
 import { Guarantees, Reclaims, Sharing, Shortfall } from "./limits/index.js";
 import type { JobView } from "./mirror.js";
-import { type Order, type Report } from "./model.js";
+import type { Order, Report } from "./model.js";
 import { Moves } from "./moves.js";
 import { offer } from "./placement.js";
 import { Placing } from "./placing.js";
--- a/src/coordination/mirror.ts
+++ b/src/coordination/mirror.ts
@@ -205,7 +205,8 @@
         const r = readRoster(value);
         if (!r) return [{ kind: "unreadable", key }];
         let chunks = this.rosters.get(k.group);
-        if (!chunks) this.rosters.set(k.group, (chunks = new Map()));
+        if (!chunks)
+          this.rosters.set(k.group, (chunks = new Map<number, RosterRecord>()));
         chunks.set(k.chunk, r);
         return [];
       }
@@ -226,7 +227,8 @@
         const r = readFin(value, k.chunk);
         if (!r) return [{ kind: "unreadable", key }];
         let byGroup = this.fins.get(k.id);
-        if (!byGroup) this.fins.set(k.id, (byGroup = new Map()));
+        if (!byGroup)
+          this.fins.set(k.id, (byGroup = new Map<string, RangeSet>()));
         const set = byGroup.get(k.group) ?? RangeSet.empty();
         const had = set.size;
         set.addAll(r);
--- a/src/coordination/splitter.ts
+++ b/src/coordination/splitter.ts
@@ -411,7 +411,7 @@
   }
   const open = ws.filter((w) => given(w) < w.cap);
   const weights = open.reduce((n, w) => n + w.later, 0) || 1;
-  let rest = left;
+  const rest = left;
   for (const w of open) {
     const n = Math.min(
       left,
--- a/src/hooks/delivery.ts
+++ b/src/hooks/delivery.ts
@@ -489,9 +489,8 @@
     const tidy =
       this.tidySinceMs !== null &&
       (nowMs - this.tidySinceMs >= TIDY_MS || kept.length === 0);
-    if (reserve || pull || tidy) {
-      if (this.writeWindow(kept, pull, testing)) return;
-    }
+    if ((reserve || pull || tidy) && this.writeWindow(kept, pull, testing))
+      return;
     // A full batch can't go into the window: it goes into the spool, in a change of its own.
     if (
       !this.rec.listing &&
--- a/src/hooks/networks.ts
+++ b/src/hooks/networks.ts
@@ -36,7 +36,7 @@
     // An IPv6-mapped address is the IPv4 address that is connected to.
     const a = ipaddr.process(address);
     for (const [net, bits] of this.listed)
-      if (net.kind() === a.kind() && a.match(net as never, bits)) return true;
+      if (net.kind() === a.kind() && a.match(net, bits)) return true;
     return !this.onlyListed && a.range() === "unicast";
   }
 
--- a/src/hooks/records.ts
+++ b/src/hooks/records.ts
@@ -56,7 +56,7 @@
   id: string;
 }
 /** After every id of its revision. */
-export const LAST_ID = "\uffff";
+export const LAST_ID = "\uFFFF";
 export const after = (a: Cursor, b: Cursor): boolean =>
   a.version > b.version || (a.version === b.version && a.id > b.id);
 export const later = (a: Cursor, b: Cursor): Cursor => (after(a, b) ? a : b);
@@ -194,7 +194,7 @@
 /** As much of a name as takes so many bytes. */
 function cut(name: string, most: number): string {
   if (quoted(name) <= most) return name;
-  const chars = [...name];
+  const chars = Array.from(name);
   while (quoted(chars.join("")) > most) chars.pop();
   return chars.join("");
 }
@@ -251,7 +251,7 @@
 const unpack = (nm: readonly string[], e: PackedEntry): Owed => ({
   end: {
     id: e[0],
-    outcome: CODES[e[1]]!,
+    outcome: CODES[e[1]],
     tasks: e[2],
     done: e[3],
     team: nm[e[4]] ?? "",
--- a/src/lab/explore.ts
+++ b/src/lab/explore.ts
@@ -36,12 +36,12 @@
   model: Model<S>,
   most = 2_000_000,
 ): Promise<Exploration> {
-  const { h64 } = await xxhash();
+  const hasher = await xxhash();
   const seen = new Map<bigint, number>();
   const from: number[] = [-1];
   const labels: string[] = [""];
   let level: { state: S; n: number }[] = [{ state: model.initial, n: 0 }];
-  seen.set(h64(model.key(model.initial)), 0);
+  seen.set(hasher.h64(model.key(model.initial)), 0);
   let steps = 0;
   let depth = 0;
   const result = (
@@ -65,7 +65,7 @@
     for (const { state, n } of level)
       for (const s of model.next(state)) {
         steps++;
-        const hash = h64(model.key(s.state));
+        const hash = hasher.h64(model.key(s.state));
         if (seen.has(hash)) continue;
         const m = from.push(n) - 1;
         labels.push(s.label);
--- a/src/lab/limits-model.ts
+++ b/src/lab/limits-model.ts
@@ -251,10 +251,9 @@
       const name = scope.groups[i]!;
       for (const [t, team] of scope.teams.entries()) {
         if (g.use[t]! > 0)
-          yield step(
-            `${name}: a task of ${team} ends`,
-            (to) => void to.groups[i]!.use[t]!--,
-          );
+          yield step(`${name}: a task of ${team} ends`, (to) => {
+            to.groups[i]!.use[t]!--;
+          });
         if (g.gone) continue;
         if (g.wait[t]! > 0 && g.use[t]! + 1 <= share(g, i, t) + 1e-6)
           yield step(`${name} starts a task of ${team}`, (to) => {
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import type { JobSpec, Shape, Urgency } from "../coordination/model.js";
+import type { JobSpec } from "../coordination/model.js";
 
 /** Users' interface: wire names stop in this folder. */
 
@@ -54,7 +54,7 @@
 
 export function firstIssue(issues: readonly v.BaseIssue<unknown>[]): string {
   const issue = issues[0]!;
-  return `${v.getDotPath(issue as never) ?? "body"}: ${issue.message}`;
+  return `${v.getDotPath(issue) ?? "body"}: ${issue.message}`;
 }
 
 export function parseObject(body: string): Parsed<object> {
@@ -86,8 +86,8 @@
         id: j.id,
         class: j.jobclass,
         team: j.crew,
-        shape: j.shape as Shape,
-        urgency: j.urgency as Urgency,
+        shape: j.shape,
+        urgency: j.urgency,
         tasks: j.shards,
         cpus: j.cores,
         gpus: j.accelerators ?? 0,
--- a/test/awaiting.test.ts
+++ b/test/awaiting.test.ts
@@ -311,7 +311,8 @@
   after(w, 200);
   assert.equal(stateOf(fits.answer), "queued");
   assert.ok(
-    all.answer?.is === "tooLong" && /at most 2048 fit/.test(all.answer.error),
+    all.answer?.is === "tooLong" &&
+      all.answer.error.includes("at most 2048 fit"),
     JSON.stringify(all.answer),
   );
   kept(w);
--- a/test/daemon.test.ts
+++ b/test/daemon.test.ts
@@ -21,7 +21,7 @@
   const server = http.createServer((req, res) => {
     let text = "";
     req.on("data", (d: Buffer) => (text += d.toString()));
-    req.on("end", async () => {
+    const answer = async (): Promise<void> => {
       const url = new URL(req.url!, "http://x");
       const [status, body] = await handler(
         req.method!,
@@ -32,7 +32,8 @@
       res
         .writeHead(status, { "content-type": "application/json" })
         .end(JSON.stringify(body));
-    });
+    };
+    req.on("end", () => void answer());
   });
   return new Promise((resolve) =>
     server.listen(0, "127.0.0.1", () => resolve(server)),
@@ -96,7 +97,7 @@
         {
           items: [...data]
             .filter(([k]) => k.startsWith(under))
-            .sort()
+            .sort(([a], [b]) => (a < b ? -1 : 1))
             .map(([k, d]) => ({ k, ...d })),
           truncated: false,
           epoch,
@@ -363,8 +364,11 @@
   });
   assert.equal(sent.out, "req-000003: queued\n");
   assert.equal(
-    JSON.parse((await run(["withdraw", ...at, "req-000003", "--json"])).out)
-      .status,
+    (
+      JSON.parse(
+        (await run(["withdraw", ...at, "req-000003", "--json"])).out,
+      ) as { status: unknown }
+    ).status,
     "cancelled",
   );
   assert.match(
--- a/test/hooks/days.ts
+++ b/test/hooks/days.ts
@@ -299,8 +299,7 @@
         if (n.frozen) n.held.push(() => done(r));
         else done(r);
       });
-    if (n.cut)
-      return void this.at(200, () => back({ is: "refused", why: "503" }));
+    if (n.cut) return this.at(200, () => back({ is: "refused", why: "503" }));
     const lost = this.rng.chance(this.lossy);
     if (lost && this.rng.chance(0.5)) {
       // Carried out late, long after it was given up.
@@ -308,7 +307,7 @@
         this.at(this.rng.real(0, 20_000), () =>
           this.store.handle(call, () => {}),
         );
-      return void this.at(1_500, () => back({ is: "unknown", why: "timeout" }));
+      return this.at(1_500, () => back({ is: "unknown", why: "timeout" }));
     }
     this.at(this.rng.real(1, 12), () =>
       this.store.handle(
--- a/test/hooks/processes.ts
+++ b/test/hooks/processes.ts
@@ -142,16 +142,16 @@
 ): Promise<{ cert: string; key: string }> {
   x509.cryptoProvider.set(webcrypto as never);
   const algorithm = { name: "ECDSA", namedCurve: "P-256", hash: "SHA-256" };
-  const keys = (await webcrypto.subtle.generateKey(algorithm, true, [
+  const keys = await webcrypto.subtle.generateKey(algorithm, true, [
     "sign",
     "verify",
-  ])) as never as CryptoKeyPair;
+  ]);
   const cert = await x509.X509CertificateGenerator.createSelfSigned({
     name: "CN=localhost",
     notBefore: new Date(Date.now() + fromMs),
     notAfter: new Date(Date.now() + untilMs),
     signingAlgorithm: algorithm,
-    keys: keys as never,
+    keys: keys,
     extensions: [
       new x509.SubjectAlternativeNameExtension([
         { type: "dns", value: "localhost" },
@@ -386,7 +386,7 @@
       },
     );
     node.child = child;
-    createInterface({ input: child.stderr! }).on("line", (line) => {
+    createInterface({ input: child.stderr }).on("line", (line) => {
       if (!line.startsWith("{")) return void this.logErrors.push(line);
       if (line.includes('"hook\'s attempt"'))
         this.logged.push(JSON.parse(line) as never);
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -86,7 +86,7 @@
     for (const [key, shares] of plan.writes) {
       assert.ok(bytesOf(shares) <= this.valueBytes);
       this.records.set(key, {
-        shares: JSON.parse(JSON.stringify(shares)),
+        shares: JSON.parse(JSON.stringify(shares)) as Shares,
         version: this.version,
       });
     }
@@ -412,7 +412,7 @@
 test("hot teams with 1, 2, 3, 5 and 7 controllers, freezes, cuts and takeovers: the limits hold and no part is lost", () => {
   let starts = 0;
   for (let seed = 800; seed < 815; seed++) {
-    const w = new World(seed, undefined, [], [1, 2, 3, 5, 7][seed % 5]!);
+    const w = new World(seed, undefined, [], [1, 2, 3, 5, 7][seed % 5]);
     w.capacity = 6;
     w.settings.teams
       .set("red", team("red", 30, { cpus: 20, gpusMax: 3 }))
--- a/test/limits/farm.ts
+++ b/test/limits/farm.ts
@@ -166,8 +166,8 @@
       this.obey(body);
       return;
     }
-    const master =
-      r?.status === 421 ? String(r.body["harbormaster"] ?? "") : "";
+    const named = r?.status === 421 ? r.body["harbormaster"] : null;
+    const master = typeof named === "string" ? named : "";
     const to = this.d.indexOf(master);
     if (to >= 0 && to !== this.target) {
       this.target = to;
--- a/test/nights.test.ts
+++ b/test/nights.test.ts
@@ -123,7 +123,7 @@
 const isDone = (w: World, s: JobSpec): boolean =>
   Array.from({ length: s.tasks }, (_, i) =>
     w.results.has(`${s.id}/${i}`),
-  ).every((x) => x);
+  ).every(Boolean);
 
 test("half of all machines receive nothing: their work goes elsewhere, they draw none, and no second fleet is rented", () => {
   const w = new World(4, { ...DEFAULTS, idleReturnS: 1_000 }, [], 1);
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -498,7 +498,7 @@
   assert.ok(!r.has("m1"));
   // Back while the commit without it is on its way.
   r.set("m1", { going: false, type: "t" });
-  assert.ok(!/m1/.test(next()));
+  assert.ok(!next().includes("m1"));
   assert.ok(!r.has("m1"));
   assert.match(next(), /m1/);
   assert.ok(r.has("m1"));
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -110,7 +110,7 @@
 
 /** Controllers that stand still and zones that are cut off, among all the other troubles. */
 function standingStill(seed: number): World {
-  const w = new World(seed, undefined, [], [1, 2, 3, 5][seed % 4]!);
+  const w = new World(seed, undefined, [], [1, 2, 3, 5][seed % 4]);
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
   // In a zone that no setting names.
   w.cloud.add(w.types[0]!, "cellar", false, 0);
@@ -645,7 +645,7 @@
   try {
     const without = broken(false);
     assert.ok(
-      without.length >= 3 && /ran_cancelled/.test(without.join()),
+      without.length >= 3 && without.join().includes("ran_cancelled"),
       without.join("\n"),
     );
   } finally {
--- a/test/run.ts
+++ b/test/run.ts
@@ -46,5 +46,7 @@
   if (lines.length > 0) writeSync(1, `${lines.join("\n")}\n`);
 });
 // As the test runner itself chooses.
-if (process.stdout.isTTY) stream.compose(new spec()).pipe(process.stdout);
-else stream.compose(tap).pipe(process.stdout);
+const reported = (
+  process.stdout.isTTY ? stream.compose(new spec()) : stream.compose(tap)
+) as NodeJS.ReadableStream;
+reported.pipe(process.stdout);
--- a/test/scenarios/held-commands.ts
+++ b/test/scenarios/held-commands.ts
@@ -100,7 +100,6 @@
     case 4:
       return world.at(afterMs, () => cancel(world, job));
     case 5:
-      return;
   }
 }
 
--- a/test/sim/meetings.ts
+++ b/test/sim/meetings.ts
@@ -204,7 +204,9 @@
       return over(() => (w.copies = 0));
     case "crash":
       w.crash(node);
-      return over(() => void (w.nodes.get(node) ?? w.boot(node)));
+      return over(() => {
+        if (!w.nodes.get(node)) w.boot(node);
+      });
     case "crashAll":
       for (const n of w.names) w.crash(n);
       for (const n of w.names)
--- a/test/transport.test.ts
+++ b/test/transport.test.ts
@@ -184,7 +184,8 @@
         const due = open
           .filter(([, c]) => !c.busy && now - c.sinceMs > silentMs[c.kind])
           .map(([s]) => s);
-        assert.deepEqual(table.silent(now).sort(), due.sort());
+        const byNumber = (a: number, b: number): number => a - b;
+        assert.deepEqual(table.silent(now).sort(byNumber), due.sort(byNumber));
         for (const s of due) model.delete(s);
       }
       assert.equal(table.size, model.size);
