--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -48,7 +48,7 @@
 }
 
 /** How things stand, for metrics: of the groups whose master this controller is. */
-export interface Figures {
+interface Figures {
   unfinished: number;
   groups: number;
   machines: number;
@@ -146,9 +146,7 @@
     this.ownership = new Ownership(
       this,
       (call, done) =>
-        this.state(call, Urgent.Hold, (r, sentMs) =>
-          done(r as { is: string; hold?: number }, sentMs),
-        ),
+        this.state(call, Urgent.Hold, (r, sentMs) => done(r, sentMs)),
       () => this.dropMasters(),
       () => this.checkMasters(),
       (group) => this.masters.get(group)?.own.deaf() ?? false,
--- a/src/coordination/queues.ts
+++ b/src/coordination/queues.ts
@@ -1,4 +1,3 @@
-import type { Due } from "./gathering.js";
 import {
   type JobSpec,
   type Standing,
@@ -6,8 +5,19 @@
   URGENCIES,
 } from "./model.js";
 
+/** Whether a job has to begin now, and what it comes before for that: see `Gathering`. */
+export type Due =
+  /** Its turn is as the queues say. */
+  | "no"
+  /** First of its urgency where all its places are free at this moment: nobody's machine stands idle for it. */
+  | "fit"
+  /** First of its urgency, and what comes free is kept for it: it has to gather its machines from now on. */
+  | "gang"
+  /** One task of it before everything else: nothing of it has begun, and that costs nobody more than that task's place. */
+  | "array";
+
 /** What the queues need to know of a job that has waiting tasks in this group. */
-export interface Queued {
+interface Queued {
   spec: JobSpec;
   standing: Pick<Standing, "urgency" | "readyAt">;
   /** Tasks that it stands back by: see `GroupState.unfinished`. */
@@ -79,7 +89,7 @@
 }
 
 /** Where a team stands, for the order between teams; null: that does not count. */
-export type Rank = (team: string) => { within: boolean; share: number };
+type Rank = (team: string) => { within: boolean; share: number };
 
 /** Between the first jobs of two teams, at equal urgency: within its guarantee first, then the smaller share of it. */
 function teamBefore(a: Queued, b: Queued, rank: Rank): number {
--- a/src/daemon.ts
+++ b/src/daemon.ts
@@ -41,7 +41,7 @@
 }
 
 /** What may be turned on beside the core. */
-export interface Extra {
+interface Extra {
   routes?(limit: MiddlewareHandler): Hono;
   seen?(e: Extract<Effect, { do: "seen" }>): void;
   tick?(): void;
@@ -220,7 +220,7 @@
 
   /** What a peer asks for: to answer a worker's report, or to carry a call to the state service. */
   private async serve(
-    type: Frame.Report | Frame.State,
+    type: typeof Frame.Report | typeof Frame.State,
     body: string,
   ): Promise<{ status: number; body: string }> {
     if (type === Frame.State) {
--- a/src/lab/limits-model.ts
+++ b/src/lab/limits-model.ts
@@ -84,7 +84,7 @@
   /** It was delivered once already. */
   doubled: boolean;
 }
-export interface LimitsState {
+interface LimitsState {
   record: { version: number; shares: Shares };
   groups: Group[];
   flights: Flight[];
@@ -251,10 +251,9 @@
       const name = scope.groups[i]!;
       for (const [t, team] of scope.teams.entries()) {
         if (g.use[t]! > 0)
-          yield step(
-            `${name}: a task of ${team} ends`,
-            (to) => void to.groups[i]!.use[t]!--,
-          );
+          yield step(`${name}: a task of ${team} ends`, (to) => {
+            to.groups[i]!.use[t]!--;
+          });
         if (g.gone) continue;
         if (g.wait[t]! > 0 && g.use[t]! + 1 <= share(g, i, t) + 1e-6)
           yield step(`${name} starts a task of ${team}`, (to) => {
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,12 +1,12 @@
 import * as v from "valibot";
-import type { JobSpec, Shape, Urgency } from "../coordination/model.js";
+import type { JobSpec } from "../coordination/model.js";
 
 /** Users' interface: wire names stop in this folder. */
 
 export const JOB_ID = /^req-[0-9]{1,40}$/;
 export const MAX_TASKS = 100_000;
 /** Jobs that one may wait for: their names stand in its record, and each is looked up when it is accepted. */
-export const MAX_AWAITS = 64;
+const MAX_AWAITS = 64;
 /** Strings and lists in a job are bounded so that its record always fits a value of the state service. */
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e12));
@@ -54,7 +54,7 @@
 
 export function firstIssue(issues: readonly v.BaseIssue<unknown>[]): string {
   const issue = issues[0]!;
-  return `${v.getDotPath(issue as never) ?? "body"}: ${issue.message}`;
+  return `${v.getDotPath(issue) ?? "body"}: ${issue.message}`;
 }
 
 export function parseObject(body: string): Parsed<object> {
@@ -86,8 +86,8 @@
         id: j.id,
         class: j.jobclass,
         team: j.crew,
-        shape: j.shape as Shape,
-        urgency: j.urgency as Urgency,
+        shape: j.shape,
+        urgency: j.urgency,
         tasks: j.shards,
         cpus: j.cores,
         gpus: j.accelerators ?? 0,
@@ -108,7 +108,7 @@
   };
 }
 
-export type JobStatus = "queued" | "running" | "done" | "cancelled";
+type JobStatus = "queued" | "running" | "done" | "cancelled";
 
 export function jobBody(
   id: string,
--- a/test/transport.test.ts
+++ b/test/transport.test.ts
@@ -57,7 +57,7 @@
     core.step = () => {
       throw new Error("defect");
     };
-    const r = await app.request(path, { method, body });
+    const r = await app.request(path, { method, body: body ?? null });
     assert.deepEqual(
       [
         r.status,
@@ -70,7 +70,7 @@
     assert.equal((daemon as unknown as { faults: number }).faults, k + 1);
     core.step = step;
     assert.equal(
-      (await app.request(path, { method, body })).status,
+      (await app.request(path, { method, body: body ?? null })).status,
       path === "/hello" ? 421 : 503,
     );
   }
@@ -184,7 +184,8 @@
         const due = open
           .filter(([, c]) => !c.busy && now - c.sinceMs > silentMs[c.kind])
           .map(([s]) => s);
-        assert.deepEqual(table.silent(now).sort(), due.sort());
+        const byNumber = (a: number, b: number): number => a - b;
+        assert.deepEqual(table.silent(now).sort(byNumber), due.sort(byNumber));
         for (const s of due) model.delete(s);
       }
       assert.equal(table.size, model.size);
