--- a/src/transport/client.ts
+++ b/src/transport/client.ts
@@ -1,4 +1,5 @@
 import http from "node:http";
+import type { Duplex } from "node:stream";
 
 /** `refused`: nothing reached the other side, now or later. `unknown`: it may have, or may yet. */
 export type Fetched =
@@ -8,21 +9,68 @@
 
 export type Method = "GET" | "POST" | "PATCH" | "DELETE";
 
+/** The longest answer that is read, in bytes: a page of 1,000 records, or of 500 machines, is far below it. */
 const MAX_BODY = 16 * 1024 * 1024;
 
-/** A keep-alive HTTP client for one service or for many workers. Every request ends: answered or given up. */
-export class Client {
-  private readonly agent: http.Agent;
+/**
+ * Keeps idle connections for reuse, and at most so many of all hosts together. Node bounds them by host only and counts them
+ * as in use: once as many hosts had been asked as there may be connections, all others waited until one was closed.
+ */
+class PoolingAgent extends http.Agent {
+  /** Connections kept for reuse, those that have been idle for longest first. */
+  private readonly idle = new Set<Duplex>();
 
-  constructor(maxSockets: number, keep: number) {
-    this.agent = new http.Agent({
+  constructor(
+    maxSockets: number,
+    private readonly maxIdle: number,
+  ) {
+    super({
       keepAlive: true,
       maxTotalSockets: maxSockets,
-      maxFreeSockets: keep,
+      maxFreeSockets: maxIdle,
       noDelay: true,
     });
   }
 
+  /** A request is over: whether its connection is kept. One that others wait for is closed, and one of theirs opened for it. */
+  override keepSocketAlive(socket: Duplex): boolean {
+    if (this.hasWaiting()) return false;
+    // Node's types leave out what it returns.
+    const keeps = super.keepSocketAlive(socket) as unknown as boolean;
+    if (!keeps) return false;
+    this.idle.add(socket);
+    socket.once("close", () => this.idle.delete(socket));
+    if (this.idle.size > this.maxIdle) this.closeOldest();
+    return true;
+  }
+
+  override reuseSocket(socket: Duplex, request: http.ClientRequest): void {
+    this.idle.delete(socket);
+    super.reuseSocket(socket, request);
+  }
+
+  private hasWaiting(): boolean {
+    for (const host in this.requests)
+      if (this.requests[host]!.length > 0) return true;
+    return false;
+  }
+
+  private closeOldest(): void {
+    const oldest = this.idle.values().next().value!;
+    this.idle.delete(oldest);
+    oldest.destroy();
+  }
+}
+
+/** A keep-alive HTTP client for one service or for many workers. Every request ends: answered or given up. */
+export class Client {
+  private readonly agent: http.Agent;
+
+  /** `maxIdle`: connections kept for reuse, of all hosts together; below `maxSockets` if there is more than one host. */
+  constructor(maxSockets: number, maxIdle: number) {
+    this.agent = new PoolingAgent(maxSockets, maxIdle);
+  }
+
   fetch(
     host: string,
     port: number,
--- a/src/transport/workers.ts
+++ b/src/transport/workers.ts
@@ -3,12 +3,24 @@
 import { commandBody, parseReport } from "../protocol/workers.js";
 import { Client, type Fetched, type Method } from "./client.js";
 
+/** Of all connections of the process, what those to workers may take; requests beyond it wait for one. */
+const SOCKETS_SHARE = 0.25;
+const MIN_SOCKETS = 8;
+/** Of these, what may be kept idle for reuse: the rest is always there for workers that have none. */
+const IDLE_SHARE = 0.5;
+/** A worker that does not answer within this time, the wait for a connection included, counts as out of reach. */
+const ANSWER_TIMEOUT_MS = 3_000;
+
 /** Orders sent straight to workers. */
 export class WorkerClient {
   private readonly client: Client;
 
   constructor(maxSockets: number) {
-    this.client = new Client(Math.max(8, Math.floor(maxSockets / 4)), 64);
+    const sockets = Math.max(
+      MIN_SOCKETS,
+      Math.floor(maxSockets * SOCKETS_SHARE),
+    );
+    this.client = new Client(sockets, Math.floor(sockets * IDLE_SHARE));
   }
 
   async command(
@@ -40,7 +52,7 @@
       method,
       path,
       body,
-      3_000,
+      ANSWER_TIMEOUT_MS,
     );
   }
 
