--- a/src/transport/mesh.ts
+++ b/src/transport/mesh.ts
@@ -10,11 +10,38 @@
 } from "../protocol/frames.js";
 
 const PING_MS = 1_000;
+/** A peer that has said nothing for so long counts as down. */
 const SILENT_MS = 3_500;
-const MAX_OPEN = 200;
-const MAX_BACKLOG = 4 << 20;
+/** How long a peer that opened a connection may say nothing on it. */
+const ACCEPTED_SILENT_MS = 3 * SILENT_MS;
+/** Requests in progress at once between two controllers, where `max_sockets` does not call for more. */
+const MIN_IN_FLIGHT = 200;
+/** Bytes that wait to be sent to one peer, where the requests in flight don't call for more. */
+const MIN_BACKLOG_BYTES = 4 << 20;
+/** A worker's report with some twenty tasks. */
+const REPORT_BYTES = 2 << 10;
+/** Of a frame, what a request's or a reply's own head may take beside the body. */
+const HEAD_BYTES = 64;
+/** Connections that each peer may have open to this controller: one in use, others that it gave up and that still end. */
+const CONNECTIONS_PER_PEER = 3;
+const SPARE_CONNECTIONS = 2;
 const NOTHING = Buffer.alloc(0);
 
+/**
+ * Requests in progress at once between two controllers. A worker's report that is passed on keeps the worker's connection to
+ * this controller busy until it is answered, so there are never more of them than connections.
+ */
+export const maxInFlight = (maxSockets: number): number =>
+  Math.max(MIN_IN_FLIGHT, maxSockets);
+/** Bytes that may wait to be sent to one peer: room for all that may be in flight. */
+export const maxBacklogBytes = (maxSockets: number): number =>
+  Math.max(MIN_BACKLOG_BYTES, maxInFlight(maxSockets) * REPORT_BYTES);
+
+/** An answer that no frame can carry. */
+const TOO_LARGE = { status: 500, body: "" };
+/** Refuses one request; those in progress go on. */
+const OVERLOADED = { status: 503, body: "" };
+
 export interface MeshHandlers {
   /** Carries out what a peer asks for. */
   serve(
@@ -43,6 +70,10 @@
   private readonly peers: Peer[];
   private ids = 0;
   private readonly server: net.Server;
+  private readonly accepted = new Set<net.Socket>();
+  private beating: NodeJS.Timeout | undefined;
+  private readonly maxInFlight: number;
+  private readonly maxBacklogBytes: number;
 
   constructor(
     private readonly settings: Settings,
@@ -60,7 +91,10 @@
       open: new Map(),
     }));
     this.server = net.createServer((s) => this.accept(s));
-    this.server.maxConnections = settings.peers.length * 3 + 2;
+    this.server.maxConnections =
+      settings.peers.length * CONNECTIONS_PER_PEER + SPARE_CONNECTIONS;
+    this.maxInFlight = maxInFlight(settings.maxSockets);
+    this.maxBacklogBytes = maxBacklogBytes(settings.maxSockets);
   }
 
   listen(): Promise<void> {
@@ -70,10 +104,18 @@
         resolve(),
       );
       this.beat();
-      setInterval(() => this.beat(), PING_MS);
+      this.beating = setInterval(() => this.beat(), PING_MS);
     });
   }
 
+  /** Ends all connections, and opens no more. */
+  close(): void {
+    clearInterval(this.beating);
+    this.server.close();
+    for (const socket of this.accepted) socket.destroy();
+    for (const p of this.peers) p.socket?.destroy();
+  }
+
   /** Peers that have answered lately. */
   up(): string[] {
     const now = performance.now();
@@ -102,9 +144,9 @@
     if (
       !p?.socket ||
       !p.connected ||
-      p.open.size >= MAX_OPEN ||
-      payload.length > MAX_FRAME - 64 ||
-      p.socket.writableLength > MAX_BACKLOG
+      p.open.size >= this.maxInFlight ||
+      payload.length > MAX_FRAME - HEAD_BYTES ||
+      p.socket.writableLength > this.maxBacklogBytes
     )
       return Promise.resolve(null);
     const id = (this.ids = (this.ids + 1) >>> 0);
@@ -168,8 +210,10 @@
 
   private accept(socket: net.Socket): void {
     const reader = new FrameReader();
+    this.accepted.add(socket);
+    socket.on("close", () => this.accepted.delete(socket));
     socket.setNoDelay(true);
-    socket.setTimeout(3 * SILENT_MS, () => socket.destroy());
+    socket.setTimeout(ACCEPTED_SILENT_MS, () => socket.destroy());
     socket.on("error", () => socket.destroy());
     let serving = 0;
     socket.on("data", (d: Buffer) => {
@@ -185,15 +229,20 @@
             ),
           );
         else if (f.type === Frame.Report || f.type === Frame.State) {
-          if (serving >= MAX_OPEN || socket.writableLength > MAX_BACKLOG)
+          // Nobody reads the answers: more of them would only take memory.
+          if (socket.writableLength > this.maxBacklogBytes)
             return socket.destroy();
+          if (serving >= this.maxInFlight) {
+            socket.write(encodeReply(f.id, OVERLOADED.status, OVERLOADED.body));
+            continue;
+          }
           serving++;
           void this.handlers
             .serve(f.type, f.payload.toString("utf8"))
             .then((r) => {
               serving--;
-              if (Buffer.byteLength(r.body) > MAX_FRAME - 64)
-                r = { status: 500, body: "" };
+              if (Buffer.byteLength(r.body) > MAX_FRAME - HEAD_BYTES)
+                r = TOO_LARGE;
               if (!socket.destroyed)
                 socket.write(encodeReply(f.id, r.status, r.body));
             });
