--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -29,6 +29,7 @@
 import type { JobSpec, MachineType, Order, Report, Tuning } from "./model.js";
 import { Orphans } from "./orphans.js";
 import { Ownership } from "./ownership.js";
+import { maxRedirects, Redirects } from "./redirects.js";
 import { StateReader } from "./state-reader.js";
 import { RateLimitedLog } from "./rate-limited-log.js";
 import type { Handed } from "./splitter.js";
@@ -67,6 +68,17 @@
 
 /** So long without the state service and without any peer a controller tells users to go elsewhere. */
 const ALONE_MS = 6_000;
+/**
+ * Latest jobs handed to a group since it wrote its room that are remembered at least; twice as many at most. Each was a commit,
+ * so there are as many a second as the state service takes changes, however many machines there are; a split reads them all.
+ */
+const MAX_HANDED = 1_000;
+/** What is left of jobs that are over is looked for this often. */
+const SWEEP_MS = 5_000;
+/** The catalog is read anew after this time; if reading it failed, sooner, and soonest while there is none. */
+const CATALOG_MS = 60_000;
+const CATALOG_RETRY_MS = 10_000;
+const FIRST_CATALOG_RETRY_MS = 1_000;
 
 /** One team in one group. */
 export interface TeamFigures {
@@ -108,6 +120,7 @@
   private readonly reader: StateReader;
   private readonly users: Users;
   private readonly unanswered = new UnansweredCommits();
+  private readonly redirects: Redirects;
   private out: Effect[] = [];
   private ops = 0;
   private readonly stateOps = new Map<
@@ -133,6 +146,7 @@
     this.nowMs = nowMs;
     this.wallMs = wallMs;
     this.groups = new Groups(settings);
+    this.redirects = new Redirects(maxRedirects(settings.memMb));
     this.beliefs = new Beliefs(this);
     this.awaiting = new Awaiting(
       this,
@@ -528,8 +542,10 @@
   // ---- users ---------------------------------------------------------------------------------------------
 
   noteHanded(group: string, spec: JobSpec, tasks: number): void {
-    const list = this.handed.get(group) ?? [];
-    this.handed.set(group, [...list, { spec, tasks }].slice(-50));
+    let list = this.handed.get(group);
+    if (!list) this.handed.set(group, (list = []));
+    list.push({ spec, tasks });
+    if (list.length >= 2 * MAX_HANDED) list.splice(0, MAX_HANDED);
   }
 
   // ---- workers -------------------------------------------------------------------------------------------
@@ -546,20 +562,13 @@
       return { is: "elsewhere", master: null };
     // It has been served under this very token, or was sent there a moment ago, and yet it comes here: its
     // master is out of its reach.
-    const sent = this.sentAway.get(r.worker);
     const again =
       r.token === g.version ||
-      (sent !== undefined &&
-        sent.token === g.version &&
-        this.nowMs - sent.ms < 12_000);
+      this.redirects.isBack(r.worker, g.version, this.nowMs);
     if (again) return { is: "relay", master: g.owner };
-    this.sentAway.delete(r.worker);
-    this.sentAway.set(r.worker, { token: g.version, ms: this.nowMs });
-    if (this.sentAway.size > 2_000)
-      this.sentAway.delete(this.sentAway.keys().next().value!);
+    this.redirects.note(r.worker, g.version, this.nowMs);
     return { is: "elsewhere", master: g.owner };
   }
-  private readonly sentAway = new Map<string, { token: number; ms: number }>();
 
   // ---- time ----------------------------------------------------------------------------------------------
 
@@ -576,7 +585,7 @@
       this.unownedGroups.tick();
     }
     this.awaiting.act();
-    if (this.nowMs - this.lastSweepMs > 5_000) {
+    if (this.nowMs - this.lastSweepMs > SWEEP_MS) {
       this.lastSweepMs = this.nowMs;
       this.sweep();
     }
@@ -588,11 +597,13 @@
     this.cloud({ op: "catalog" }, Urgent.User, (r) => {
       this.askingCatalog = false;
       if (r.is !== "catalog") {
-        this.nextCatalogMs = this.nowMs + (this.catalog ? 10_000 : 1_000);
+        this.nextCatalogMs =
+          this.nowMs +
+          (this.catalog ? CATALOG_RETRY_MS : FIRST_CATALOG_RETRY_MS);
         return;
       }
       this.catalog = r.types;
-      this.nextCatalogMs = this.nowMs + 60_000;
+      this.nextCatalogMs = this.nowMs + CATALOG_MS;
     });
   }
 
--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet.ts
@@ -7,7 +7,25 @@
 import type { Sharing } from "./limits/index.js";
 import { graceOf, type Worker } from "./tasks.js";
 
+/** The window over which the most machines in use are remembered is cut into so many periods. */
 const WARM_PERIODS = 6;
+/** Machines that one request gives back; the rest go with the next, at the pace of the cloud's limit. */
+const MAX_RETURNED_AT_ONCE = 100;
+/** A request to give machines back that failed is repeated after this time. */
+const RETURN_RETRY_MS = 2_000;
+/** The boot time of a type that the catalog does not name. */
+const UNKNOWN_BOOT_S = 60;
+/** A new machine has this long beyond its boot to make itself heard. */
+const BOOT_SLACK_MS = 5_000;
+/** The cloud's list is read anew no more often than this; its pages follow each other faster. */
+const LIST_MS = 8_000;
+const LIST_PAGE_MS = 500;
+const LIST_RETRY_MS = 5_000;
+/** A page without an answer is asked for again after this time. */
+const LIST_GIVEN_UP_MS = 60_000;
+/** How much longer than its lag the list may leave out a machine that exists. */
+const UNLISTED_BOOTING_MS = 30_000;
+const UNLISTED_LOST_MS = 60_000;
 /** Late copies of reports come well over a lease after they were made. */
 const GONE_KEPT_MS = 900_000;
 
@@ -42,6 +60,7 @@
   /** Machines of each type in use at once, the most in each of the last periods. */
   private readonly peaks = new Map<string, number[]>();
   private peakMs: number;
+  private readonly objectiveClasses: ReadonlySet<string>;
 
   constructor(
     private readonly ctx: Context,
@@ -49,6 +68,9 @@
     sharing: Sharing,
   ) {
     this.peakMs = ctx.nowMs;
+    this.objectiveClasses = new Set(
+      ctx.settings.objectives.flatMap((o) => o.class ?? []),
+    );
     this.renting = new Renting(ctx, own, sharing, () => this.zones());
   }
 
@@ -98,7 +120,7 @@
       if (
         g.sent ||
         now < g.retryMs ||
-        ids.length >= 100 ||
+        ids.length >= MAX_RETURNED_AT_ONCE ||
         !this.own.roster.goingWritten(id)
       )
         continue;
@@ -127,7 +149,7 @@
         const g = this.going.get(id);
         if (g) {
           g.sent = false;
-          g.retryMs = this.ctx.nowMs + 2_000;
+          g.retryMs = this.ctx.nowMs + RETURN_RETRY_MS;
         }
       }
     });
@@ -178,7 +200,9 @@
     const now = this.ctx.nowMs;
     const spare = new Map<string, number>();
     const idle: Worker[] = [];
-    const bootS = memo((w: Worker) => this.typeOf(w.typeName)?.bootS ?? 60);
+    const bootS = memo(
+      (w: Worker) => this.typeOf(w.typeName)?.bootS ?? UNKNOWN_BOOT_S,
+    );
     for (const w of this.own.workers.values())
       if (
         !w.going &&
@@ -225,16 +249,20 @@
       if (now - w.receipt.deafMs! > this.ctx.tuning.silentReturnS * 1000)
         this.giveUp(w, "does not receive");
     for (const [id, b] of this.renting.booting) {
-      const usual = (this.typeOf(b.type)?.bootS ?? 60) * 1000;
-      if (now - b.rentedMs > usual * this.ctx.tuning.bootPatience + 5_000)
+      const usual = (this.typeOf(b.type)?.bootS ?? UNKNOWN_BOOT_S) * 1000;
+      if (
+        now - b.rentedMs >
+        usual * this.ctx.tuning.bootPatience + BOOT_SLACK_MS
+      )
         this.giveBack(id, b.type, "never came up");
     }
   }
 
-  /** Jobs of this class have run on such machines, or could. */
+  /** The last job of each class that an objective names: machines for its like are kept. */
   private readonly classNeeds = new Map<string, JobSpec>();
   noteJob(spec: JobSpec): void {
-    if (this.classNeeds.size < 200) this.classNeeds.set(spec.class, spec);
+    if (this.objectiveClasses.has(spec.class))
+      this.classNeeds.set(spec.class, spec);
   }
   private serves(cls: string | undefined, w: Worker): boolean {
     const s = cls === undefined ? undefined : this.classNeeds.get(cls);
@@ -268,7 +296,7 @@
   private pollList(): void {
     const now = this.ctx.nowMs;
     if (now < this.nextListMs) return;
-    this.nextListMs = now + 60_000;
+    this.nextListMs = now + LIST_GIVEN_UP_MS;
     if (!this.listing) this.listingMs = now;
     this.listing ??= new Map();
     const listing = this.listing;
@@ -277,7 +305,7 @@
       Urgent.Spare,
       (reply) => {
         if (reply.is !== "list") {
-          this.nextListMs = this.ctx.nowMs + 5_000;
+          this.nextListMs = this.ctx.nowMs + LIST_RETRY_MS;
           return;
         }
         for (const m of reply.machines)
@@ -286,7 +314,7 @@
         const last = reply.machines.at(-1);
         if (reply.more && last) {
           this.listAfter = last.id;
-          this.nextListMs = this.ctx.nowMs + 500;
+          this.nextListMs = this.ctx.nowMs + LIST_PAGE_MS;
           return;
         }
         this.listAfter = "";
@@ -294,7 +322,7 @@
         this.listed = listing;
         this.nextListMs =
           this.ctx.nowMs +
-          Math.max(8_000, this.ctx.settings.cloud.listLagS * 1000);
+          Math.max(LIST_MS, this.ctx.settings.cloud.listLagS * 1000);
         this.readList();
       },
     );
@@ -325,7 +353,10 @@
     for (const [id, at] of this.goneMs)
       if (now - at > 2 * lagMs + GONE_KEPT_MS) this.goneMs.delete(id);
     for (const [id, b] of this.renting.booting)
-      if (!this.listed.has(id) && now - b.rentedMs > lagMs + 30_000)
+      if (
+        !this.listed.has(id) &&
+        now - b.rentedMs > lagMs + UNLISTED_BOOTING_MS
+      )
         this.renting.booting.delete(id);
     for (const w of this.own.workers.values()) {
       // Taken by the cloud: neither heard of nor listed.
@@ -333,7 +364,7 @@
         w.lost &&
         !w.going &&
         !this.listed.has(w.id) &&
-        now - w.answeredMs > lagMs + 60_000
+        now - w.answeredMs > lagMs + UNLISTED_LOST_MS
       )
         this.giveUp(w, "gone");
     }
--- a/src/coordination/gathering.ts
+++ b/src/coordination/gathering.ts
@@ -33,7 +33,8 @@
 const ARRAY_PART = 0.6;
 /** What a task that is told to stop takes, at most, as far as can be said. */
 const STOPPING_S = 5;
-const MAX_CLASSES = 500;
+/** Classes of gangs whose largest is remembered, for the life of a master: some 100 bytes each. A gang of a further class is never large. */
+const MAX_CLASSES = 5_000;
 
 export type Due =
   /** Its turn is as the queues say. */
--- a/src/coordination/limits/beliefs.ts
+++ b/src/coordination/limits/beliefs.ts
@@ -4,6 +4,9 @@
 import { Urgent } from "../effects.js";
 import { beliefKey } from "../../storage/records.js";
 
+/** Of a hash over the limits in the settings: two that differ practically never agree in so many hexadecimal digits. */
+const HASH_DIGITS = 16;
+
 /** All teams' limits as one short word: controllers with the same limits in their settings have the same. */
 function limitsHash(teams: Settings["teams"]): string {
   const all = [...teams.values()]
@@ -16,7 +19,7 @@
   return createHash("sha256")
     .update(JSON.stringify(all))
     .digest("hex")
-    .slice(0, 16);
+    .slice(0, HASH_DIGITS);
 }
 
 /**
--- a/src/coordination/unanswered-commits.ts
+++ b/src/coordination/unanswered-commits.ts
@@ -1,6 +1,11 @@
 import type { Change, Write } from "../protocol/state.js";
 
-const MOST = 100;
+/**
+ * Keys whose last transaction without an answer is remembered; beyond it the oldest is forgotten, and its log line is missing.
+ * Counted by changes a second, of which the settings allow each controller a few: machines ride many to a record. Each keeps
+ * the whole value that was put.
+ */
+const MAX_KEYS = 100;
 
 /** Transactions without an answer, to say in the log when one of them shows all the same: nothing is decided by it. */
 export class UnansweredCommits {
@@ -14,7 +19,7 @@
       this.puts.delete(w.key);
       this.puts.set(w.key, { value: JSON.stringify(w.value), atMs: nowMs });
     }
-    while (this.puts.size > MOST)
+    while (this.puts.size > MAX_KEYS)
       this.puts.delete(this.puts.keys().next().value!);
   }
 
--- /dev/null
+++ b/test/software-limits.test.ts
@@ -0,0 +1,407 @@
+import assert from "node:assert/strict";
+import http from "node:http";
+import type { AddressInfo } from "node:net";
+import { after, test } from "node:test";
+import { parseSettings, type Settings } from "../src/config/settings.js";
+import type { Controller } from "../src/coordination/controller.js";
+import type { Answer } from "../src/coordination/effects.js";
+import type { Context } from "../src/coordination/context.js";
+import { Mirror } from "../src/coordination/mirror.js";
+import type { JobSpec, Report } from "../src/coordination/model.js";
+import { RateLimitedLog } from "../src/coordination/rate-limited-log.js";
+import { maxRedirects, Redirects } from "../src/coordination/redirects.js";
+import { Roster } from "../src/coordination/roster.js";
+import { Frame } from "../src/protocol/frames.js";
+import type { Write } from "../src/protocol/state.js";
+import { bytesOf, readRoster } from "../src/storage/records.js";
+import { Client } from "../src/transport/client.js";
+import { maxInFlight, Mesh } from "../src/transport/mesh.js";
+import { WorkerClient } from "../src/transport/workers.js";
+import { randomJob } from "./sim/days.js";
+import { World } from "./sim/world.js";
+
+/** No bound of the software stands below 4,000 machines in one group or under one controller. */
+
+const MACHINES = 4_000;
+const names = Array.from({ length: MACHINES }, (_, i) => `n-${100_000 + i}`);
+
+// ---- workers sent to another controller ------------------------------------------------------------------
+
+function report(worker: string, zone: string): Report {
+  return {
+    worker,
+    address: "127.0.0.1:1",
+    type: "small",
+    zone,
+    spot: false,
+    session: 1,
+    tally: 1,
+    token: 0,
+    noticeS: null,
+    tasks: [],
+  };
+}
+
+test("4,000 workers that were sent to their leader and come back are all relayed to it", () => {
+  const w = new World(7, undefined, [], 2);
+  w.run(20_000);
+  const core = w.nodes.get("node-a")!.core;
+  const zone = w.zones.find(
+    (z) => core.mirror.groups.get(core.groups.of(z))?.owner === "node-b",
+  );
+  assert.ok(zone, "the other controller leads a group");
+  const ask = (worker: string): string | undefined => {
+    let answer: Answer | undefined;
+    w.ask(
+      "node-a",
+      (req) => ({
+        is: "report",
+        req,
+        report: report(worker, zone),
+        relayed: false,
+      }),
+      (a) => (answer = a ?? undefined),
+    );
+    return answer?.is;
+  };
+  for (const worker of names)
+    assert.equal(ask(worker), "elsewhere", `${worker}: first`);
+  for (const worker of names)
+    assert.equal(ask(worker), "relay", `${worker}: back at once`);
+});
+
+test("a redirect is remembered for 12 s, under its token only; beyond the bound the oldest is forgotten", () => {
+  const redirects = new Redirects(MACHINES);
+  for (const worker of names) redirects.note(worker, 5, 1_000);
+  assert.equal(redirects.size, MACHINES);
+  assert.ok(names.every((worker) => redirects.isBack(worker, 5, 12_999)));
+  assert.ok(!redirects.isBack(names[0]!, 6, 1_001), "another token");
+  assert.ok(!redirects.isBack(names[0]!, 5, 13_000), "too long ago");
+  redirects.note("one more", 5, 1_001);
+  assert.equal(redirects.size, MACHINES);
+  assert.ok(!redirects.isBack(names[0]!, 5, 1_002), "the oldest");
+  assert.ok(redirects.isBack(names[1]!, 5, 1_002));
+  redirects.note("later", 5, 13_000);
+  assert.equal(redirects.size, 2, "those that say nothing any more are gone");
+  for (const memMb of [16, 146, 1_024])
+    assert.ok(maxRedirects(memMb) >= 2 * MACHINES, `${memMb} MB`);
+});
+
+// ---- the log ---------------------------------------------------------------------------------------------
+
+/** A log, and what was written to it. */
+function recordedLog(maxSubjects?: number): {
+  ctx: { nowMs: number };
+  log: RateLimitedLog;
+  lines: { msg: string; fields: Record<string, unknown> }[];
+} {
+  const lines: { msg: string; fields: Record<string, unknown> }[] = [];
+  const ctx = {
+    nowMs: 0,
+    log: (_: unknown, msg: string, fields: Record<string, unknown> = {}) =>
+      void lines.push({ msg, fields }),
+  };
+  return { ctx, log: new RateLimitedLog(ctx, maxSubjects), lines };
+}
+
+test("of 4,000 machines with three kinds of warning each is logged once a minute, and how often it was seen", () => {
+  const { ctx, log, lines } = recordedLog();
+  const messages = ["late report", "unreadable", "contradiction"];
+  const warnAll = (): void => {
+    for (const message of messages)
+      for (const name of names) log.warn(message, name);
+  };
+  const all = MACHINES * messages.length;
+  for (let second = 0; second < 60; second += 10) {
+    ctx.nowMs = second * 1_000;
+    warnAll();
+    assert.equal(lines.length, all, `after ${second} s`);
+  }
+  ctx.nowMs = 60_000;
+  warnAll();
+  assert.equal(lines.length, 2 * all);
+  assert.ok(lines.slice(all).every((l) => l.fields["times"] === 6));
+});
+
+test("more subjects than a log remembers don't flood it: one line a minute says how many were left out", () => {
+  const { ctx, log, lines } = recordedLog(100);
+  for (let second = 0; second < 60; second++) {
+    ctx.nowMs = second * 1_000;
+    for (const name of names) log.warn("late report", name);
+  }
+  const left = lines.filter((l) => l.msg.includes("left out"));
+  assert.equal(lines.length, 101);
+  assert.equal(left.length, 1);
+  ctx.nowMs = 60_000;
+  log.warn("late report", "another");
+  assert.equal(
+    lines.at(-1)!.fields["of"],
+    "another",
+    "a subject whose minute is over makes room",
+  );
+});
+
+// ---- the mesh --------------------------------------------------------------------------------------------
+
+const PLATFORM_FILE = (
+  label: string,
+  port: number,
+  peer: { label: string; port: number },
+  maxSockets: number,
+): string => `label = "${label}"
+area = "${label}"
+client_listen = "127.0.0.1:1"
+mesh_addr = "127.0.0.1:${port}"
+[[peers]]
+label = "${peer.label}"
+area = "${peer.label}"
+address = "127.0.0.1:${peer.port}"
+[outside]
+cloud = "127.0.0.1:3"
+state = "127.0.0.1:4"
+[cluster]
+zones = ["east", "west"]
+[cluster.workers]
+report_s = 1.0
+lease_s = 10.0
+gang_wait_s = 40.0
+gang_peer_s = 4.0
+cancel_s = 40.0
+[cluster.state]
+rps = 10.0
+write_rps = 10.0
+value_kb = 8.0
+txn_ops = 12
+[cluster.cloud]
+rps = 5.0
+list_lag_s = 1.0
+[cluster.resources]
+max_sockets = ${maxSockets}
+`;
+
+async function freePort(): Promise<number> {
+  const server = http.createServer();
+  await new Promise<void>((done) => server.listen(0, "127.0.0.1", done));
+  const { port } = server.address() as AddressInfo;
+  await new Promise((done) => server.close(done));
+  return port;
+}
+
+/** Two controllers' meshes; `serve` is what the second does with a report. */
+async function twoMeshes(
+  senderSockets: number,
+  receiverSockets: number,
+  serve: () => Promise<{ status: number; body: string }>,
+): Promise<Mesh> {
+  const [portA, portB] = [await freePort(), await freePort()];
+  const a = { label: "east", port: portA };
+  const b = { label: "west", port: portB };
+  const settings = (
+    own: typeof a,
+    peer: typeof a,
+    maxSockets: number,
+  ): Settings =>
+    parseSettings(
+      PLATFORM_FILE(own.label, own.port, peer, maxSockets),
+      "test.toml",
+    );
+  const never = (): Promise<never> => new Promise(() => {});
+  const sender = new Mesh(settings(a, b, senderSockets), {
+    serve: never,
+    stateOk: () => true,
+  });
+  const receiver = new Mesh(settings(b, a, receiverSockets), {
+    serve,
+    stateOk: () => true,
+  });
+  await receiver.listen();
+  await sender.listen();
+  after(() => {
+    sender.close();
+    receiver.close();
+  });
+  while (sender.up().length === 0) await new Promise((r) => setTimeout(r, 20));
+  return sender;
+}
+const REPORT_BODY = JSON.stringify({ padding: "x".repeat(1_000) });
+const CALL_TIMEOUT_MS = 20_000;
+
+test("4,000 reports in flight at once between two controllers are all answered", async () => {
+  const sockets = 6_500;
+  assert.ok(maxInFlight(sockets) >= MACHINES);
+  assert.equal(maxInFlight(64), 200, "never fewer than before");
+  const held: (() => void)[] = [];
+  const sender = await twoMeshes(sockets, sockets, () => {
+    const answered = new Promise<{ status: number; body: string }>((resolve) =>
+      held.push(() => resolve({ status: 200, body: "{}" })),
+    );
+    if (held.length === MACHINES) for (const answer of held) answer();
+    return answered;
+  });
+  const answers = await Promise.all(
+    names.map(() =>
+      sender.call("west", Frame.Report, REPORT_BODY, CALL_TIMEOUT_MS),
+    ),
+  );
+  assert.equal(held.length, MACHINES, "all at once");
+  assert.equal(answers.filter((a) => a?.status === 200).length, MACHINES);
+});
+
+test("a controller that is asked for more at once than it takes refuses what is beyond, and answers the rest", async () => {
+  const most = maxInFlight(16);
+  const held: (() => void)[] = [];
+  const sender = await twoMeshes(
+    1_000,
+    16,
+    () =>
+      new Promise((resolve) =>
+        held.push(() => resolve({ status: 200, body: "{}" })),
+      ),
+  );
+  const beyond = 50;
+  let refused = 0;
+  const answers = await Promise.all(
+    Array.from({ length: most + beyond }, async () => {
+      const answer = await sender.call(
+        "west",
+        Frame.Report,
+        REPORT_BODY,
+        CALL_TIMEOUT_MS,
+      );
+      if (answer?.status === 503 && ++refused === beyond)
+        for (const one of held) one();
+      return answer;
+    }),
+  );
+  assert.equal(answers.filter((a) => a?.status === 200).length, most);
+  assert.equal(refused, beyond);
+});
+
+// ---- connections to workers ------------------------------------------------------------------------------
+
+/** So many servers that keep idle connections open, as workers do; returns their addresses. */
+async function servers(count: number): Promise<string[]> {
+  return Promise.all(
+    Array.from({ length: count }, async () => {
+      const server = http.createServer((_, response) => response.end("{}"));
+      server.keepAliveTimeout = 60_000;
+      await new Promise<void>((done) => server.listen(0, "127.0.0.1", done));
+      after(() => {
+        server.closeAllConnections();
+        server.close();
+      });
+      return `127.0.0.1:${(server.address() as AddressInfo).port}`;
+    }),
+  );
+}
+
+test("workers beyond the number of connections get their commands, one after the other and all at once", async () => {
+  const addresses = await servers(300);
+  const workers = new WorkerClient(256);
+  const command = async (address: string): Promise<string> =>
+    (await workers.command(address, 1, 1, [])).is;
+  const startMs = performance.now();
+  for (const address of addresses)
+    assert.equal(await command(address), "answered", address);
+  assert.deepEqual(
+    new Set(await Promise.all(addresses.map(command))),
+    new Set(["answered"]),
+  );
+  assert.ok(performance.now() - startMs < 30_000);
+});
+
+test("a client reuses idle connections and keeps no more of them than it may", async () => {
+  const [first, ...others] = await servers(20);
+  const client = new Client(16, 8);
+  const get = async (address: string): Promise<string> => {
+    const [host, port] = address.split(":");
+    return (await client.fetch(host!, Number(port), "GET", "/", undefined, 3e3))
+      .is;
+  };
+  const { agent } = client as unknown as {
+    agent: http.Agent & { totalSocketCount: number };
+  };
+  for (let i = 0; i < 5; i++) assert.equal(await get(first!), "answered");
+  assert.equal(agent.totalSocketCount, 1);
+  for (const address of others) assert.equal(await get(address), "answered");
+  await new Promise((r) => setTimeout(r, 50));
+  assert.ok(agent.totalSocketCount <= 8, `${agent.totalSocketCount}`);
+  client.close();
+});
+
+// ---- what a controller remembers of jobs -----------------------------------------------------------------
+
+const lead = (w: World): Controller => w.nodes.get("node-a")!.core;
+
+test("of the jobs handed to a group the latest 1,000 are remembered at least, and twice as many at most", () => {
+  const w = new World(3, undefined, [], 1);
+  w.run(5_000);
+  const core = lead(w);
+  const spec = randomJob(w, 1);
+  for (let tasks = 1; tasks <= 3 * MACHINES; tasks++) {
+    core.noteHanded("node-b", spec, tasks);
+    const handed = core.handed.get("node-b")!;
+    assert.ok(handed.length <= 2_000);
+    assert.ok(handed.length >= Math.min(tasks, 1_000));
+    assert.equal(handed.at(-1)!.tasks, tasks);
+  }
+});
+
+test("a class that an objective names is known, however many other classes there were before", () => {
+  const w = new World(3, undefined, [], 1);
+  w.settings.objectives.push({ kind: "wait", class: "named", withinS: 1 });
+  w.run(8_000);
+  const master = lead(w).masters.values().next().value!;
+  const { fleet } = master as unknown as {
+    fleet: {
+      noteJob(spec: JobSpec): void;
+      classNeeds: Map<string, JobSpec>;
+    };
+  };
+  const spec = randomJob(w, 1);
+  for (const name of names) fleet.noteJob({ ...spec, class: name });
+  fleet.noteJob({ ...spec, class: "named", cpus: 1 });
+  fleet.noteJob({ ...spec, class: "named", cpus: 2 });
+  assert.deepEqual([...fleet.classNeeds.keys()], ["named"]);
+  assert.equal(fleet.classNeeds.get("named")!.cpus, 2, "the latest");
+});
+
+// ---- the roster ------------------------------------------------------------------------------------------
+
+test("a roster of 4,000 machines is written in records that fit, each machine in one of them", () => {
+  const valueBytes = 2_048;
+  const txnOps = 4;
+  const records = new Map<string, object>();
+  let largestWrite = 0;
+  const commit = (writes: readonly Write[]): void => {
+    assert.ok(writes.length <= txnOps);
+    for (const write of writes) {
+      assert.ok(write.op === "put");
+      const value = write.value as object;
+      largestWrite = Math.max(largestWrite, bytesOf(value));
+      records.set(write.key, value);
+    }
+  };
+  const ctx = {
+    nowMs: 0,
+    mirror: new Mirror(),
+    settings: { state: { valueBytes, txnOps } },
+    log: () => {},
+  } as unknown as Context;
+  const roster = new Roster(
+    ctx,
+    "east",
+    (_, writes, done) => {
+      commit(writes);
+      done("ok");
+    },
+    () => {},
+  );
+  for (const name of names) roster.set(name, { going: false, type: "small" });
+  for (const name of names) assert.ok(roster.has(name), name);
+  assert.ok(largestWrite <= valueBytes, `${largestWrite} bytes`);
+  const listed = [...records.values()].flatMap((value) => [
+    ...readRoster(value)!.machines.keys(),
+  ]);
+  assert.deepEqual(listed.sort(), [...names].sort());
+});
