--- a/src/logging/events.ts
+++ b/src/logging/events.ts
@@ -110,6 +110,8 @@
   };
   /** A record can't be parsed and counts as absent. */
   "unreadable record": RateLimitedFields;
+  /** More subjects than a rate-limited log remembers: how many lines were left out since the last such line. */
+  "too many warning subjects": { occurrences: number };
   /** A record of the registry is too large and is divided. */
   "splitting oversized registry record": {
     partition: string;
@@ -408,6 +410,7 @@
   ),
   "inconsistent store response": warn("state service contradicts itself"),
   "unreadable record": warn("record can't be read"),
+  "too many warning subjects": warn("too many warning subjects"),
   "splitting oversized registry record": info(
     "dividing a roster record that became too large",
   ),
--- a/src/protocol/frames.ts
+++ b/src/protocol/frames.ts
@@ -3,7 +3,7 @@
  * payload; numbers are big-endian. Replies bear the id of their request. A frame of another version, of unknown
  * type or over the bound closes the connection.
  */
-const VERSION = 1;
+export const VERSION = 1;
 export const MAX_FRAME = 1 << 20;
 const HEAD = 10;
 
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -39,7 +39,7 @@
 /** What controllers stop of teams that are beyond their guarantee, for teams that are not. */
 export const RECLAIM_KEY = "lc/now/reclaim";
 
-type Key =
+export type Key =
   | { kind: "group" | "claim" | "room"; group: string }
   | { kind: "job" | "past"; id: string }
   | { kind: "fin"; id: string; group: string; chunk: number }
--- a/test/golden/transport.ts
+++ b/test/golden/transport.ts
@@ -107,7 +107,7 @@
       relayed.push(`${master} ${zone} ${body}`);
       return Promise.resolve(relayAnswer);
     },
-    malformed: (what, error) => void relayed.push(`${what} ${error}`),
+    malformed: (error) => void relayed.push(`report ${error}`),
     fault: (error) => void relayed.push(error.message),
   };
   const app = api(core);
