--- a/src/cli.ts
+++ b/src/cli.ts
@@ -3,10 +3,10 @@
 import { DEFAULTS, type Operator, parseOperator } from "./config/operator.js";
 import { parseSettings, SettingsError } from "./config/settings.js";
 import { JOB_ID, parseJob } from "./protocol/jobs.js";
-import { Client, json, type Method } from "./transport/client.js";
+import { HttpClient, parseJson, type Method } from "./transport/client.js";
 
 /** A refusal or an unreachable service: exit 1. */
-class Refused extends Error {}
+class RequestRefusedError extends Error {}
 
 const VERSION = "0.2.0";
 
@@ -55,7 +55,7 @@
   path: string,
   body?: string,
 ): Promise<Record<string, unknown>> {
-  const client = new Client(1, 0);
+  const client = new HttpClient(1, 0);
   const f = await client.fetch(
     o.server.host,
     o.server.port,
@@ -65,11 +65,13 @@
     6_000,
   );
   client.close();
-  if (f.is !== "answered")
-    throw new Refused(`${o.server.host}:${o.server.port}: ${f.why}`);
-  const raw = (json(f.body) ?? {}) as Record<string, unknown>;
+  if (f.kind !== "answered")
+    throw new RequestRefusedError(
+      `${o.server.host}:${o.server.port}: ${f.why}`,
+    );
+  const raw = (parseJson(f.body) ?? {}) as Record<string, unknown>;
   if (f.status !== 200 && f.status !== 201)
-    throw new Refused(
+    throw new RequestRefusedError(
       `${f.status}: ${typeof raw["error"] === "string" ? raw["error"] : "refused"}${f.status === 503 ? " (try again in a moment)" : ""}`,
     );
   return raw;
@@ -91,7 +93,7 @@
 }
 
 type Make = (name: string, what: string, parent?: Command) => Command;
-interface HookOptions extends Common {
+interface WebhookOptions extends Common {
   url?: string;
   team?: string[];
   class?: string[];
@@ -100,15 +102,15 @@
   ordered?: boolean;
   ask?: boolean;
 }
-function hookCommands(program: Command, client: Make): void {
-  const hook = program
+function webhookCommands(program: Command, client: Make): void {
+  const webhook = program
     .command("hook")
     .description("notifications of jobs' ends");
   const make = (name: string, what: string): Command =>
-    client(name, what, hook);
+    client(name, what, webhook);
   const path = (name: string, rest = ""): string =>
     `/v1/hooks/${encodeURIComponent(name)}${rest}`;
-  const fields = (o: HookOptions): object => ({
+  const fields = (o: WebhookOptions): object => ({
     ...(o.url === undefined ? {} : { url: o.url }),
     ...(o.team ? { crews: o.team } : {}),
     ...(o.class ? { jobclasses: o.class } : {}),
@@ -147,7 +149,7 @@
     make("add", "have the ends of jobs told to a URL")
       .argument("<name>")
       .argument("<url>"),
-  ).action(async (name: string, url: string, o: HookOptions) => {
+  ).action(async (name: string, url: string, o: WebhookOptions) => {
     const raw = await call(
       o,
       "POST",
@@ -160,7 +162,7 @@
     make("change", "change what is named, and nothing else")
       .argument("<name>")
       .option("--url <url>"),
-  ).action(async (name: string, o: HookOptions) => {
+  ).action(async (name: string, o: WebhookOptions) => {
     const raw = await call(o, "PATCH", path(name), JSON.stringify(fields(o)));
     tell(o, raw, line(raw));
   });
@@ -293,7 +295,7 @@
     .action(async (id: string, o: Common) =>
       print(o, await call(o, "POST", `/v1/jobs/${id}/withdraw`, "")),
     );
-  hookCommands(program, client);
+  webhookCommands(program, client);
   program
     .command("check")
     .description("check both settings files")
@@ -308,13 +310,16 @@
       ) => {
         const {
           settings,
-          operator: { tuning, hooks, metrics },
+          operator: { tuning, hooks: webhooks, metrics },
         } = await loadSettings(config, operator);
-        if (hooks)
-          (await import("./hooks/index.js")).checkHooks(hooks, operator!);
+        if (webhooks)
+          (await import("./hooks/index.js")).checkWebhookSettings(
+            webhooks,
+            operator!,
+          );
         if (o.json)
           process.stdout.write(
-            `${JSON.stringify({ label: settings.label, area: settings.area, zones: settings.zones, teams: [...settings.teams.keys()], tuning, hooks, metrics })}\n`,
+            `${JSON.stringify({ label: settings.label, area: settings.area, zones: settings.zones, teams: [...settings.teams.keys()], tuning, hooks: webhooks, metrics })}\n`,
           );
         else
           process.stdout.write(
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -7,9 +7,9 @@
   type StateReply,
   type Write,
 } from "../protocol/state.js";
-import { bytesOf, parseKey, PAST } from "../storage/records.js";
-import { Awaiting } from "./awaiting.js";
-import type { CommitEnd, Context } from "./context.js";
+import { bytesOf, parseKey, FINAL_PREFIX } from "../storage/records.js";
+import { DependencyTracker } from "./awaiting.js";
+import type { TransactionOutcome, Context } from "./context.js";
 import {
   type Answer,
   OWN_LIMIT,
@@ -18,28 +18,34 @@
   type CommandReply,
   type Effect,
   type Input,
-  Urgent,
+  CallPriority,
 } from "./effects.js";
-import { Groups } from "./groups.js";
+import { PartitionMap } from "./groups.js";
 import { NO_USE } from "./ledger.js";
-import { Beliefs, type Pair } from "./limits/index.js";
-import { Master } from "./master.js";
-import { Mirror, type Seen } from "./mirror.js";
-import type { JobSpec, MachineType, Order, Report, Tuning } from "./model.js";
-import { Orphans } from "./orphans.js";
-import { Ownership } from "./ownership.js";
+import { ObservedLimits, type ResourceAmounts } from "./limits/index.js";
+import { PartitionLeader } from "./master.js";
+import { StoreCache, type StoreEvent } from "./mirror.js";
+import type {
+  JobSpec,
+  MachineType,
+  Command,
+  Heartbeat,
+  Tuning,
+} from "./model.js";
+import { OrphanedTasks } from "./orphans.js";
+import { Leadership } from "./ownership.js";
 import { maxRedirects, Redirects } from "./redirects.js";
-import { StateReader } from "./state-reader.js";
+import { StoreWatcher } from "./state-reader.js";
 import {
   type LogEvent,
   type LogEventFields,
   logEntry,
 } from "../logging/events.js";
 import { RateLimitedLog } from "./rate-limited-log.js";
-import type { Handed } from "./splitter.js";
-import { UnansweredCommits } from "./unanswered-commits.js";
-import { Users, WITHDRAW_TRIES } from "./users.js";
-import { UnownedGroups } from "./unowned-groups.js";
+import type { PendingAssignment } from "./splitter.js";
+import { IndeterminateTransactions } from "./unanswered-commits.js";
+import { JobRequests, MAX_CANCEL_ATTEMPTS } from "./users.js";
+import { LeaderlessPartitions } from "./unowned-groups.js";
 
 /** Who waits for the end of a call, which comes once. */
 function ended<F>(ops: Map<number, F>, op: number): F | undefined {
@@ -49,20 +55,20 @@
 }
 
 /** How things stand, for metrics: of the groups whose master this controller is. */
-interface Figures {
+interface Statistics {
   unfinished: number;
-  groups: number;
+  partitions: number;
   machines: number;
   idle: number;
   queuedPlain: number;
   queuedAccelerated: number;
   running: number;
   /** Machines whose reports arrive and which get nothing. */
-  deaf: number;
+  unreachableMachines: number;
   /** Reports that were no newer than what was known, since these groups were taken. */
-  late: number;
+  staleHeartbeats: number;
   /** Jobs that fail wherever they run. */
-  suspects: number;
+  quarantinedJobs: number;
   /** The longest that a gang which has not begun has waited, in seconds. */
   longestGangS: number;
   /** Questions refused so far, and for how long the job has been refused that was refused longest, in seconds. */
@@ -71,7 +77,7 @@
 }
 
 /** So long without the state service and without any peer a controller tells users to go elsewhere. */
-const ALONE_MS = 6_000;
+const ISOLATED_AFTER_MS = 6_000;
 /**
  * Latest jobs handed to a group since it wrote its room that are remembered at least; twice as many at most. Each was a commit,
  * so there are as many a second as the state service takes changes, however many machines there are; a split reads them all.
@@ -85,23 +91,23 @@
 const FIRST_CATALOG_RETRY_MS = 1_000;
 
 /** One team in one group. */
-export interface TeamFigures {
+export interface TeamStatistics {
   team: string;
-  group: string;
+  partition: string;
   /** Infinity: none. */
-  limit: Pair;
-  guarantee: Pair;
+  limit: ResourceAmounts;
+  guarantee: ResourceAmounts;
   /** Part of the limit that the group may use. */
-  share: Pair;
-  used: Pair;
+  share: ResourceAmounts;
+  used: ResourceAmounts;
   /** Waiting work that has a place, now or to be rented. */
-  waiting: Pair;
+  waiting: ResourceAmounts;
   /** Of that, what the team is promised and does not have. */
-  deficit: Pair;
+  deficit: ResourceAmounts;
   /** Part of the limit on its way to other groups. */
-  inFlight: Pair;
+  inFlight: ResourceAmounts;
   /** Stopped of others for this team since this controller took the group. */
-  reclaimed: Pair;
+  reclaimed: ResourceAmounts;
 }
 
 /**
@@ -112,20 +118,20 @@
   nowMs: number;
   wallMs: number;
   catalog: MachineType[] | null = null;
-  readonly groups: Groups;
-  readonly mirror = new Mirror();
-  readonly masters = new Map<string, Master>();
-  readonly ownership: Ownership;
-  readonly awaiting: Awaiting;
-  private readonly orphans: Orphans;
-  private readonly unownedGroups: UnownedGroups;
-  private readonly contradictions = new RateLimitedLog(this);
-  private readonly beliefs: Beliefs;
-  private readonly reader: StateReader;
-  private readonly users: Users;
-  private readonly unanswered = new UnansweredCommits();
+  readonly partitions: PartitionMap;
+  readonly cache = new StoreCache();
+  readonly leaders = new Map<string, PartitionLeader>();
+  readonly leadership: Leadership;
+  readonly dependencies: DependencyTracker;
+  private readonly orphanedTasks: OrphanedTasks;
+  private readonly leaderlessPartitions: LeaderlessPartitions;
+  private readonly inconsistencyLog = new RateLimitedLog(this);
+  private readonly observedLimits: ObservedLimits;
+  private readonly watcher: StoreWatcher;
+  private readonly jobRequests: JobRequests;
+  private readonly indeterminate = new IndeterminateTransactions();
   private readonly redirects: Redirects;
-  private out: Effect[] = [];
+  private effects: Effect[] = [];
   private ops = 0;
   private readonly stateOps = new Map<
     number,
@@ -133,12 +139,15 @@
   >();
   private readonly cloudOps = new Map<number, (r: CloudReply) => void>();
   private readonly commandOps = new Map<number, (r: CommandReply) => void>();
-  private readonly inspectOps = new Map<number, (r: Report | null) => void>();
+  private readonly inspectOps = new Map<
+    number,
+    (r: Heartbeat | null) => void
+  >();
   private nextCatalogMs = 0;
   private askingCatalog = false;
   private cloudDown = false;
   /** Handed to each group since it last wrote its room. */
-  readonly handed = new Map<string, Handed[]>();
+  readonly pendingAssignments = new Map<string, PendingAssignment[]>();
   private lastSweepMs = 0;
 
   constructor(
@@ -149,48 +158,51 @@
   ) {
     this.nowMs = nowMs;
     this.wallMs = wallMs;
-    this.groups = new Groups(settings);
+    this.partitions = new PartitionMap(settings);
     this.redirects = new Redirects(maxRedirects(settings.memMb));
-    this.beliefs = new Beliefs(this);
-    this.awaiting = new Awaiting(
+    this.observedLimits = new ObservedLimits(this);
+    this.dependencies = new DependencyTracker(
       this,
-      (spec) => this.users.cut(spec),
-      (id) => this.users.lookUp(id, () => {}),
+      (spec) => this.jobRequests.partitionJob(spec),
+      (id) => this.jobRequests.readFinalRecord(id, () => {}),
     );
-    this.ownership = new Ownership(
+    this.leadership = new Leadership(
       this,
       (call, done) =>
-        this.state(call, Urgent.Hold, (r, sentMs) => done(r, sentMs)),
-      () => this.dropMasters(),
-      () => this.checkMasters(),
-      (group) => this.masters.get(group)?.own.deaf() ?? false,
+        this.state(call, CallPriority.Lease, (r, sentMs) => done(r, sentMs)),
+      () => this.dropLeaders(),
+      () => this.updateLeaders(),
+      (partition) =>
+        this.leaders.get(partition)?.state.unreachableIn() ?? false,
     );
-    this.unownedGroups = new UnownedGroups(this, this.ownership);
-    this.orphans = new Orphans(this, this.unownedGroups, (spec) =>
-      this.users.cut(spec),
+    this.leaderlessPartitions = new LeaderlessPartitions(this, this.leadership);
+    this.orphanedTasks = new OrphanedTasks(
+      this,
+      this.leaderlessPartitions,
+      (spec) => this.jobRequests.partitionJob(spec),
     );
     const state = (
       call: StateCall,
-      urgent: Urgent,
+      priority: CallPriority,
       done: (r: StateReply, sentMs: number) => void,
-    ): void => this.state(call, urgent, done);
+    ): void => this.state(call, priority, done);
     const later = (req: number, why: string, afterS = 1): void =>
-      this.answer(req, { is: "later", afterS, why });
-    this.reader = new StateReader(
+      this.answer(req, { kind: "retryLater", afterS, why });
+    this.watcher = new StoreWatcher(
       this,
-      this.ownership,
+      this.leadership,
       state,
-      (seen) => this.see(seen),
-      (from, to, changes) => this.tell(from, to, changes),
-      (afterMs) => this.out.push({ do: "wake", afterMs }),
+      (seen) => this.onStoreEvents(seen),
+      (from, to, changes) => this.publishChanges(from, to, changes),
+      (afterMs) => this.effects.push({ type: "wake", afterMs }),
       later,
     );
-    this.users = new Users(
+    this.jobRequests = new JobRequests(
       this,
-      this.masters,
-      this.ownership,
-      this.awaiting,
-      this.reader,
+      this.leaders,
+      this.leadership,
+      this.dependencies,
+      this.watcher,
       state,
       (req, answer) => this.answer(req, answer),
       later,
@@ -200,13 +212,13 @@
   step(input: Input, nowMs: number, wallMs: number): Effect[] {
     this.nowMs = nowMs;
     this.wallMs = wallMs;
-    this.take(input);
-    for (const m of this.masters.values()) {
+    this.dispatch(input);
+    for (const m of this.leaders.values()) {
       m.place();
-      m.sendDirect();
+      m.sendCommands();
     }
-    const out = this.out;
-    this.out = [];
+    const out = this.effects;
+    this.effects = [];
     return out;
   }
 
@@ -216,8 +228,9 @@
    */
   mayLeave(e: Effect, nowMs: number): boolean {
     const needsPermit =
-      e.do === "command" || (e.do === "answer" && e.answer.is === "orders");
-    return !needsPermit || nowMs < this.ownership.permitUntilMs;
+      e.type === "command" ||
+      (e.type === "answer" && e.answer.kind === "commands");
+    return !needsPermit || nowMs < this.leadership.leadershipLeaseUntilMs;
   }
 
   /**
@@ -226,84 +239,86 @@
    */
   get ready(): boolean {
     return (
-      this.mirror.ready &&
+      this.cache.ready &&
       !(
         this.settings.peers.length > 0 &&
-        this.ownership.alone &&
-        this.ownership.staleMs > ALONE_MS
+        this.leadership.isIsolated &&
+        this.leadership.storeSilenceMs > ISOLATED_AFTER_MS
       )
     );
   }
 
-  private take(i: Input): void {
-    switch (i.is) {
+  private dispatch(i: Input): void {
+    switch (i.type) {
       case "tick":
         return this.tick();
       case "memory":
-        return this.users.memory(i.short);
+        return this.jobRequests.setMemoryShort(i.short);
       case "wake":
-        return this.reader.woken();
+        return this.watcher.onWake();
       case "submit":
-        return this.users.submit(i.req, i.spec, i.awaits ?? []);
+        return this.jobRequests.submit(i.req, i.spec, i.dependsOn ?? []);
       case "status":
-        return this.reader.afterRead(i.req, i.id, (req, id) =>
-          this.users.tellStatus(req, id, 200),
+        return this.watcher.afterRead(i.req, i.id, (req, id) =>
+          this.jobRequests.answerStatus(req, id, 200),
         );
-      case "withdraw":
-        return this.reader.afterRead(i.req, i.id, (req, id) =>
-          this.users.withdraw(req, id, WITHDRAW_TRIES),
+      case "cancel":
+        return this.watcher.afterRead(i.req, i.id, (req, id) =>
+          this.jobRequests.cancel(req, id, MAX_CANCEL_ATTEMPTS),
+        );
+      case "heartbeat":
+        return this.answer(i.req, this.heartbeat(i.heartbeat, i.relayed));
+      case "leaderUnreachable":
+        return this.leadership.noteUnserved(
+          this.partitions.partitionOf(i.zone),
         );
-      case "report":
-        return this.answer(i.req, this.report(i.report, i.relayed));
-      case "unserved":
-        return this.ownership.unserved(this.groups.of(i.zone));
       case "peers":
-        return this.ownership.peersUp(i.up);
+        return this.leadership.setReachablePeers(i.up);
       case "state":
         return ended(this.stateOps, i.op)?.(i.reply, i.sentMs);
       case "cloud":
         return ended(this.cloudOps, i.op)?.(i.reply);
       case "command":
         return ended(this.commandOps, i.op)?.(i.reply);
-      case "inspected":
-        return ended(this.inspectOps, i.op)?.(i.report);
+      case "inspectReply":
+        return ended(this.inspectOps, i.op)?.(i.heartbeat);
     }
   }
 
   // ---- effects -------------------------------------------------------------------------------------------
 
   log<E extends LogEvent>(event: E, fields: LogEventFields[E]): void {
-    this.out.push({ do: "log", ...logEntry(event, fields) });
+    this.effects.push({ type: "log", ...logEntry(event, fields) });
   }
   private answer(req: number, answer: Answer): void {
-    this.out.push({ do: "answer", req, answer });
+    this.effects.push({ type: "answer", req, answer });
   }
   private state(
     call: StateCall,
-    urgent: Urgent,
+    priority: CallPriority,
     done: (r: StateReply, sentMs: number) => void,
   ): void {
     const op = ++this.ops;
     this.stateOps.set(op, done);
-    this.out.push({ do: "state", op, call, urgent });
+    this.effects.push({ type: "state", op, call, priority });
   }
   commit(
     conditions: Condition[],
     writes: Write[],
-    urgent: Urgent,
-    done: (end: CommitEnd) => void,
+    priority: CallPriority,
+    done: (end: TransactionOutcome) => void,
   ): void {
-    this.state({ op: "commit", conditions, writes }, urgent, (r) => {
+    this.state({ op: "commit", conditions, writes }, priority, (r) => {
       if (r.is === "committed") {
         for (const w of writes)
-          if (w.op === "put") this.mirror.wrote(w.key, r.epoch);
+          if (w.op === "put") this.cache.noteCommitted(w.key, r.epoch);
         return done("ok");
       }
       // Repeated unchanged it would be refused for ever: everything written is kept within the limits, now and next.
       if (r.is === "refused" && r.why === HOLD_ENDED) {
         for (const w of writes)
           if (w.op === "put" && w.hold !== undefined)
-            this.ownership.holdEnded(w.hold);
+            this.leadership.storeLeaseEnded(w.hold);
       } else if (r.is === "refused" && r.why === "400")
         this.log("transaction rejected by the store", {
           writes: writes.map((w) => [
@@ -312,7 +327,7 @@
             w.op === "put" ? bytesOf(w.value as object) : 0,
           ]),
         });
-      if (r.is === "unknown") this.unanswered.note(writes, this.nowMs);
+      if (r.is === "unknown") this.indeterminate.note(writes, this.nowMs);
       done(
         r.is === "conflict"
           ? "conflict"
@@ -324,127 +339,139 @@
   }
   cloud(
     call: CloudCall,
-    urgent: Urgent,
+    priority: CallPriority,
     done: (reply: CloudReply) => void,
   ): void {
     const op = ++this.ops;
     this.cloudOps.set(op, (r) => {
-      const down = r.is === "failed" && r.why !== OWN_LIMIT;
-      if (r.is === "failed" && !down) return done(r);
+      const down = r.kind === "failed" && r.why !== OWN_LIMIT;
+      if (r.kind === "failed" && !down) return done(r);
       if (down !== this.cloudDown) {
         this.cloudDown = down;
-        if (r.is === "failed") this.log("cloud unavailable", { reason: r.why });
+        if (r.kind === "failed")
+          this.log("cloud unavailable", { reason: r.why });
         else this.log("cloud available again", {});
       }
       done(r);
     });
-    this.out.push({ do: "cloud", op, call, urgent });
+    this.effects.push({ type: "cloud", op, call, priority });
   }
   command(
     address: string,
     token: number,
-    session: number,
-    orders: Order[],
+    incarnation: number,
+    commands: Command[],
     done: (reply: CommandReply) => void,
   ): void {
     const op = ++this.ops;
     this.commandOps.set(op, done);
-    this.out.push({ do: "command", op, address, token, session, orders });
+    this.effects.push({
+      type: "command",
+      op,
+      address,
+      token,
+      incarnation,
+      commands,
+    });
   }
 
-  inspect(address: string, done: (report: Report | null) => void): void {
+  inspect(address: string, done: (report: Heartbeat | null) => void): void {
     const op = ++this.ops;
     this.inspectOps.set(op, done);
-    this.out.push({ do: "inspect", op, address });
+    this.effects.push({ type: "inspect", op, address });
   }
 
   // ---- the copy of the state service ---------------------------------------------------------------------
 
-  private see(seen: readonly Seen[]): void {
+  private onStoreEvents(seen: readonly StoreEvent[]): void {
     for (const s of seen) {
       switch (s.kind) {
         case "group":
           break;
         case "job":
-          for (const m of this.masters.values()) m.sync(s.job);
-          this.awaiting.seen(s.job);
+          for (const m of this.leaders.values()) m.syncJob(s.job);
+          this.dependencies.onJob(s.job);
           break;
         case "jobGone":
-          for (const m of this.masters.values()) m.jobGone(s.id);
-          this.awaiting.gone(s.id);
+          for (const m of this.leaders.values()) m.removeJob(s.id);
+          this.dependencies.onJobRemoved(s.id);
           break;
         case "past":
-          this.awaiting.settle(s.id, s.past);
+          this.dependencies.onFinalRecord(s.id, s.past);
           break;
         case "fin": {
-          const job = this.mirror.jobs.get(s.id);
+          const job = this.cache.jobs.get(s.id);
           if (job)
-            for (const m of this.masters.values())
-              if (m.own.jobs.has(s.id)) m.sync(job);
+            for (const m of this.leaders.values())
+              if (m.state.jobs.has(s.id)) m.syncJob(job);
           break;
         }
         case "room":
-          this.handed.delete(s.group);
+          this.pendingAssignments.delete(s.partition);
           break;
         case "unreadable":
-          this.contradictions.warn("unreadable record", s.key, {});
+          this.inconsistencyLog.warn("unreadable record", s.key, {});
           break;
         default:
           break;
       }
     }
-    this.checkMasters();
-    this.awaiting.act();
+    this.updateLeaders();
+    this.dependencies.act();
   }
 
   /** For those who follow the ends of jobs, and for the log; this core has no need of it. */
-  private tell(from: number, to: number, changes: readonly Change[]): void {
-    for (const late of this.unanswered.among(changes, this.nowMs))
+  private publishChanges(
+    from: number,
+    to: number,
+    changes: readonly Change[],
+  ): void {
+    for (const late of this.indeterminate.foundIn(changes, this.nowMs))
       this.log("indeterminate transaction was applied", late);
     if (!this.tuning.tellEnds) return;
     const theirs = changes.filter(
-      (c) => c.key.startsWith(PAST) || parseKey(c.key) === null,
+      (c) => c.key.startsWith(FINAL_PREFIX) || parseKey(c.key) === null,
     );
-    this.out.push({ do: "seen", from, to, changes: theirs });
+    this.effects.push({ type: "storeChanges", from, to, changes: theirs });
   }
   /** The hold that this controller lives under, and until when (steady time, ms) it may act on what it owns under it. */
-  get permit(): { hold: number | null; untilMs: number } {
+  get leadershipLease(): { hold: number | null; untilMs: number } {
     return {
-      hold: this.ownership.holdId,
-      untilMs: this.ownership.permitUntilMs,
+      hold: this.leadership.storeLeaseId,
+      untilMs: this.leadership.leadershipLeaseUntilMs,
     };
   }
 
   /** How things stand, for metrics: of the groups whose master this controller is. */
-  get figures(): Figures {
-    const read = this.reader.refusals;
+  get statistics(): Statistics {
+    const read = this.watcher.refusals;
     const oldest = Math.min(
       read.oldestMs ?? Infinity,
-      this.users.lookups.oldestMs ?? Infinity,
+      this.jobRequests.finalStatus.oldestMs ?? Infinity,
     );
-    const f: Figures = {
-      unfinished: this.mirror.jobs.size,
-      groups: this.masters.size,
+    const f: Statistics = {
+      unfinished: this.cache.jobs.size,
+      partitions: this.leaders.size,
       machines: 0,
       idle: 0,
       queuedPlain: 0,
       queuedAccelerated: 0,
       running: 0,
-      deaf: 0,
-      late: 0,
-      suspects: 0,
+      unreachableMachines: 0,
+      staleHeartbeats: 0,
+      quarantinedJobs: 0,
       longestGangS: 0,
-      refused: read.refused + this.users.lookups.refused,
+      refused: read.refused + this.jobRequests.finalStatus.refused,
       refusedForS: oldest === Infinity ? 0 : (this.nowMs - oldest) / 1000,
     };
-    for (const m of this.masters.values()) {
-      const { own } = m;
-      f.deaf += own.deafMachines().length;
-      f.late += m.lateReports;
+    for (const m of this.leaders.values()) {
+      const { state: own } = m;
+      f.unreachableMachines += own.unreachableMachines().length;
+      f.staleHeartbeats += m.staleHeartbeats;
       for (const j of own.jobs.values()) {
-        if (j.suspectMs !== null) f.suspects++;
+        if (j.quarantinedSinceMs !== null) f.quarantinedJobs++;
         else if (
-          j.view.spec.shape === "ensemble" &&
+          j.view.spec.kind === "gang" &&
           !j.waiting.isEmpty &&
           j.active.size === 0
         )
@@ -453,7 +480,7 @@
             (this.wallMs - j.view.readyAt) / 1000,
           );
       }
-      const q = own.queue();
+      const q = own.backlog();
       f.queuedPlain += q.plain;
       f.queuedAccelerated += q.accelerated;
       f.machines += own.workers.size;
@@ -466,28 +493,28 @@
   }
 
   /** How teams stand in the groups whose master this controller is; amounts in CPUs and accelerators. */
-  get teamFigures(): TeamFigures[] {
-    const out: TeamFigures[] = [];
-    for (const m of this.masters.values()) {
-      const used = m.own.usage();
+  get teamStatistics(): TeamStatistics[] {
+    const out: TeamStatistics[] = [];
+    for (const m of this.leaders.values()) {
+      const used = m.state.usage();
       for (const t of this.settings.teams.values()) {
         const own = used.get(t.name) ?? NO_USE;
-        const known = m.own.ledger.useOf(t.name);
-        const waiting = m.sharing.waiting(t.name);
+        const known = m.state.ledger.useOf(t.name);
+        const waiting = m.quota.waiting(t.name);
         const lacks = m.guarantees.lacks(t.name, own) ?? [0, 0];
         out.push({
           team: t.name,
-          group: m.group,
+          partition: m.partition,
           limit: [t.cpusMax, t.gpusMax],
           guarantee: [t.cpus, t.gpus],
-          share: m.sharing.share(t.name),
+          share: m.quota.share(t.name),
           used: [known.cpus, known.gpus],
           waiting,
           deficit: [
             Math.max(0, Math.min(waiting[0], lacks[0])),
             Math.max(0, Math.min(waiting[1], lacks[1])),
           ],
-          inFlight: m.sharing.inFlight(t.name),
+          inFlight: m.quota.inFlight(t.name),
           reclaimed: m.reclaims.reclaimed.get(t.name) ?? [0, 0],
         });
       }
@@ -496,110 +523,110 @@
   }
 
   /** A master exists exactly while the mirror shows its token as this controller's. */
-  private checkMasters(): void {
-    for (const [group, m] of this.masters) {
-      if (this.ownership.tokenOf(group) === m.token) continue;
-      this.masters.delete(group);
+  private updateLeaders(): void {
+    for (const [partition, m] of this.leaders) {
+      if (this.leadership.tokenOf(partition) === m.token) continue;
+      this.leaders.delete(partition);
       this.log("partition lost", {
-        partition: group,
+        partition: partition,
         token: m.token,
-        owner: this.mirror.groups.get(group)?.owner ?? null,
+        owner: this.cache.partitions.get(partition)?.owner ?? null,
       });
     }
-    for (const group of this.groups.names) {
-      const token = this.ownership.tokenOf(group);
-      if (token === null || this.masters.has(group)) continue;
+    for (const partition of this.partitions.names) {
+      const token = this.leadership.tokenOf(partition);
+      if (token === null || this.leaders.has(partition)) continue;
       // The mirror reaches beyond the token's revision, and every commit of the former master depended on the
       // record that this token replaced: its roster and splits are all here.
-      this.masters.set(
-        group,
-        new Master(
+      this.leaders.set(
+        partition,
+        new PartitionLeader(
           this,
-          group,
+          partition,
           token,
           () =>
-            this.ownership.permitted() &&
-            this.ownership.tokenOf(group) === token,
+            this.leadership.mayAct() &&
+            this.leadership.tokenOf(partition) === token,
         ),
       );
-      this.log("partition acquired", { partition: group, token });
+      this.log("partition acquired", { partition: partition, token });
     }
   }
-  private dropMasters(): void {
-    for (const [group, m] of this.masters)
+  private dropLeaders(): void {
+    for (const [partition, m] of this.leaders)
       this.log("partition lost", {
-        partition: group,
+        partition: partition,
         token: m.token,
         owner: null,
       });
-    this.masters.clear();
+    this.leaders.clear();
   }
 
   readAgeMs(): number {
-    return this.ownership.readAgeMs;
+    return this.leadership.readAgeMs;
   }
-  unownedToken(group: string): number | null {
-    return this.unownedGroups.token(group);
+  leaderlessToken(partition: string): number | null {
+    return this.leaderlessPartitions.token(partition);
   }
 
   // ---- users ---------------------------------------------------------------------------------------------
 
-  noteHanded(group: string, spec: JobSpec, tasks: number): void {
-    let list = this.handed.get(group);
-    if (!list) this.handed.set(group, (list = []));
+  notePendingAssignment(partition: string, spec: JobSpec, tasks: number): void {
+    let list = this.pendingAssignments.get(partition);
+    if (!list) this.pendingAssignments.set(partition, (list = []));
     list.push({ spec, tasks });
     if (list.length >= 2 * MAX_HANDED) list.splice(0, MAX_HANDED);
   }
 
   // ---- workers -------------------------------------------------------------------------------------------
 
-  private report(r: Report, relayed: boolean): Answer {
-    const group = this.groups.of(r.zone);
-    const m = this.masters.get(group);
+  private heartbeat(r: Heartbeat, relayed: boolean): Answer {
+    const partition = this.partitions.partitionOf(r.zone);
+    const m = this.leaders.get(partition);
     if (m) {
-      if (this.ownership.permitted()) return m.report(r);
-      return { is: "later", afterS: 1, why: "no permit" };
+      if (this.leadership.mayAct()) return m.heartbeat(r);
+      return { kind: "retryLater", afterS: 1, why: "no permit" };
     }
-    const g = this.mirror.groups.get(group);
+    const g = this.cache.partitions.get(partition);
     if (!g || g.owner === this.settings.label || relayed)
-      return { is: "elsewhere", master: null };
+      return { kind: "redirect", leader: null };
     // It has been served under this very token, or was sent there a moment ago, and yet it comes here: its
     // master is out of its reach.
     const again =
       r.token === g.version ||
       this.redirects.isBack(r.worker, g.version, this.nowMs);
-    if (again) return { is: "relay", master: g.owner };
+    if (again) return { kind: "relay", leader: g.owner };
     this.redirects.note(r.worker, g.version, this.nowMs);
-    return { is: "elsewhere", master: g.owner };
+    return { kind: "redirect", leader: g.owner };
   }
 
   // ---- time ----------------------------------------------------------------------------------------------
 
   private tick(): void {
-    this.ownership.tick();
-    this.reader.watch();
-    this.reader.readNow();
-    this.askCatalog();
-    this.beliefs.tick(this.ownership.holdId);
-    const agreed = this.beliefs.agreed();
-    for (const m of this.masters.values()) m.tick(agreed);
-    if (this.masters.size > 0) {
-      this.orphans.tick();
-      this.unownedGroups.tick();
+    this.leadership.tick();
+    this.watcher.watch();
+    this.watcher.readForWaiting();
+    this.refreshCatalog();
+    this.observedLimits.tick(this.leadership.storeLeaseId);
+    const agreed = this.observedLimits.areAgreed();
+    for (const m of this.leaders.values()) m.tick(agreed);
+    if (this.leaders.size > 0) {
+      this.orphanedTasks.tick();
+      this.leaderlessPartitions.tick();
     }
-    this.awaiting.act();
+    this.dependencies.act();
     if (this.nowMs - this.lastSweepMs > SWEEP_MS) {
       this.lastSweepMs = this.nowMs;
-      this.sweep();
+      this.sweepLeftovers();
     }
   }
 
-  private askCatalog(): void {
+  private refreshCatalog(): void {
     if (this.askingCatalog || this.nowMs < this.nextCatalogMs) return;
     this.askingCatalog = true;
-    this.cloud({ op: "catalog" }, Urgent.User, (r) => {
+    this.cloud({ op: "catalog" }, CallPriority.UserRequest, (r) => {
       this.askingCatalog = false;
-      if (r.is !== "catalog") {
+      if (r.kind !== "catalog") {
         this.nextCatalogMs =
           this.nowMs +
           (this.catalog ? CATALOG_RETRY_MS : FIRST_CATALOG_RETRY_MS);
@@ -611,18 +638,18 @@
   }
 
   /** Finished ranges of jobs that are over, as many as did not fit the transaction that ended them. */
-  private sweep(): void {
-    const mine = this.masters.get(this.settings.label);
-    if (!mine || !this.ownership.permitted()) return;
-    const keys = this.mirror
+  private sweepLeftovers(): void {
+    const mine = this.leaders.get(this.settings.label);
+    if (!mine || !this.leadership.mayAct()) return;
+    const keys = this.cache
       .leftovers()
-      .flatMap((id) => this.mirror.sideKeys(id))
+      .flatMap((id) => this.cache.sideKeys(id))
       .slice(0, this.settings.state.txnOps);
     if (keys.length > 0)
-      mine.own.commit(
+      mine.state.commit(
         [],
         keys.map((key) => ({ op: "delete", key })),
-        Urgent.Spare,
+        CallPriority.Background,
         () => {},
       );
   }
--- a/src/coordination/failures.ts
+++ b/src/coordination/failures.ts
@@ -1,15 +1,15 @@
 import type { Context } from "./context.js";
-import type { GroupState } from "./group-state.js";
+import type { PartitionState } from "./group-state.js";
 import { taskKey } from "./model.js";
 import type { JobRun, TaskRun, Worker } from "./tasks.js";
 
 /** Failures of one job within this time are of one try: a gang's tasks fail together. */
 const ONE_TRY_MS = 5_000;
 /** Machines on which a job must have failed, and nothing of it completed, before it is the job that is suspected. */
-const SUSPECT_AFTER = 2;
+const QUARANTINE_AFTER_MACHINES = 2;
 /** The same where other tasks of it have run for longer without failing. */
-const SUSPECT_ANYWAY = 5;
-const MOST_PAUSE_MS = 60_000;
+const QUARANTINE_ANYWAY_AFTER = 5;
+const MAX_PAUSE_MS = 60_000;
 /** A machine on which so many jobs failed that are not suspected is given back. */
 const GIVE_UP_AFTER_JOBS = 2;
 
@@ -18,44 +18,49 @@
  * fails on every machine. It is suspected once it has failed on two machines and nothing of it has ever completed: then it
  * accuses no machine any more, nothing is rented, held, moved or stopped for it, and it is retried with growing pauses.
  */
-export class Failures {
+export class FailureTracker {
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
+    private readonly own: PartitionState,
     /** Gives a machine back to the cloud. */
     private readonly giveUp: (worker: Worker, why: string) => void,
   ) {}
 
   /** A task ended with an error. */
-  failed(task: TaskRun): void {
+  onFailed(task: TaskRun): void {
     const { job, worker } = task;
     const now = this.ctx.nowMs;
-    job.errors.set(worker.id, (job.errors.get(worker.id) ?? 0) + 1);
-    if (now - job.failedMs > ONE_TRY_MS) job.failedTries++;
-    job.failedMs = now;
-    if (this.isSuspicious(task)) this.suspect(job);
-    else this.accuse(worker, task);
-    if (worker.failed.size >= GIVE_UP_AFTER_JOBS && !worker.going)
+    job.failuresByMachine.set(
+      worker.id,
+      (job.failuresByMachine.get(worker.id) ?? 0) + 1,
+    );
+    if (now - job.lastFailureMs > ONE_TRY_MS) job.failedTries++;
+    job.lastFailureMs = now;
+    if (this.seemsFaulty(task)) this.quarantineJob(job);
+    else this.blameMachine(worker, task);
+    if (worker.failedJobs.size >= GIVE_UP_AFTER_JOBS && !worker.isReturning)
       this.giveUp(worker, "tasks of several jobs failed on it");
   }
 
   /** Something of a job has completed: it has no mistake, and what failed before were machines. */
-  completed(job: JobRun): void {
-    if (job.suspectMs === null) return;
-    job.suspectMs = null;
+  onCompleted(job: JobRun): void {
+    if (job.quarantinedSinceMs === null) return;
+    job.quarantinedSinceMs = null;
     job.failedTries = 0;
     job.backoffUntilMs = 0;
-    job.errors.clear();
+    job.failuresByMachine.clear();
     this.ctx.log("job recovered after failures", { job: job.id });
   }
 
-  private isSuspicious(task: TaskRun): boolean {
+  private seemsFaulty(task: TaskRun): boolean {
     const { job } = task;
     const healthy =
-      job.finished.size > 0 || this.ctx.mirror.finishedCount(job.id) > 0;
+      job.finished.size > 0 || this.ctx.cache.finishedCount(job.id) > 0;
     if (healthy) return false;
-    const needed = this.othersRunLonger(task) ? SUSPECT_ANYWAY : SUSPECT_AFTER;
-    return job.errors.size >= needed;
+    const needed = this.othersRunLonger(task)
+      ? QUARANTINE_ANYWAY_AFTER
+      : QUARANTINE_AFTER_MACHINES;
+    return job.failuresByMachine.size >= needed;
   }
 
   /** Others of the job that have run for longer than this one did speak for the job, but not for ever. */
@@ -70,37 +75,37 @@
     );
   }
 
-  private accuse(worker: Worker, task: TaskRun): void {
-    worker.failed.add(task.job.id);
+  private blameMachine(worker: Worker, task: TaskRun): void {
+    worker.failedJobs.add(task.job.id);
     worker.avoidUntilMs = Math.max(
       worker.avoidUntilMs,
-      this.ctx.nowMs + 5_000 * worker.failed.size,
+      this.ctx.nowMs + 5_000 * worker.failedJobs.size,
     );
     this.ctx.log("task failed", {
       task: taskKey(task.job.id, task.index),
       worker: worker.id,
-      jobsFailedHere: worker.failed.size,
+      jobsFailedHere: worker.failedJobs.size,
     });
   }
 
-  private suspect(job: JobRun): void {
+  private quarantineJob(job: JobRun): void {
     const now = this.ctx.nowMs;
     const pauseMs = 1_000 * 2 ** Math.min(10, job.failedTries);
     job.backoffUntilMs = Math.max(
       job.backoffUntilMs,
-      now + Math.min(MOST_PAUSE_MS, pauseMs),
+      now + Math.min(MAX_PAUSE_MS, pauseMs),
     );
-    if (job.suspectMs !== null) return;
-    job.suspectMs = now;
+    if (job.quarantinedSinceMs !== null) return;
+    job.quarantinedSinceMs = now;
     for (const worker of this.own.workers.values())
-      if (worker.failed.delete(job.id) && worker.failed.size === 0)
+      if (worker.failedJobs.delete(job.id) && worker.failedJobs.size === 0)
         worker.avoidUntilMs = Math.min(worker.avoidUntilMs, now);
     this.ctx.log("job fails on every machine, retrying with backoff", {
       job: job.id,
-      class: job.view.spec.class,
+      class: job.view.spec.jobClass,
       team: job.view.spec.team,
-      machines: [...job.errors.keys()].slice(0, 5),
-      failures: [...job.errors.values()].reduce((a, b) => a + b, 0),
+      machines: [...job.failuresByMachine.keys()].slice(0, 5),
+      failures: [...job.failuresByMachine.values()].reduce((a, b) => a + b, 0),
     });
   }
 }
--- a/src/coordination/fairness.ts
+++ b/src/coordination/fairness.ts
@@ -1,7 +1,7 @@
 /** Jobs whose refusals are remembered; the one that was refused longest ago is forgotten last. */
-const MOST_REFUSED = 20_000;
+const MAX_REMEMBERED_REFUSALS = 20_000;
 /** Users ask again within a few seconds. */
-const ASKED_AGAIN_MS = 60_000;
+const REFUSAL_FORGOTTEN_MS = 60_000;
 
 /**
  * Questions that wait, bounded. Beyond the bound who was refused longest comes first: of a storm of questions each job is
@@ -17,14 +17,14 @@
   /** Questions refused so far. */
   refused = 0;
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly capacity: number) {}
 
   get size(): number {
     return this.items.length;
   }
   /** The question that must be refused now: another one, this one, or none. */
   add(item: T, nowMs: number): T | null {
-    if (this.items.length < this.most) {
+    if (this.items.length < this.capacity) {
       this.items.push(item);
       return null;
     }
@@ -48,7 +48,7 @@
     if (known) known.last = nowMs;
     else {
       // Never the oldest: the last one has waited least.
-      if (this.refusedMs.size >= MOST_REFUSED)
+      if (this.refusedMs.size >= MAX_REMEMBERED_REFUSALS)
         this.refusedMs.delete([...this.refusedMs.keys()].at(-1)!);
       this.refusedMs.set(item.id, { since: nowMs, last: nowMs });
     }
@@ -77,7 +77,7 @@
   /** Since when the job that has been refused longest is refused; null: none. One that nobody asks about any more is forgotten. */
   oldestMs(nowMs: number): number | null {
     for (const [id, r] of this.refusedMs) {
-      if (nowMs - r.last < ASKED_AGAIN_MS) return r.since;
+      if (nowMs - r.last < REFUSAL_FORGOTTEN_MS) return r.since;
       this.refusedMs.delete(id);
     }
     return null;
--- a/src/coordination/finishing.ts
+++ b/src/coordination/finishing.ts
@@ -1,31 +1,31 @@
 import {
   endWrites,
-  finBlock,
-  finKey,
+  completionBlock,
+  completionKey,
   inBlock,
   jobKey,
-  type PastRecord,
-  writeFin,
+  type FinalRecord,
+  writeCompletion,
 } from "../storage/records.js";
 import type { Context } from "./context.js";
-import { Urgent } from "./effects.js";
-import type { GroupState } from "./group-state.js";
+import { CallPriority } from "./effects.js";
+import type { PartitionState } from "./group-state.js";
 import type { JobSpec } from "./model.js";
 import type { JobRun } from "./tasks.js";
 
 /** What a group has finished of a job is written at most this often, until its part is complete. */
-const FINISHED_MS = 1_500;
+const COMPLETION_WRITE_INTERVAL_MS = 1_500;
 
 /**
  * A job's final record. Invariant (hooks, nothing lost): it is all that hooks are sent from, so what they need of the job is
  * written in the very transaction that ends it, whichever way that is.
  */
-export function finalRecord(
+export function finalRecordOf(
   ctx: Context,
   spec: JobSpec,
-  status: PastRecord["status"],
+  status: FinalRecord["status"],
   done: number,
-): PastRecord {
+): FinalRecord {
   return {
     status,
     tasks: spec.tasks,
@@ -34,7 +34,7 @@
       ? {
           end: {
             team: spec.team,
-            class: spec.class,
+            class: spec.jobClass,
             at: Math.round(ctx.wallMs),
           },
         }
@@ -43,47 +43,47 @@
 }
 
 /** The writing of what a group has finished: ranges of tasks, and the ends of jobs. */
-export class Finishing {
+export class JobCompletion {
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
+    private readonly own: PartitionState,
   ) {}
 
-  finish(job: JobRun, index: number): void {
+  completeTask(job: JobRun, index: number): void {
     // A gang's tasks complete together: if one is done, all of them are.
-    if (job.view.spec.shape === "ensemble") job.finished.addAll(job.mine);
+    if (job.view.spec.kind === "gang") job.finished.addAll(job.assigned);
     else job.finished.add(index);
     job.waiting.removeAll(job.finished);
-    this.finishJob(job);
+    this.writeProgress(job);
   }
 
   /** Writes what is finished: the job's end if nothing is left, else this group's ranges. */
-  finishJob(job: JobRun): void {
-    if (job.gone || job.finished.isEmpty || job.view.spec.shape === "daemon")
+  writeProgress(job: JobRun): void {
+    if (job.isOver || job.finished.isEmpty || job.view.spec.kind === "service")
       return;
-    const all = this.ctx.mirror.allFinished(job.id);
+    const all = this.ctx.cache.allFinished(job.id);
     all.addAll(job.finished);
-    job.complete = all.size >= job.view.spec.tasks;
-    if (job.complete) this.finalize(job);
-    else if (job.written.size < job.finished.size) this.writeFinished(job);
+    job.isComplete = all.size >= job.view.spec.tasks;
+    if (job.isComplete) this.finalize(job);
+    else if (job.written.size < job.finished.size) this.writeCompletions(job);
   }
 
   /** Invariant (rules not_done, went_back): the end is one conditional commit, told only after it. */
   private finalize(job: JobRun): void {
-    if (job.finalizing || job.moving) return;
+    if (job.finalizing || job.pendingTransfer) return;
     job.finalizing = true;
     const id = job.id;
-    const beside = this.ctx.mirror
+    const beside = this.ctx.cache
       .sideKeys(id)
       .slice(0, this.ctx.settings.state.txnOps - 2);
     this.own.commit(
-      [{ key: jobKey(id), version: job.view.version }],
+      [{ key: jobKey(id), version: job.view.revision }],
       endWrites(
         id,
-        finalRecord(this.ctx, job.view.spec, "done", job.view.spec.tasks),
+        finalRecordOf(this.ctx, job.view.spec, "done", job.view.spec.tasks),
         beside,
       ),
-      Urgent.Master,
+      CallPriority.Leader,
       (end) => {
         job.finalizing = false;
         if (end !== "ok")
@@ -95,12 +95,12 @@
     );
   }
 
-  private writeFinished(job: JobRun): void {
+  private writeCompletions(job: JobRun): void {
     if (job.writing) return;
     // Ranges are batched, as the design has it: with 5 changes a second, a write for each finished task kept users
     // waiting. What completes this group's part goes at once, for another group may be waiting for it to end the job.
-    if (this.ctx.nowMs - job.wroteMs < FINISHED_MS) {
-      const unfinished = job.mine.clone();
+    if (this.ctx.nowMs - job.lastWrittenMs < COMPLETION_WRITE_INTERVAL_MS) {
+      const unfinished = job.assigned.clone();
       unfinished.removeAll(job.finished);
       if (!unfinished.isEmpty) return;
     }
@@ -108,20 +108,20 @@
     fresh.removeAll(job.written);
     const first = fresh.first();
     if (first === undefined) return;
-    const block = finBlock(first);
+    const block = completionBlock(first);
     const covered = inBlock(job.finished, block);
-    const key = finKey(job.id, this.own.group, block);
+    const key = completionKey(job.id, this.own.partition, block);
     job.writing = true;
-    job.wroteMs = this.ctx.nowMs;
+    job.lastWrittenMs = this.ctx.nowMs;
     this.own.commit(
       // Without the job's record the ranges would be left behind by a job that is over. Invariant (a task that is done stays
       // done): a commit without an answer that is carried out after a later one would take what that added off the record.
       [
-        { key: jobKey(job.id), version: job.view.version },
-        { key, version: this.ctx.mirror.revisionOf(key) },
+        { key: jobKey(job.id), version: job.view.revision },
+        { key, version: this.ctx.cache.latestRevisionOf(key) },
       ],
-      [{ op: "put", key, value: writeFin(covered) }],
-      Urgent.Master,
+      [{ op: "put", key, value: writeCompletion(covered) }],
+      CallPriority.Leader,
       (end) => {
         job.writing = false;
         if (end === "ok") job.written.addAll(covered);
@@ -138,8 +138,8 @@
   tick(job: JobRun): void {
     if (
       this.ctx.nowMs >= job.backoffUntilMs &&
-      (job.complete || job.written.size < job.finished.size)
+      (job.isComplete || job.written.size < job.finished.size)
     )
-      this.finishJob(job);
+      this.writeProgress(job);
   }
 }
--- a/src/coordination/fleet.ts
+++ b/src/coordination/fleet.ts
@@ -1,14 +1,14 @@
-import { type Context, DRIFT } from "./context.js";
-import { Urgent } from "./effects.js";
-import type { GroupState } from "./group-state.js";
+import { type Context, CLOCK_DRIFT_FACTOR } from "./context.js";
+import { CallPriority } from "./effects.js";
+import type { PartitionState } from "./group-state.js";
 import type { JobSpec, ListedMachine, MachineType } from "./model.js";
-import { allowedOn, fits, suits } from "./placement.js";
-import { Renting } from "./renting.js";
-import type { Sharing } from "./limits/index.js";
-import { graceOf, type Worker } from "./tasks.js";
+import { isAllowedOn, fits, isSuitable } from "./placement.js";
+import { ScaleOut } from "./renting.js";
+import type { QuotaAllocator } from "./limits/index.js";
+import { saveTimeS, type Worker } from "./tasks.js";
 
 /** The window over which the most machines in use are remembered is cut into so many periods. */
-const WARM_PERIODS = 6;
+const PEAK_PERIODS = 6;
 /** Machines that one request gives back; the rest go with the next, at the pace of the cloud's limit. */
 const MAX_RETURNED_AT_ONCE = 100;
 /** A request to give machines back that failed is repeated after this time. */
@@ -27,13 +27,13 @@
 const UNLISTED_BOOTING_MS = 30_000;
 const UNLISTED_LOST_MS = 60_000;
 /** Late copies of reports come well over a lease after they were made. */
-const GONE_KEPT_MS = 900_000;
+const RETURNED_MEMORY_MS = 900_000;
 
 /** What is alike for all machines of one type, zone and kind is worked out once for each: there are hundreds of machines and few kinds. */
 function memo<T>(of: (w: Worker) => T): (w: Worker) => T {
   const known = new Map<string, T>();
   return (w) => {
-    const key = w.type ? w.kind : `?${w.kind}`;
+    const key = w.type ? w.offerKey : `?${w.offerKey}`;
     let value = known.get(key);
     if (value === undefined) known.set(key, (value = of(w)));
     return value;
@@ -41,13 +41,13 @@
 }
 
 /** The machines of one group: rents what waiting work needs and gives back what nothing needs. */
-export class Fleet {
+export class ScaleIn {
   /** Machines to give back. `marked`: the roster says so. */
-  private readonly going = new Map<
+  private readonly returning = new Map<
     string,
     { why: string; retryMs: number; sent: boolean }
   >();
-  readonly renting: Renting;
+  readonly scaleOut: ScaleOut;
   private listed = new Map<string, ListedMachine & { seenMs: number }>();
   private listAfter = "";
   private listing: Map<string, ListedMachine & { seenMs: number }> | null =
@@ -56,7 +56,7 @@
   /** When the first page of the list was asked for. */
   private listingMs = 0;
   /** Machines that were given back: a lagging list may show them for a while. */
-  private readonly goneMs = new Map<string, number>();
+  private readonly returnedMs = new Map<string, number>();
   /** Machines of each type in use at once, the most in each of the last periods. */
   private readonly peaks = new Map<string, number[]>();
   private peakMs: number;
@@ -64,26 +64,27 @@
 
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
-    sharing: Sharing,
+    private readonly own: PartitionState,
+    sharing: QuotaAllocator,
   ) {
     this.peakMs = ctx.nowMs;
     this.objectiveClasses = new Set(
       ctx.settings.objectives.flatMap((o) => o.class ?? []),
     );
-    this.renting = new Renting(ctx, own, sharing, () => this.zones());
+    this.scaleOut = new ScaleOut(ctx, own, sharing, () => this.zones());
   }
 
-  cameUp(w: Worker): void {
+  onMachineUp(w: Worker): void {
     // Found running, not rented by this master: somebody had a use for it.
-    if (!this.renting.booting.delete(w.id))
+    if (!this.scaleOut.booting.delete(w.id))
       this.notePeak(w.typeName, this.count(w.typeName));
-    if (w.going) this.giveUp(w, "marked for return by a former master");
+    if (w.isReturning)
+      this.returnWorker(w, "marked for return by a former master");
   }
 
   /** The cloud has said that it is gone. Names are never given twice: whatever still comes from it is late. */
   isGone(id: string): boolean {
-    return this.goneMs.has(id);
+    return this.returnedMs.has(id);
   }
 
   private typeOf(name: string): MachineType | undefined {
@@ -93,66 +94,71 @@
     const zones = new Set<string>();
     for (const t of this.ctx.catalog ?? [])
       for (const z of t.zones)
-        if (this.ctx.groups.of(z) === this.own.group) zones.add(z);
+        if (this.ctx.partitions.partitionOf(z) === this.own.partition)
+          zones.add(z);
     return [...zones].sort();
   }
 
   // ---- giving back ---------------------------------------------------------------------------------------
 
-  giveUp(w: Worker, why: string): void {
-    w.going = true;
-    this.giveBack(w.id, w.typeName, why);
+  returnWorker(w: Worker, why: string): void {
+    w.isReturning = true;
+    this.returnMachine(w.id, w.typeName, why);
   }
 
-  giveBack(id: string, type: string, why: string): void {
-    if (this.going.has(id)) return;
+  returnMachine(id: string, type: string, why: string): void {
+    if (this.returning.has(id)) return;
     this.ctx.log("scaling in", { worker: id, type, reason: why });
-    this.going.set(id, { why, retryMs: 0, sent: false });
-    this.renting.booting.delete(id);
+    this.returning.set(id, { why, retryMs: 0, sent: false });
+    this.scaleOut.booting.delete(id);
     // Marked before the request can leave: a return that is carried out late must find the machine unused.
-    this.own.roster.set(id, { going: true, type });
+    this.own.registry.set(id, { isReturning: true, type });
   }
 
   private sendReturns(): void {
     const now = this.ctx.nowMs;
     const ids: string[] = [];
-    for (const [id, g] of this.going) {
+    for (const [id, g] of this.returning) {
       if (
         g.sent ||
         now < g.retryMs ||
         ids.length >= MAX_RETURNED_AT_ONCE ||
-        !this.own.roster.goingWritten(id)
+        !this.own.registry.isReturnWritten(id)
       )
         continue;
       const w = this.own.workers.get(id);
       // Its tasks get the time to save; whoever can't is stopped at once.
-      if (w && !w.lost && w.tasks.size > 0) {
+      if (w && !w.leaseExpired && w.tasks.size > 0) {
         for (const t of w.tasks.values())
-          this.own.stop(t, graceOf(t), "machine goes back");
+          this.own.stop(t, saveTimeS(t), "machine goes back");
         continue;
       }
       ids.push(id);
       g.sent = true;
     }
     if (ids.length === 0) return;
-    this.ctx.cloud({ op: "return", machines: ids }, Urgent.Spare, (reply) => {
-      if (reply.is === "returned") {
-        for (const id of ids) this.going.delete(id);
-        for (const id of ids) {
-          this.listed.delete(id);
-          this.goneMs.set(id, this.ctx.nowMs);
+    this.ctx.cloud(
+      { op: "return", machines: ids },
+      CallPriority.Background,
+      (reply) => {
+        if (reply.kind === "returned") {
+          for (const id of ids) this.returning.delete(id);
+          for (const id of ids) {
+            this.listed.delete(id);
+            this.returnedMs.set(id, this.ctx.nowMs);
+          }
+          this.own.machinesGone(ids);
+          return;
         }
-        this.own.machinesGone(ids);
-        return;
-      }
-      for (const id of ids) {
-        const g = this.going.get(id);
-        if (g) {
-          g.sent = false;
-          g.retryMs = this.ctx.nowMs + RETURN_RETRY_MS;
+        for (const id of ids) {
+          const g = this.returning.get(id);
+          if (g) {
+            g.sent = false;
+            g.retryMs = this.ctx.nowMs + RETURN_RETRY_MS;
+          }
         }
-      }
-    });
+      },
+    );
   }
 
   // ---- how many to keep ----------------------------------------------------------------------------------
@@ -160,13 +166,13 @@
   private count(type: string): number {
     let n = 0;
     for (const w of this.own.workers.values())
-      if (w.typeName === type && !w.lost && !w.going) n++;
+      if (w.typeName === type && !w.leaseExpired && !w.isReturning) n++;
     return n;
   }
   private notePeak(type: string, n: number): void {
     let p = this.peaks.get(type);
     if (!p)
-      this.peaks.set(type, (p = Array.from({ length: WARM_PERIODS }, () => 0)));
+      this.peaks.set(type, (p = Array.from({ length: PEAK_PERIODS }, () => 0)));
     p[0] = Math.max(p[0]!, n);
   }
   private peakOf(type: string): number {
@@ -177,7 +183,7 @@
     return Math.ceil(this.peakOf(type) * this.ctx.tuning.spareShare);
   }
   private notePeaks(): void {
-    const periodMs = (this.ctx.tuning.warmWindowS * 1000) / WARM_PERIODS;
+    const periodMs = (this.ctx.tuning.warmWindowS * 1000) / PEAK_PERIODS;
     if (this.ctx.nowMs - this.peakMs > periodMs) {
       this.peakMs = this.ctx.nowMs;
       for (const p of this.peaks.values()) {
@@ -205,8 +211,8 @@
     );
     for (const w of this.own.workers.values())
       if (
-        !w.going &&
-        !w.lost &&
+        !w.isReturning &&
+        !w.leaseExpired &&
         w.idleSinceMs !== null &&
         now - w.idleSinceMs >=
           Math.max(
@@ -236,40 +242,45 @@
         spare.set(w.typeName, left - 1);
         if (left <= 0) continue;
       }
-      this.giveUp(w, "idle");
+      this.returnWorker(w, "idle");
     }
     for (const w of this.own.workers.values())
       if (
-        !w.going &&
-        w.lost &&
-        now - w.answeredMs > this.ctx.tuning.silentReturnS * 1000
+        !w.isReturning &&
+        w.leaseExpired &&
+        now - w.lastAnsweredMs > this.ctx.tuning.silentReturnS * 1000
       )
-        this.giveUp(w, "silent for too long");
-    for (const w of this.own.deafMachines().slice(0, this.own.deafReplaced()))
-      if (now - w.receipt.deafMs! > this.ctx.tuning.silentReturnS * 1000)
-        this.giveUp(w, "does not receive");
-    for (const [id, b] of this.renting.booting) {
+        this.returnWorker(w, "silent for too long");
+    for (const w of this.own
+      .unreachableMachines()
+      .slice(0, this.own.unreachableBeingReplaced()))
+      if (
+        now - w.delivery.unreachableSinceMs! >
+        this.ctx.tuning.silentReturnS * 1000
+      )
+        this.returnWorker(w, "does not receive");
+    for (const [id, b] of this.scaleOut.booting) {
       const usual = (this.typeOf(b.type)?.bootS ?? UNKNOWN_BOOT_S) * 1000;
       if (
         now - b.rentedMs >
         usual * this.ctx.tuning.bootPatience + BOOT_SLACK_MS
       )
-        this.giveBack(id, b.type, "never came up");
+        this.returnMachine(id, b.type, "never came up");
     }
   }
 
   /** The last job of each class that an objective names: machines for its like are kept. */
   private readonly classNeeds = new Map<string, JobSpec>();
   noteJob(spec: JobSpec): void {
-    if (this.objectiveClasses.has(spec.class))
-      this.classNeeds.set(spec.class, spec);
+    if (this.objectiveClasses.has(spec.jobClass))
+      this.classNeeds.set(spec.jobClass, spec);
   }
   private serves(cls: string | undefined, w: Worker): boolean {
     const s = cls === undefined ? undefined : this.classNeeds.get(cls);
     return (
       s !== undefined &&
       w.type !== null &&
-      allowedOn({ ...s, zone: null }, w.typeName, w.zone, w.spot) &&
+      isAllowedOn({ ...s, zone: null }, w.typeName, w.zone, w.spot) &&
       fits(s, w.type) &&
       s.gpus > 0 === w.type.gpus > 0
     );
@@ -281,10 +292,10 @@
       const s = j.view.spec;
       if (
         !j.waiting.isEmpty &&
-        allowedOn(s, w.typeName, w.zone, w.spot) &&
+        isAllowedOn(s, w.typeName, w.zone, w.spot) &&
         w.type &&
         fits(s, w.type) &&
-        suits(s, w.type, w.spot, this.ctx.catalog)
+        isSuitable(s, w.type, w.spot, this.ctx.catalog)
       )
         return true;
     }
@@ -302,14 +313,14 @@
     const listing = this.listing;
     this.ctx.cloud(
       { op: "list", after: this.listAfter },
-      Urgent.Spare,
+      CallPriority.Background,
       (reply) => {
-        if (reply.is !== "list") {
+        if (reply.kind !== "list") {
           this.nextListMs = this.ctx.nowMs + LIST_RETRY_MS;
           return;
         }
         for (const m of reply.machines)
-          if (this.ctx.groups.of(m.zone) === this.own.group)
+          if (this.ctx.partitions.partitionOf(m.zone) === this.own.partition)
             listing.set(m.id, { ...m, seenMs: this.ctx.nowMs });
         const last = reply.machines.at(-1);
         if (reply.more && last) {
@@ -331,47 +342,50 @@
   private readList(): void {
     const now = this.ctx.nowMs;
     const lagMs = this.ctx.settings.cloud.listLagS * 2_000;
-    this.own.listed(this.listed, this.listingMs - lagMs * DRIFT);
+    this.own.noteMachineList(
+      this.listed,
+      this.listingMs - lagMs * CLOCK_DRIFT_FACTOR,
+    );
     for (const m of this.listed.values()) {
-      if (this.going.has(m.id) || this.goneMs.has(m.id)) continue;
+      if (this.returning.has(m.id) || this.returnedMs.has(m.id)) continue;
       if (m.state === "failed") {
-        this.giveBack(m.id, m.type, "failed");
+        this.returnMachine(m.id, m.type, "failed");
         continue;
       }
       if (this.own.workers.has(m.id)) continue;
-      const known = this.renting.booting.get(m.id);
+      const known = this.scaleOut.booting.get(m.id);
       // A rental of a former master, or one carried out late: used like any other once it comes up.
       // One that runs already may be cut off: it has as long as a new one to make itself heard.
       if (!known)
-        this.renting.booting.set(m.id, {
+        this.scaleOut.booting.set(m.id, {
           type: m.type,
           zone: m.zone,
           spot: m.spot,
           rentedMs: m.state === "starting" ? now - m.ageS * 1000 : now,
         });
     }
-    for (const [id, at] of this.goneMs)
-      if (now - at > 2 * lagMs + GONE_KEPT_MS) this.goneMs.delete(id);
-    for (const [id, b] of this.renting.booting)
+    for (const [id, at] of this.returnedMs)
+      if (now - at > 2 * lagMs + RETURNED_MEMORY_MS) this.returnedMs.delete(id);
+    for (const [id, b] of this.scaleOut.booting)
       if (
         !this.listed.has(id) &&
         now - b.rentedMs > lagMs + UNLISTED_BOOTING_MS
       )
-        this.renting.booting.delete(id);
+        this.scaleOut.booting.delete(id);
     for (const w of this.own.workers.values()) {
       // Taken by the cloud: neither heard of nor listed.
       if (
-        w.lost &&
-        !w.going &&
+        w.leaseExpired &&
+        !w.isReturning &&
         !this.listed.has(w.id) &&
-        now - w.answeredMs > lagMs + UNLISTED_LOST_MS
+        now - w.lastAnsweredMs > lagMs + UNLISTED_LOST_MS
       )
-        this.giveUp(w, "gone");
+        this.returnWorker(w, "gone");
     }
   }
 
   /** Places to keep free where a class is expected to start sooner than a machine boots. */
-  private spare(): { spec: JobSpec; places: number }[] {
+  private warmCapacity(): { spec: JobSpec; places: number }[] {
     const out: { spec: JobSpec; places: number }[] = [];
     for (const o of this.ctx.settings.objectives) {
       const spec =
@@ -380,11 +394,11 @@
           : undefined;
       if (!spec) continue;
       const types = new Set<string>();
-      const serves = memo((w: Worker) => this.serves(spec.class, w));
+      const serves = memo((w: Worker) => this.serves(spec.jobClass, w));
       for (const w of this.own.workers.values())
         if (
-          !w.lost &&
-          !w.going &&
+          !w.leaseExpired &&
+          !w.isReturning &&
           w.type &&
           (o.withinS ?? Infinity) < w.type.bootS &&
           !types.has(w.typeName) &&
@@ -405,6 +419,6 @@
     this.notePeaks();
     this.returnIdle();
     this.sendReturns();
-    this.renting.tick(() => this.spare());
+    this.scaleOut.tick(() => this.warmCapacity());
   }
 }
--- a/src/coordination/group-state.ts
+++ b/src/coordination/group-state.ts
@@ -1,22 +1,26 @@
 import type { Condition, Write } from "../protocol/state.js";
-import { reportGapMs } from "../protocol/workers.js";
-import { groupKey } from "../storage/records.js";
+import { heartbeatGapMs } from "../protocol/workers.js";
+import { partitionKey } from "../storage/records.js";
 import { type Backlog, backlogOf } from "./backlog.js";
-import { type CommitEnd, type Context, DRIFT } from "./context.js";
-import { Urgent } from "./effects.js";
-import { Ledger, type Use } from "./ledger.js";
+import {
+  type TransactionOutcome,
+  type Context,
+  CLOCK_DRIFT_FACTOR,
+} from "./context.js";
+import { CallPriority } from "./effects.js";
+import { ResourceLedger, type ResourceUse } from "./ledger.js";
 import { type ListedMachine, taskKey } from "./model.js";
-import { Roster } from "./roster.js";
+import { MachineRegistry } from "./roster.js";
 import type { JobRun, TaskRun, Worker } from "./tasks.js";
 
 /** What the tasks that a machine is known to have take. */
-function listedOn(w: Worker | undefined): Use {
+function usageListedOn(w: Worker | undefined): ResourceUse {
   const sum = { cpus: 0, gpus: 0 };
   for (const t of w?.tasks.values() ?? []) {
     sum.cpus += t.job.view.spec.cpus;
     sum.gpus += t.job.view.spec.gpus;
   }
-  for (const s of w?.strays.values() ?? []) {
+  for (const s of w?.unconfirmedTasks.values() ?? []) {
     sum.cpus += s.need?.cpus ?? 0;
     sum.gpus += s.need?.gpus ?? 0;
   }
@@ -24,71 +28,75 @@
 }
 
 const LEASE_SLACK_MS = 1_000;
-const LIST_SLACK_MS = 500;
+const MACHINE_LIST_SLACK_MS = 500;
 /** What a machine of unknown size may use at most, in CPUs and accelerators: more than any limit. */
-const UNKNOWN_SIZE = 1e9;
+const UNKNOWN_MACHINE_SIZE = 1e9;
 /** Of a group's machines, those that may be replaced at a time for receiving nothing. */
-const REPLACED_SHARE = 0.1;
+const MAX_REPLACED_SHARE = 0.1;
 
 /**
  * What the master of a group knows under its token: machines, jobs, what is or may be on the machines, what is held for whom, and
  * what a former master may have left running. All parts of a master read it and change it by what is offered here, which
  * keeps it consistent; none of them owns a part of it, and nothing here calls any of them.
  */
-export class GroupState {
+export class PartitionState {
   readonly workers = new Map<string, Worker>();
   readonly jobs = new Map<string, JobRun>();
-  readonly ledger = new Ledger();
-  readonly roster: Roster;
+  readonly ledger = new ResourceLedger();
+  readonly registry: MachineRegistry;
   /** Something changed that placing goes by. */
-  dirty = true;
+  needsScheduling = true;
   /** Machines with orders that they were not told yet. */
-  readonly untold = new Set<Worker>();
+  readonly undelivered = new Set<Worker>();
   /** Machines whose room a gang held in the last placing pass. */
-  readonly holding = new Set<Worker>();
+  readonly reservedForGangs = new Set<Worker>();
   /** Machines of the former master that have not reported under this token, with their types; null: all accounted for. */
-  private fence: Map<string, string> | null;
+  private failoverFence: Map<string, string> | null;
   /** The roster may lack some of them: the fence also waits for a list of the cloud that names them. */
-  private fenceLacksList: boolean;
-  private readonly sinceMs: number;
+  private fenceAwaitsMachineList: boolean;
+  private readonly startedMs: number;
 
   constructor(
     private readonly ctx: Context,
-    readonly group: string,
+    readonly partition: string,
     readonly token: number,
     /** Whether this controller may act for the group at this moment. */
-    readonly permitted: () => boolean,
+    readonly mayAct: () => boolean,
   ) {
-    this.sinceMs = ctx.nowMs;
-    this.roster = new Roster(
+    this.startedMs = ctx.nowMs;
+    this.registry = new MachineRegistry(
       ctx,
-      group,
+      partition,
       (conditions, writes, done) =>
-        this.commit(conditions, writes, Urgent.Master, done),
+        this.commit(conditions, writes, CallPriority.Leader, done),
       () => {
-        this.dirty = true;
+        this.needsScheduling = true;
       },
     );
     // Invariant (rules ran_twice, quota, wrong_place): whatever a former master may have started counts as
     // running until every machine it could have used has spoken under this token or is past its lease.
-    this.fence = new Map();
-    for (const [id, { type }] of this.roster.machines())
-      this.fence.set(id, type);
-    this.fenceLacksList = this.roster.mayLackMachines;
-    if (this.fence.size === 0 && !this.fenceLacksList) this.fence = null;
+    this.failoverFence = new Map();
+    for (const [id, { type }] of this.registry.machines())
+      this.failoverFence.set(id, type);
+    this.fenceAwaitsMachineList = this.registry.mayLackMachines;
+    if (this.failoverFence.size === 0 && !this.fenceAwaitsMachineList)
+      this.failoverFence = null;
   }
 
   /** Every commit of a master depends on its token, so that a late one changes nothing after a takeover. */
   commit(
     conditions: Condition[],
     writes: Write[],
-    urgent: Urgent,
-    done: (end: CommitEnd) => void,
+    priority: CallPriority,
+    done: (end: TransactionOutcome) => void,
   ): void {
     this.ctx.commit(
-      [{ key: groupKey(this.group), version: this.token }, ...conditions],
+      [
+        { key: partitionKey(this.partition), version: this.token },
+        ...conditions,
+      ],
       writes,
-      urgent,
+      priority,
       done,
     );
   }
@@ -98,36 +106,36 @@
   requeue(t: TaskRun): void {
     const { job, index } = t;
     if (job.active.get(index) === t) job.active.delete(index);
-    this.ledger.drop(t);
+    this.ledger.remove(t);
     if (
-      !job.gone &&
-      job.mine.has(index) &&
+      !job.isOver &&
+      job.assigned.has(index) &&
       !job.finished.has(index) &&
-      !job.moving?.tasks.has(index)
+      !job.pendingTransfer?.tasks.has(index)
     ) {
       if (job.waiting.isEmpty) job.waitingSinceMs = this.ctx.nowMs;
       job.waiting.add(index);
     }
     this.noteIdle(t.worker);
-    this.dirty = true;
+    this.needsScheduling = true;
   }
 
   /** What waits of a job: all of this group's part that is neither finished, nor on a machine, nor being handed over. */
-  refresh(job: JobRun): void {
-    const waiting = job.mine.clone();
+  recomputeWaiting(job: JobRun): void {
+    const waiting = job.assigned.clone();
     waiting.removeAll(job.finished);
     for (const i of job.active.keys()) waiting.remove(i);
-    if (job.moving) waiting.removeAll(job.moving.tasks);
+    if (job.pendingTransfer) waiting.removeAll(job.pendingTransfer.tasks);
     if (job.waiting.isEmpty && !waiting.isEmpty)
       job.waitingSinceMs = this.ctx.nowMs;
     job.waiting = waiting;
-    this.dirty = true;
+    this.needsScheduling = true;
   }
 
   stop(t: TaskRun, graceS: number, why: string): void {
     if (t.stop && t.stop.graceS <= graceS) return;
     t.stop = { graceS, why };
-    this.untold.add(t.worker);
+    this.undelivered.add(t.worker);
     this.ctx.log("stopping task", {
       task: taskKey(t.job.id, t.index),
       worker: t.worker.id,
@@ -137,22 +145,23 @@
 
   mayStart(job: JobRun): boolean {
     return (
-      !job.gone &&
+      !job.isOver &&
       !job.waiting.isEmpty &&
       this.ctx.nowMs >= job.backoffUntilMs &&
       // See the fence: a task of an older record may be running on a machine that has not spoken yet.
-      !(this.fence && job.old)
+      !(this.failoverFence && job.predatesLeader)
     );
   }
 
   /** All tasks of the job wait here, and nothing of it is or may be on a machine of the group. */
-  waitsWhole(job: JobRun): boolean {
+  isWhollyWaiting(job: JobRun): boolean {
     return (
-      job.waiting.size === job.view.spec.tasks && !this.ledger.hasStrays(job.id)
+      job.waiting.size === job.view.spec.tasks &&
+      !this.ledger.hasUnconfirmed(job.id)
     );
   }
 
-  runningOf(id: string): number {
+  runningTasksOf(id: string): number {
     let n = 0;
     for (const t of this.jobs.get(id)?.active.values() ?? [])
       if (t.phase === "running" || t.phase === "saving") n++;
@@ -163,47 +172,54 @@
    * Tasks that a job stands back by in the queues: those of an array that are unfinished anywhere in the fleet. By its own
    * waiting part alone, each group served another array first, and with little to share all had begun and few ended.
    */
-  unfinished(job: JobRun): number {
+  unfinishedTasks(job: JobRun): number {
     const { spec } = job.view;
     // Parts of one gang wait for each other: with a turn by its size each, one held what the other came to only much later.
-    if (spec.shape === "ensemble" && spec.spread) return spec.tasks;
-    if (spec.shape !== "batch" || !this.ctx.tuning.fleetOrder)
+    if (spec.kind === "gang" && spec.spread) return spec.tasks;
+    if (spec.kind !== "array" || !this.ctx.tuning.fleetOrder)
       return job.waiting.size;
     return Math.max(
       job.waiting.size,
-      spec.tasks - this.ctx.mirror.finishedCount(job.id),
+      spec.tasks - this.ctx.cache.finishedCount(job.id),
     );
   }
 
   /** Tasks that wait, by kind of machine. */
-  queue(): Backlog {
+  backlog(): Backlog {
     return backlogOf(this.jobs.values());
   }
 
   /** What each team uses in this group, counting all that may be running. */
-  usage(): Map<string, Use> {
+  usage(): Map<string, ResourceUse> {
     const used = this.ledger.used();
-    const blind = this.ledger.blindUse();
-    const add = (team: string, need: Use, n = 1): void => {
+    const blind = this.ledger.unsizedUse();
+    const add = (team: string, need: ResourceUse, n = 1): void => {
       const u = used.get(team) ?? { cpus: 0, gpus: 0 };
       u.cpus += need.cpus * n;
       u.gpus += need.gpus * n;
       used.set(team, u);
     };
-    if (this.fence) {
+    if (this.failoverFence) {
       for (const j of this.jobs.values())
-        if (j.old) add(j.view.spec.team, j.view.spec, j.waiting.size);
+        if (j.predatesLeader)
+          add(j.view.spec.team, j.view.spec, j.waiting.size);
       // A silent machine may also run tasks of jobs that are over, of any team.
       // One whose report may be a late copy may run more than that lists.
-      for (const [id, typeName] of this.fence) {
+      for (const [id, typeName] of this.failoverFence) {
         const type = this.ctx.catalog?.find((t) => t.name === typeName);
-        const known = listedOn(this.workers.get(id));
-        blind.cpus += Math.max(0, (type?.cpus ?? UNKNOWN_SIZE) - known.cpus);
-        blind.gpus += Math.max(0, (type?.gpus ?? UNKNOWN_SIZE) - known.gpus);
+        const known = usageListedOn(this.workers.get(id));
+        blind.cpus += Math.max(
+          0,
+          (type?.cpus ?? UNKNOWN_MACHINE_SIZE) - known.cpus,
+        );
+        blind.gpus += Math.max(
+          0,
+          (type?.gpus ?? UNKNOWN_MACHINE_SIZE) - known.gpus,
+        );
       }
-      if (this.fenceLacksList) {
-        blind.cpus += UNKNOWN_SIZE;
-        blind.gpus += UNKNOWN_SIZE;
+      if (this.fenceAwaitsMachineList) {
+        blind.cpus += UNKNOWN_MACHINE_SIZE;
+        blind.gpus += UNKNOWN_MACHINE_SIZE;
       }
     }
     for (const team of this.ctx.settings.teams.keys()) add(team, blind);
@@ -213,7 +229,7 @@
   // ---- machines ------------------------------------------------------------------------------------------
 
   noteIdle(w: Worker): void {
-    if (w.tasks.size + w.strays.size > 0) w.idleSinceMs = null;
+    if (w.tasks.size + w.unconfirmedTasks.size > 0) w.idleSinceMs = null;
     else w.idleSinceMs ??= this.ctx.nowMs;
   }
 
@@ -225,54 +241,63 @@
         reason: why,
       });
     for (const t of [...w.tasks.values()]) this.requeue(t);
-    this.ledger.clearStrays(w);
+    this.ledger.clearUnconfirmed(w);
     this.noteIdle(w);
   }
 
   /** Heard lately enough to expect that it takes orders. */
-  private isHeard(w: Worker): boolean {
+  private isReachable(w: Worker): boolean {
     return (
-      !w.lost &&
-      this.ctx.nowMs - w.answeredMs < 2_000 * this.ctx.settings.reportS + 1_000
+      !w.leaseExpired &&
+      this.ctx.nowMs - w.lastAnsweredMs <
+        2_000 * this.ctx.settings.reportS + 1_000
     );
   }
 
   /** Most of its workers have not been heard of for longer than a report and its retry take. */
-  deaf(): boolean {
-    const limit = reportGapMs(this.ctx.settings.reportS);
+  unreachableIn(): boolean {
+    const limit = heartbeatGapMs(this.ctx.settings.reportS);
     let silent = 0;
     let all = 0;
     for (const w of this.workers.values()) {
-      if (w.lost && this.ctx.nowMs - w.answeredMs > 60_000) continue;
+      if (w.leaseExpired && this.ctx.nowMs - w.lastAnsweredMs > 60_000)
+        continue;
       all++;
-      if (this.ctx.nowMs - w.answeredMs > limit) silent++;
+      if (this.ctx.nowMs - w.lastAnsweredMs > limit) silent++;
     }
-    if (all === 0) return this.ctx.nowMs - this.sinceMs > limit;
+    if (all === 0) return this.ctx.nowMs - this.startedMs > limit;
     return silent * 2 > all;
   }
 
   /** Machines that are heard and receive nothing, as far as known, longest first. */
-  deafMachines(): Worker[] {
+  unreachableMachines(): Worker[] {
     const out: Worker[] = [];
     for (const w of this.workers.values())
-      if (w.receipt.deafMs !== null && !w.lost && !w.going) out.push(w);
-    return out.sort((a, b) => a.receipt.deafMs! - b.receipt.deafMs!);
+      if (
+        w.delivery.unreachableSinceMs !== null &&
+        !w.leaseExpired &&
+        !w.isReturning
+      )
+        out.push(w);
+    return out.sort(
+      (a, b) => a.delivery.unreachableSinceMs! - b.delivery.unreachableSinceMs!,
+    );
   }
   /** How many of them are replaced at a time. */
-  deafReplaced(): number {
-    return Math.max(1, Math.ceil(this.workers.size * REPLACED_SHARE));
+  unreachableBeingReplaced(): number {
+    return Math.max(1, Math.ceil(this.workers.size * MAX_REPLACED_SHARE));
   }
 
-  usable(w: Worker): boolean {
+  isUsable(w: Worker): boolean {
     return (
-      !w.going &&
-      w.receipt.proven &&
-      w.receipt.deafMs === null &&
-      w.takenAtMs === null &&
+      !w.isReturning &&
+      w.delivery.proven &&
+      w.delivery.unreachableSinceMs === null &&
+      w.reclaimedAtMs === null &&
       w.type !== null &&
       this.ctx.nowMs >= w.avoidUntilMs &&
-      this.isHeard(w) &&
-      this.roster.has(w.id)
+      this.isReachable(w) &&
+      this.registry.has(w.id)
     );
   }
 
@@ -282,7 +307,7 @@
     reserved: ReadonlySet<string>;
   } {
     const usable: Worker[] = [];
-    for (const w of this.workers.values()) if (this.usable(w)) usable.push(w);
+    for (const w of this.workers.values()) if (this.isUsable(w)) usable.push(w);
     // Which are reserved follows from which are usable: mostly the same as the last time, several times a second.
     const last = this.lastUsable;
     if (
@@ -315,39 +340,39 @@
   }
 
   /** What is held for a job is not there for others. */
-  isHeld(w: Worker): boolean {
+  isReservedForOther(w: Worker): boolean {
     return (
-      this.holding.has(w) ||
-      (w.heldFor !== null && this.ctx.nowMs < w.heldFor.untilMs)
+      this.reservedForGangs.has(w) ||
+      (w.reservedFor !== null && this.ctx.nowMs < w.reservedFor.untilMs)
     );
   }
 
   // ---- the fence, and what is gone -----------------------------------------------------------------------
 
   /** A former master's tasks are not all accounted for yet. */
-  get fenced(): boolean {
-    return this.fence !== null;
+  get isFenced(): boolean {
+    return this.failoverFence !== null;
   }
 
   accountFor(id: string): void {
-    if (!this.fence) return;
-    this.fence.delete(id);
-    if (this.fence.size === 0 && !this.fenceLacksList)
+    if (!this.failoverFence) return;
+    this.failoverFence.delete(id);
+    if (this.failoverFence.size === 0 && !this.fenceAwaitsMachineList)
       this.liftFence("every machine has reported");
   }
 
   private liftFence(why: string): void {
     this.ctx.log("failover complete", {
-      partition: this.group,
+      partition: this.partition,
       token: this.token,
       reason: why,
-      silent: [...(this.fence?.keys() ?? [])].slice(0, 10),
-      afterMs: Math.round(this.ctx.nowMs - this.sinceMs),
+      silent: [...(this.failoverFence?.keys() ?? [])].slice(0, 10),
+      afterMs: Math.round(this.ctx.nowMs - this.startedMs),
     });
-    this.fence = null;
-    this.fenceLacksList = false;
-    this.roster.confirm();
-    this.dirty = true;
+    this.failoverFence = null;
+    this.fenceAwaitsMachineList = false;
+    this.registry.confirm();
+    this.needsScheduling = true;
   }
 
   /**
@@ -356,7 +381,7 @@
    * whole lease (docs/incidents/tremorline-grown-crashes.md).
    */
   forgetMachine(id: string): void {
-    if (!this.roster.goingWritten(id)) this.roster.remove(id);
+    if (!this.registry.isReturnWritten(id)) this.registry.remove(id);
   }
 
   /** The cloud has said that these machines are gone, with everything on them. */
@@ -367,7 +392,7 @@
         this.releaseAll(w, "machine returned");
         this.workers.delete(id);
       }
-      this.roster.remove(id);
+      this.registry.remove(id);
       this.accountFor(id);
     }
   }
@@ -378,10 +403,14 @@
    * does not show is not waited for. One machine that was taken without notice held up each takeover of hundreds for a
    * whole lease.
    */
-  listed(machines: ReadonlyMap<string, ListedMachine>, asOfMs: number): void {
-    if (!this.fence || asOfMs < this.sinceMs + LIST_SLACK_MS) return;
-    if (this.fenceLacksList) this.fenceListed(machines);
-    for (const id of [...(this.fence?.keys() ?? [])]) {
+  noteMachineList(
+    machines: ReadonlyMap<string, ListedMachine>,
+    asOfMs: number,
+  ): void {
+    if (!this.failoverFence || asOfMs < this.startedMs + MACHINE_LIST_SLACK_MS)
+      return;
+    if (this.fenceAwaitsMachineList) this.fenceListed(machines);
+    for (const id of [...(this.failoverFence?.keys() ?? [])]) {
       if (machines.has(id) || this.workers.has(id)) continue;
       this.ctx.log("machine of former leader is gone", {
         worker: id,
@@ -396,29 +425,35 @@
    * began, so this list names them, whether the roster does or not. One that stopped of its own accord runs nothing.
    */
   private fenceListed(machines: ReadonlyMap<string, ListedMachine>): void {
-    this.fenceLacksList = false;
+    this.fenceAwaitsMachineList = false;
     let added = 0;
     for (const [id, machine] of machines) {
       const hasReported = (this.workers.get(id)?.token ?? 0) >= this.token;
-      if (machine.state === "failed" || hasReported || this.fence!.has(id))
+      if (
+        machine.state === "failed" ||
+        hasReported ||
+        this.failoverFence!.has(id)
+      )
         continue;
-      this.fence!.set(id, machine.type);
+      this.failoverFence!.set(id, machine.type);
       added++;
     }
     this.ctx.log("failover waits for machines missing from the registry", {
-      partition: this.group,
+      partition: this.partition,
       machines: added,
     });
-    if (this.fence!.size === 0) this.liftFence("every machine has reported");
+    if (this.failoverFence!.size === 0)
+      this.liftFence("every machine has reported");
   }
 
   /** Leases that have ended: of the machines that a takeover waits for, and of those that fell silent. */
-  expire(): void {
+  expireLeases(): void {
     const now = this.ctx.nowMs;
-    const leaseMs = this.ctx.settings.leaseS * 1000 * DRIFT + LEASE_SLACK_MS;
-    if (this.fence && now - this.sinceMs > leaseMs) {
+    const leaseMs =
+      this.ctx.settings.leaseS * 1000 * CLOCK_DRIFT_FACTOR + LEASE_SLACK_MS;
+    if (this.failoverFence && now - this.startedMs > leaseMs) {
       // Invariant (ran_twice): a machine that has reported, though not under this token yet, may run tasks: it stays.
-      for (const id of this.fence.keys())
+      for (const id of this.failoverFence.keys())
         if (!this.workers.has(id)) this.forgetMachine(id);
       this.liftFence("leases of silent machines have ended");
     }
@@ -426,12 +461,12 @@
       // Invariant (ran_twice): a machine that was back at once begins a new lease, under the session that it had before if
       // that was its first: a start sent straight to it is carried out then. Its lease began before that command ended.
       if (
-        w.lost ||
-        w.direct ||
-        now - Math.max(w.answeredMs, w.receipt.commandMs) <= leaseMs
+        w.leaseExpired ||
+        w.commandInFlight ||
+        now - Math.max(w.lastAnsweredMs, w.delivery.lastCommandMs) <= leaseMs
       )
         continue;
-      w.lost = true;
+      w.leaseExpired = true;
       this.ctx.log("worker lease expired", {
         worker: w.id,
         tasks: w.tasks.size,
--- a/src/coordination/groups.ts
+++ b/src/coordination/groups.ts
@@ -5,11 +5,11 @@
  * one master alone rents, uses and returns machines there. A zone with a controller is that controller's (the
  * first by label, if several); the others are dealt out by sorted order.
  */
-export class Groups {
+export class PartitionMap {
   /** A group bears the label of its home controller. */
   readonly names: string[];
-  private readonly byZone = new Map<string, string>();
-  private readonly bare: string[];
+  private readonly partitionByZone = new Map<string, string>();
+  private readonly zonesWithoutController: string[];
 
   constructor(s: Pick<Settings, "label" | "area" | "peers" | "zones">) {
     const nodes = [{ label: s.label, area: s.area }, ...s.peers].sort((a, b) =>
@@ -17,15 +17,18 @@
     );
     this.names = nodes.map((n) => n.label);
     for (const n of nodes)
-      if (!this.byZone.has(n.area)) this.byZone.set(n.area, n.label);
-    this.bare = s.zones.filter((z) => !this.byZone.has(z)).sort();
-    this.bare.forEach((z, i) =>
-      this.byZone.set(z, this.names[i % this.names.length]!),
+      if (!this.partitionByZone.has(n.area))
+        this.partitionByZone.set(n.area, n.label);
+    this.zonesWithoutController = s.zones
+      .filter((z) => !this.partitionByZone.has(z))
+      .sort();
+    this.zonesWithoutController.forEach((z, i) =>
+      this.partitionByZone.set(z, this.names[i % this.names.length]!),
     );
   }
 
-  of(zone: string): string {
-    const g = this.byZone.get(zone);
+  partitionOf(zone: string): string {
+    const g = this.partitionByZone.get(zone);
     if (g !== undefined) return g;
     // A zone that the settings don't name (a machine may turn up anywhere): any fixed choice will do.
     let sum = 0;
--- a/src/coordination/ledger.ts
+++ b/src/coordination/ledger.ts
@@ -1,6 +1,11 @@
-import { type Stray, runKey, type TaskRun, type Worker } from "./tasks.js";
+import {
+  type UnconfirmedTask,
+  attemptKey,
+  type TaskRun,
+  type Worker,
+} from "./tasks.js";
 
-export interface Use {
+export interface ResourceUse {
   cpus: number;
   gpus: number;
 }
@@ -10,13 +15,13 @@
  * where tasks are that should not be there. Reports come by the hundred a second on large groups: none of this
  * may be counted anew for one.
  */
-export class Ledger {
-  private readonly teams = new Map<string, Use & { tasks: number }>();
-  private readonly strays = new Map<string, Set<Stray>>();
+export class ResourceLedger {
+  private readonly teams = new Map<string, ResourceUse & { tasks: number }>();
+  private readonly unconfirmedByJob = new Map<string, Set<UnconfirmedTask>>();
   /** Machines with a task of a job that nobody knows: it may be of any team and any size. */
-  private readonly blind = new Map<Worker, number>();
+  private readonly unsized = new Map<Worker, number>();
 
-  private use(team: string, need: Use, sign: 1 | -1): void {
+  private use(team: string, need: ResourceUse, sign: 1 | -1): void {
     const u = this.teams.get(team) ?? { cpus: 0, gpus: 0, tasks: 0 };
     u.tasks += sign;
     // Sums of decimal numbers drift: nothing used is exactly nothing.
@@ -25,46 +30,46 @@
     this.teams.set(team, u);
   }
 
-  put(t: TaskRun): void {
+  add(t: TaskRun): void {
     t.worker.free = null;
-    t.worker.tasks.set(runKey(t.job.id, t.index, t.attempt), t);
+    t.worker.tasks.set(attemptKey(t.job.id, t.index, t.attempt), t);
     this.use(t.job.view.spec.team, t.job.view.spec, 1);
   }
-  drop(t: TaskRun): void {
+  remove(t: TaskRun): void {
     t.worker.free = null;
-    if (t.worker.tasks.delete(runKey(t.job.id, t.index, t.attempt)))
+    if (t.worker.tasks.delete(attemptKey(t.job.id, t.index, t.attempt)))
       this.use(t.job.view.spec.team, t.job.view.spec, -1);
   }
 
-  addStray(s: Stray): void {
+  addUnconfirmed(s: UnconfirmedTask): void {
     s.worker.free = null;
-    s.worker.strays.set(runKey(s.job, s.index, s.attempt), s);
-    let of = this.strays.get(s.job);
-    if (!of) this.strays.set(s.job, (of = new Set()));
+    s.worker.unconfirmedTasks.set(attemptKey(s.job, s.index, s.attempt), s);
+    let of = this.unconfirmedByJob.get(s.job);
+    if (!of) this.unconfirmedByJob.set(s.job, (of = new Set()));
     of.add(s);
     if (s.need) this.use(s.need.team, s.need, 1);
-    else this.blind.set(s.worker, (this.blind.get(s.worker) ?? 0) + 1);
+    else this.unsized.set(s.worker, (this.unsized.get(s.worker) ?? 0) + 1);
   }
-  clearStrays(w: Worker): void {
-    if (w.strays.size === 0) return;
+  clearUnconfirmed(w: Worker): void {
+    if (w.unconfirmedTasks.size === 0) return;
     w.free = null;
-    for (const s of w.strays.values()) {
-      const of = this.strays.get(s.job)!;
+    for (const s of w.unconfirmedTasks.values()) {
+      const of = this.unconfirmedByJob.get(s.job)!;
       of.delete(s);
-      if (of.size === 0) this.strays.delete(s.job);
+      if (of.size === 0) this.unconfirmedByJob.delete(s.job);
       if (s.need) this.use(s.need.team, s.need, -1);
     }
-    this.blind.delete(w);
-    w.strays.clear();
+    this.unsized.delete(w);
+    w.unconfirmedTasks.clear();
   }
 
-  straysOf(job: string): ReadonlySet<Stray> {
-    return this.strays.get(job) ?? NONE;
+  unconfirmedOf(job: string): ReadonlySet<UnconfirmedTask> {
+    return this.unconfirmedByJob.get(job) ?? NONE;
   }
   /** What strays use of a team: some of them are ghosts of late reports, of tasks that run elsewhere by now. */
-  strayUse(team: string): Use {
+  unconfirmedUse(team: string): ResourceUse {
     const sum = { cpus: 0, gpus: 0 };
-    for (const of of this.strays.values())
+    for (const of of this.unconfirmedByJob.values())
       for (const s of of)
         if (s.need?.team === team) {
           sum.cpus += s.need.cpus;
@@ -72,18 +77,18 @@
         }
     return sum;
   }
-  hasStrays(job: string, index?: number): boolean {
-    for (const s of this.straysOf(job))
+  hasUnconfirmed(job: string, index?: number): boolean {
+    for (const s of this.unconfirmedOf(job))
       if (index === undefined || s.index === index) return true;
     return false;
   }
 
   /** What is or may be on the machines of one team. */
-  useOf(team: string): Readonly<Use> {
+  useOf(team: string): Readonly<ResourceUse> {
     return this.teams.get(team) ?? NO_USE;
   }
   /** By team, a fresh copy. */
-  used(): Map<string, Use> {
+  used(): Map<string, ResourceUse> {
     return new Map(
       [...this.teams].map(([team, u]) => [
         team,
@@ -92,9 +97,9 @@
     );
   }
   /** What tasks of jobs that nobody knows may use, of any team. */
-  blindUse(): Use {
+  unsizedUse(): ResourceUse {
     const sum = { cpus: 0, gpus: 0 };
-    for (const [w, n] of this.blind) {
+    for (const [w, n] of this.unsized) {
       sum.cpus += n * (w.type?.cpus ?? Infinity);
       sum.gpus += n * (w.type?.gpus ?? Infinity);
     }
@@ -103,5 +108,5 @@
 }
 
 /** What a team uses that has nothing. */
-export const NO_USE: Readonly<Use> = { cpus: 0, gpus: 0 };
-const NONE: ReadonlySet<Stray> = new Set();
+export const NO_USE: Readonly<ResourceUse> = { cpus: 0, gpus: 0 };
+const NONE: ReadonlySet<UnconfirmedTask> = new Set();
--- a/src/coordination/limits/beliefs.ts
+++ b/src/coordination/limits/beliefs.ts
@@ -1,8 +1,8 @@
 import { createHash } from "node:crypto";
 import type { Settings } from "../../config/settings.js";
 import type { Context } from "../context.js";
-import { Urgent } from "../effects.js";
-import { beliefKey } from "../../storage/records.js";
+import { CallPriority } from "../effects.js";
+import { observedLimitsKey } from "../../storage/records.js";
 
 /** Of a hash over the limits in the settings: two that differ practically never agree in so many hexadecimal digits. */
 const HASH_DIGITS = 16;
@@ -26,44 +26,45 @@
  * Which limits this controller goes by, told under its hold, so that it ends with it. A limit is raised only when every
  * live controller goes by the raised one: the smallest that anybody believes in holds. Lowering waits for nobody.
  */
-export class Beliefs {
-  private readonly mine: string;
-  private toldUnder: number | null = null;
-  private telling = false;
+export class ObservedLimits {
+  private readonly ownLimits: string;
+  private publishedUnder: number | null = null;
+  private publishing = false;
 
   constructor(private readonly ctx: Context) {
-    this.mine = limitsHash(ctx.settings.teams);
+    this.ownLimits = limitsHash(ctx.settings.teams);
   }
 
   /** Whoever owns a group and says nothing is an earlier version, or has not come to say it yet. */
-  agreed(): boolean {
-    const { beliefs, groups } = this.ctx.mirror;
-    for (const b of beliefs.values()) if (b !== this.mine) return false;
-    for (const g of groups.values())
-      if (beliefs.get(g.owner) !== this.mine) return false;
-    return beliefs.get(this.ctx.settings.label) === this.mine;
+  areAgreed(): boolean {
+    const { observedLimits, partitions } = this.ctx.cache;
+    for (const b of observedLimits.values())
+      if (b !== this.ownLimits) return false;
+    for (const g of partitions.values())
+      if (observedLimits.get(g.owner) !== this.ownLimits) return false;
+    return observedLimits.get(this.ctx.settings.label) === this.ownLimits;
   }
 
   tick(hold: number | null): void {
-    const { mirror } = this.ctx;
+    const { cache } = this.ctx;
     if (
       hold === null ||
-      !mirror.ready ||
-      this.telling ||
-      this.toldUnder === hold
+      !cache.ready ||
+      this.publishing ||
+      this.publishedUnder === hold
     )
       return;
-    const key = beliefKey(this.ctx.settings.label);
-    this.telling = true;
+    const key = observedLimitsKey(this.ctx.settings.label);
+    this.publishing = true;
     // Invariant (quota): a former life of this controller may have sent its own, under other settings and a hold that is still
     // there. Carried out late, it would have others raise a limit that this one goes below.
     this.ctx.commit(
-      [{ key, version: mirror.revisionOf(key) }],
-      [{ op: "put", key, value: { limits: this.mine }, hold }],
-      Urgent.Master,
+      [{ key, version: cache.latestRevisionOf(key) }],
+      [{ op: "put", key, value: { limits: this.ownLimits }, hold }],
+      CallPriority.Leader,
       (end) => {
-        this.telling = false;
-        if (end === "ok") this.toldUnder = hold;
+        this.publishing = false;
+        if (end === "ok") this.publishedUnder = hold;
       },
     );
   }
--- a/src/coordination/limits/demand.ts
+++ b/src/coordination/limits/demand.ts
@@ -1,15 +1,21 @@
 import type { Context } from "../context.js";
-import type { GroupState } from "../group-state.js";
+import type { PartitionState } from "../group-state.js";
 import type { JobSpec } from "../model.js";
-import { allowedOn, EPS, fitCount, goesWhole, suits } from "../placement.js";
+import {
+  isAllowedOn,
+  EPSILON,
+  fitCount,
+  startsWhole,
+  isSuitable,
+} from "../placement.js";
 import { isShort, turnAt } from "../queues.js";
 import { freeOn, type JobRun } from "../tasks.js";
-import type { Pair } from "./shares.js";
+import type { ResourceAmounts } from "./shares.js";
 
 /** Tasks of one job that wait for a part of a limit. */
-interface Waiting {
+interface WaitingTasks {
   /** What they take together. */
-  need: Pair;
+  need: ResourceAmounts;
   /** Whose turn it is, as the queues have it: a time of day, in ms. */
   since: number;
   /** Time of day, in ms, since which they could run. */
@@ -19,7 +25,7 @@
 }
 
 /** Looked at anew no more often than this. */
-const LOOK_MS = 300;
+const RECOMPUTE_INTERVAL_MS = 300;
 /**
  * Who has waited for this long comes before younger work that has a place already, though its own place is yet to be
  * rented: a stream of small jobs would keep a part of the limit from it for ever.
@@ -28,38 +34,39 @@
 /** Tasks of an array whose places are yet to be rented ask for so much at once: the rest will ask as these start. */
 const SOON_TASKS = 20;
 /** The oldest waiting jobs of a team that are looked at. */
-const MOST_JOBS = 100;
+const MAX_JOBS_PER_TEAM = 100;
 
 /**
  * What waits here of each team, whether it has a place, and since when. Work without any place, now or to be rented,
  * wants nothing: a part of a limit that it had would be kept from others for nothing.
  */
-export class Waits {
-  private lookedMs = -Infinity;
-  private byTeam = new Map<string, Waiting[]>();
+export class QuotaDemand {
+  private computedMs = -Infinity;
+  private byTeam = new Map<string, WaitingTasks[]>();
 
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
+    private readonly own: PartitionState,
     private readonly hasPlace: (spec: JobSpec) => boolean,
   ) {}
 
   /** In the order of their turns. */
-  of(team: string): readonly Waiting[] {
-    if (this.ctx.nowMs - this.lookedMs >= LOOK_MS) this.look();
+  waitingOf(team: string): readonly WaitingTasks[] {
+    if (this.ctx.nowMs - this.computedMs >= RECOMPUTE_INTERVAL_MS)
+      this.recompute();
     return this.byTeam.get(team) ?? [];
   }
 
-  private look(): void {
-    this.lookedMs = this.ctx.nowMs;
+  private recompute(): void {
+    this.computedMs = this.ctx.nowMs;
     this.byTeam = new Map();
     // Parts of a limit go where the queues go, in every group: the one that could start what comes first next.
     const turn = (j: JobRun): number =>
       this.ctx.tuning.fleetOrder
-        ? turnAt(j.view.readyAt, j.view.spec, this.own.unfinished(j))
+        ? turnAt(j.view.readyAt, j.view.spec, this.own.unfinishedTasks(j))
         : j.view.readyAt;
     const jobs = [...this.own.jobs.values()]
-      .filter((j) => this.own.mayStart(j) && !j.moving)
+      .filter((j) => this.own.mayStart(j) && !j.pendingTransfer)
       .sort((a, b) => turn(a) - turn(b) || (a.id < b.id ? -1 : 1));
     const kinds = new Map<string, { has: boolean; places: number }>();
     const seen = new Map<string, number>();
@@ -69,13 +76,13 @@
       seen.set(spec.team, n);
       // The limit of a team without one is never short.
       const team = this.ctx.settings.teams.get(spec.team);
-      if (n > MOST_JOBS || !team) continue;
-      const whole = goesWhole(spec) || spec.shape === "daemon";
+      if (n > MAX_JOBS_PER_TEAM || !team) continue;
+      const whole = startsWhole(spec) || spec.kind === "service";
       // Accepted under a larger limit: it can't begin under this one, and what it waited for would be kept from all others.
-      const least = spec.shape === "batch" ? 1 : spec.tasks;
+      const least = spec.kind === "array" ? 1 : spec.tasks;
       if (
-        spec.cpus * least > team.cpusMax + EPS ||
-        spec.gpus * least > team.gpusMax + EPS
+        spec.cpus * least > team.cpusMax + EPSILON ||
+        spec.gpus * least > team.gpusMax + EPSILON
       )
         continue;
       const short = isShort(spec, this.ctx.tuning);
@@ -84,7 +91,7 @@
         Math.ceil(spec.cpus),
         spec.gpus,
         Math.ceil(spec.memGb / 8),
-        spec.types,
+        spec.machineTypes,
         spec.zone,
         spec.spot,
         spec.samePlace,
@@ -131,10 +138,11 @@
     const { usable, reserved } = this.own.usableWorkers();
     const zones = new Map<string, number>();
     for (const w of usable) {
-      if ((!short && reserved.has(w.id)) || this.own.isHeld(w)) continue;
+      if ((!short && reserved.has(w.id)) || this.own.isReservedForOther(w))
+        continue;
       if (
-        !allowedOn(spec, w.typeName, w.zone, w.spot) ||
-        !suits(spec, w.type, w.spot, this.ctx.catalog)
+        !isAllowedOn(spec, w.typeName, w.zone, w.spot) ||
+        !isSuitable(spec, w.type, w.spot, this.ctx.catalog)
       )
         continue;
       const key = spec.samePlace ? w.zone : "";
--- a/src/coordination/limits/guarantees.ts
+++ b/src/coordination/limits/guarantees.ts
@@ -1,19 +1,19 @@
 import type { Team } from "../../config/settings.js";
-import { type Context, STALE_MS } from "../context.js";
-import type { GroupState } from "../group-state.js";
-import type { Use } from "../ledger.js";
-import { EPS } from "../placement.js";
-import { DIMS, entryOf, type Pair } from "./shares.js";
+import { type Context, STALE_CACHE_MS } from "../context.js";
+import type { PartitionState } from "../group-state.js";
+import type { ResourceUse } from "../ledger.js";
+import { EPSILON } from "../placement.js";
+import { DIMENSIONS, entryOf, type ResourceAmounts } from "./shares.js";
 
 /** What is guaranteed, where anything is: a dimension without a guarantee does not count where the other has one. */
-export function guaranteeOf(t: Team): Pair | null {
+export function guaranteeOf(t: Team): ResourceAmounts | null {
   return t.cpus <= 0 && t.gpus <= 0
     ? null
     : [t.cpus > 0 ? t.cpus : Infinity, t.gpus > 0 ? t.gpus : Infinity];
 }
 
 /** Where a team stands at this moment. */
-interface Standing {
+interface GuaranteeStanding {
   /** All that it uses lies within its guarantee. */
   within: boolean;
   /** Its dominant share, as a multiple of what it is guaranteed (weighted DRF); Infinity: it is guaranteed nothing. */
@@ -29,19 +29,26 @@
  * within what it is promised, and one whose work can run in one zone only is promised no less there.
  */
 export class Guarantees {
-  private others = new Map<string, { use: Pair; least: Pair; most: Pair }>();
+  private others = new Map<
+    string,
+    { use: ResourceAmounts; least: ResourceAmounts; most: ResourceAmounts }
+  >();
   private summedMs = -Infinity;
 
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
+    private readonly own: PartitionState,
   ) {}
 
   /**
    * What the other groups use of a team: as published; at least (what surely runs); at most (what may run where a
    * takeover is under way or nothing is known).
    */
-  elsewhere(team: string): { use: Pair; least: Pair; most: Pair } {
+  elsewhere(team: string): {
+    use: ResourceAmounts;
+    least: ResourceAmounts;
+    most: ResourceAmounts;
+  } {
     if (this.ctx.nowMs - this.summedMs >= SUM_MS) {
       this.summedMs = this.ctx.nowMs;
       this.others = new Map();
@@ -51,23 +58,30 @@
     return sum;
   }
 
-  private sum(team: string): { use: Pair; least: Pair; most: Pair } {
-    const { mirror, groups } = this.ctx;
+  private sum(team: string): {
+    use: ResourceAmounts;
+    least: ResourceAmounts;
+    most: ResourceAmounts;
+  } {
+    const { cache, partitions } = this.ctx;
     const sum = {
-      use: [0, 0] as Pair,
-      least: [0, 0] as Pair,
-      most: [0, 0] as Pair,
+      use: [0, 0] as ResourceAmounts,
+      least: [0, 0] as ResourceAmounts,
+      most: [0, 0] as ResourceAmounts,
     };
-    const entry = entryOf(mirror.limits, team);
-    for (const g of new Set([...groups.names, ...mirror.rooms.keys()])) {
-      if (g === this.own.group) continue;
-      const room = mirror.rooms.get(g);
+    const entry = entryOf(cache.quotaRecords, team);
+    for (const g of new Set([
+      ...partitions.names,
+      ...cache.capacities.keys(),
+    ])) {
+      if (g === this.own.partition) continue;
+      const room = cache.capacities.get(g);
       const row = room?.teams?.get(team);
       // A group that no settings name may be held without a master, for what is left of it.
-      const owned = groups.names.includes(g) && mirror.groups.has(g);
+      const owned = partitions.names.includes(g) && cache.partitions.has(g);
       // Nothing was ever written, or less than all teams: it may use all that it has of the limit.
       const known = room?.teams && (row !== undefined || !room.cut);
-      for (const d of DIMS) {
+      for (const d of DIMENSIONS) {
         const part = entry
           ? entry.cap[d] === Infinity
             ? Infinity
@@ -87,7 +101,7 @@
   }
 
   /** For the order of the queues; `own`: what this group uses of the team now. */
-  standing(team: string, own: Use): Standing {
+  standing(team: string, own: ResourceUse): GuaranteeStanding {
     const t = this.ctx.settings.teams.get(team);
     const g = t && guaranteeOf(t);
     if (!g) return { within: false, share: Infinity };
@@ -96,22 +110,22 @@
       (use[0] + own.cpus) / g[0],
       (use[1] + own.gpus) / g[1],
     );
-    return { within: share < 1 - EPS, share };
+    return { within: share < 1 - EPSILON, share };
   }
 
   /** How much more a team may have before it is beyond its guarantee, at the least; null: no guarantee, or it can't be judged. */
-  lacks(team: string, own: Use): Pair | null {
+  lacks(team: string, own: ResourceUse): ResourceAmounts | null {
     const t = this.ctx.settings.teams.get(team);
     const g = t && guaranteeOf(t);
-    if (!g || this.ctx.readAgeMs() > STALE_MS) return null;
+    if (!g || this.ctx.readAgeMs() > STALE_CACHE_MS) return null;
     const { most } = this.elsewhere(team);
     return [g[0] - most[0] - own.cpus, g[1] - most[1] - own.gpus];
   }
 
   /** How much a team surely has beyond its guarantee; `own`: what surely runs here. */
-  excess(team: string, own: Use): Pair {
+  excess(team: string, own: ResourceUse): ResourceAmounts {
     const t = this.ctx.settings.teams.get(team);
-    if (!t || this.ctx.readAgeMs() > STALE_MS) return [0, 0];
+    if (!t || this.ctx.readAgeMs() > STALE_CACHE_MS) return [0, 0];
     const { least } = this.elsewhere(team);
     const g = guaranteeOf(t) ?? [0, 0];
     return [
--- a/src/coordination/limits/index.ts
+++ b/src/coordination/limits/index.ts
@@ -1,7 +1,7 @@
 /** Teams' limits and guarantees over all controllers: docs/design/limits.md. */
-export { Beliefs } from "./beliefs.js";
+export { ObservedLimits } from "./beliefs.js";
 export { Guarantees } from "./guarantees.js";
-export { Reclaims } from "./reclaims.js";
-export { Sharing } from "./sharing.js";
-export { Shortfall } from "./shortfall.js";
-export { type Pair, withinShare } from "./shares.js";
+export { GuaranteeReclaims } from "./reclaims.js";
+export { QuotaAllocator } from "./sharing.js";
+export { GuaranteeShortfallLog } from "./shortfall.js";
+export { type ResourceAmounts, withinShare } from "./shares.js";
--- a/src/coordination/limits/plan.ts
+++ b/src/coordination/limits/plan.ts
@@ -1,52 +1,57 @@
 import type { Team } from "../../config/settings.js";
 import type { Shares } from "../../storage/records.js";
-import { EPS } from "../placement.js";
+import { EPSILON } from "../placement.js";
 import {
-  DIMS,
-  type Entry,
+  DIMENSIONS,
+  type QuotaEntry,
   entryOf,
-  hundredth,
-  hundredthUp,
+  roundDownToHundredth,
+  roundUpToHundredth,
   limitOf,
-  type LimitRecords,
-  type NewEntry,
+  type QuotaRecords,
+  type NewQuotaEntry,
   overdrawn,
-  type Pair,
+  type ResourceAmounts,
   SLACK,
   withEntries,
 } from "./shares.js";
 
 /** What a group's waiting tasks of a team want beyond its part of the limit. */
-export interface Demand {
+export interface PartitionDemand {
   /** For tasks that have a place at once, or have waited for long. */
-  now: Pair;
+  now: ResourceAmounts;
   /** When the oldest of these became ready that lacks CPUs, and that lacks accelerators, ms since the epoch; Infinity: there is none. */
-  nowSince: Pair;
+  nowSince: ResourceAmounts;
   /** For tasks whose place is yet to be rented. */
-  soon: Pair;
-  soonSince: Pair;
+  soon: ResourceAmounts;
+  soonSince: ResourceAmounts;
   /** The part of the limit that this is beyond: what has come since is not wanted any more. */
-  beyond: Pair;
+  beyond: ResourceAmounts;
 }
 
 /** What a group knows when it considers the records of the limits; none of it is changed. */
-export interface Situation {
-  group: string;
+export interface QuotaSituation {
+  partition: string;
   /** All groups that the settings name. */
-  groups: readonly string[];
+  partitions: readonly string[];
   teams: ReadonlyMap<string, Team>;
-  records: LimitRecords;
+  records: QuotaRecords;
   valueBytes: number;
   /** Records that one commit may write. */
   writes: number;
   /** What this group uses of a team, counting all that may be running. */
-  use(team: string): Pair;
+  use(team: string): ResourceAmounts;
   /** The same, counting only what surely runs; null: not known yet (the fence). */
-  known(team: string): Pair | null;
-  mine: ReadonlyMap<string, Demand>;
-  others: ReadonlyMap<string, ReadonlyMap<string, Demand>>;
+  known(team: string): ResourceAmounts | null;
+  mine: ReadonlyMap<string, PartitionDemand>;
+  others: ReadonlyMap<string, ReadonlyMap<string, PartitionDemand>>;
   /** What the own waiting tasks that come before such a demand are going to use. */
-  keep(team: string, since: number, group: string, now: boolean): Pair;
+  keep(
+    team: string,
+    since: number,
+    partition: string,
+    now: boolean,
+  ): ResourceAmounts;
   /** Every live controller goes by the same limits as this one. */
   agreed: boolean;
   /** Groups that no settings name any more and of which nothing can run. */
@@ -55,11 +60,11 @@
   movable(key: string): boolean;
 }
 
-export interface Plan {
+export interface QuotaPlan {
   writes: Map<string, Shares>;
   /** By team: what this group gives away, and does not use from before the commit is sent. */
-  reserved: Map<string, Pair>;
-  given: { team: string; to: string; give: Pair }[];
+  reserved: Map<string, ResourceAmounts>;
+  given: { team: string; to: string; give: ResourceAmounts }[];
   /** Groups whose absence it rests on. */
   gone: string[];
   /** Teams whose limit was written anew. */
@@ -68,27 +73,27 @@
 
 /** What is left of a want after what has come since it was told. */
 const remaining = (
-  want: Pair,
-  beyond: Pair,
-  part: Readonly<Pair> | undefined,
-): Pair =>
-  DIMS.map((d) =>
+  want: ResourceAmounts,
+  beyond: ResourceAmounts,
+  part: Readonly<ResourceAmounts> | undefined,
+): ResourceAmounts =>
+  DIMENSIONS.map((d) =>
     Math.max(0, Math.min(want[d], want[d] + beyond[d] - (part?.[d] ?? 0))),
-  ) as Pair;
+  ) as ResourceAmounts;
 
 /**
  * What this group writes next of the teams' limits; null: all is as it should be. One plan carries all its changes:
  * several teams, several takers, limits that were raised or lowered, parts of groups that are gone.
  */
-export function planShares(s: Situation): Plan | null {
-  const plan: Plan = {
+export function planQuotas(s: QuotaSituation): QuotaPlan | null {
+  const plan: QuotaPlan = {
     writes: new Map(),
     reserved: new Map(),
     given: [],
     gone: [],
     caps: [],
   };
-  const changed = new Map<string, NewEntry>();
+  const changed = new Map<string, NewQuotaEntry>();
   for (const team of s.teams.values()) {
     const limit = limitOf(team);
     const entry = entryOf(s.records, team.name);
@@ -96,11 +101,11 @@
       if (limit[0] === Infinity && limit[1] === Infinity) continue;
       // The first to see it: equal parts, which is what the version before goes by where nothing is written.
       const part = limit.map((x) =>
-        x === Infinity ? 0 : hundredth(x / s.groups.length),
-      ) as Pair;
+        x === Infinity ? 0 : roundDownToHundredth(x / s.partitions.length),
+      ) as ResourceAmounts;
       changed.set(team.name, {
         cap: limit,
-        parts: Object.fromEntries(s.groups.map((g) => [g, part])),
+        parts: Object.fromEntries(s.partitions.map((g) => [g, part])),
       });
       plan.caps.push(team.name);
       continue;
@@ -127,28 +132,28 @@
 }
 
 function planTeam(
-  s: Situation,
+  s: QuotaSituation,
   team: Team,
-  had: Entry,
-  plan: Plan,
-): NewEntry | null {
+  had: QuotaEntry,
+  plan: QuotaPlan,
+): NewQuotaEntry | null {
   const limit = limitOf(team);
-  const parts: Record<string, Pair> = Object.fromEntries(
+  const parts: Record<string, ResourceAmounts> = Object.fromEntries(
     Object.entries(had.parts).map(([g, p]) => [g, [...p]]),
   );
-  const cap: Pair = [...had.cap];
-  const part = (g: string): Pair => (parts[g] ??= [0, 0]);
+  const cap: ResourceAmounts = [...had.cap];
+  const part = (g: string): ResourceAmounts => (parts[g] ??= [0, 0]);
   const use = s.use(team.name);
   const known = s.known(team.name);
-  const reserved: Pair = [0, 0];
+  const reserved: ResourceAmounts = [0, 0];
   let dirty = false;
-  for (const d of DIMS) {
+  for (const d of DIMENSIONS) {
     if (cap[d] > limit[d] + SLACK) {
       // Lowered, and all are to go by it from now on. Where there was no limit, nobody's part says what it uses: with
       // the whole limit for each nothing starts until each has said so.
       if (cap[d] === Infinity)
-        for (const g of new Set([...s.groups, ...Object.keys(parts)]))
-          part(g)[d] = hundredth(limit[d]);
+        for (const g of new Set([...s.partitions, ...Object.keys(parts)]))
+          part(g)[d] = roundDownToHundredth(limit[d]);
       cap[d] = limit[d];
       dirty = true;
       plan.caps.push(team.name);
@@ -160,7 +165,7 @@
     }
     if (cap[d] === Infinity) continue;
     for (const g of s.gone) {
-      if (!(part(g)[d] > EPS)) continue;
+      if (!(part(g)[d] > EPSILON)) continue;
       // Nothing of it can run any more, and it stays written as nothing: the version before takes what is not
       // written for an equal part.
       part(g)[d] = 0;
@@ -168,23 +173,25 @@
       if (!plan.gone.includes(g)) plan.gone.push(g);
     }
     // What runs here is more than the part: said openly, so that nobody starts anything on what is used already.
-    if (known && known[d] > part(s.group)[d] + SLACK) {
-      part(s.group)[d] = hundredthUp(known[d]);
+    if (known && known[d] > part(s.partition)[d] + SLACK) {
+      part(s.partition)[d] = roundUpToHundredth(known[d]);
       dirty = true;
     }
     const sum = total(parts, d);
-    const back = hundredth(Math.min(sum - cap[d], part(s.group)[d] - use[d]));
-    if (sum > cap[d] + EPS && back > EPS) {
-      part(s.group)[d] = hundredth(part(s.group)[d] - back);
+    const back = roundDownToHundredth(
+      Math.min(sum - cap[d], part(s.partition)[d] - use[d]),
+    );
+    if (sum > cap[d] + EPSILON && back > EPSILON) {
+      part(s.partition)[d] = roundDownToHundredth(part(s.partition)[d] - back);
       reserved[d] += back;
       dirty = true;
     }
   }
   // While more is handed out than there is, nothing moves: what is given back is not for anyone.
-  const open = DIMS.every(
+  const open = DIMENSIONS.every(
     (d) =>
       cap[d] === Infinity ||
-      (!overdrawn(had, d) && total(parts, d) <= cap[d] + EPS),
+      (!overdrawn(had, d) && total(parts, d) <= cap[d] + EPSILON),
   );
   if (
     open &&
@@ -199,46 +206,50 @@
 
 /** Gives of the own part to groups that want more, and takes of what nobody has. Whether anything was moved. */
 function move(
-  s: Situation,
+  s: QuotaSituation,
   team: string,
-  parts: Record<string, Pair>,
-  cap: Pair,
-  use: Pair,
-  reserved: Pair,
-  plan: Plan,
+  parts: Record<string, ResourceAmounts>,
+  cap: ResourceAmounts,
+  use: ResourceAmounts,
+  reserved: ResourceAmounts,
+  plan: QuotaPlan,
 ): boolean {
-  const part = (g: string): Pair => (parts[g] ??= [0, 0]);
+  const part = (g: string): ResourceAmounts => (parts[g] ??= [0, 0]);
   let moved = false;
-  for (const d of DIMS) {
+  for (const d of DIMENSIONS) {
     if (cap[d] === Infinity) continue;
-    let pool = hundredth(Math.max(0, cap[d] - total(parts, d)));
+    let pool = roundDownToHundredth(Math.max(0, cap[d] - total(parts, d)));
     for (const t of takersOf(s, team, parts, d)) {
-      const there = hundredth(Math.min(t.want, pool));
+      const there = roundDownToHundredth(Math.min(t.want, pool));
       pool -= there;
-      if (t.group === s.group) {
+      if (t.partition === s.partition) {
         // What nobody has is there for whoever comes first, who takes it by this commit and uses it once it is written.
-        if (there <= EPS) continue;
-        part(s.group)[d] = hundredth(part(s.group)[d] + there);
+        if (there <= EPSILON) continue;
+        part(s.partition)[d] = roundDownToHundredth(
+          part(s.partition)[d] + there,
+        );
         moved = true;
         continue;
       }
-      const keep = s.keep(team, t.since, t.group, t.now);
-      const give = hundredth(
+      const keep = s.keep(team, t.since, t.partition, t.now);
+      const give = roundDownToHundredth(
         Math.max(
           0,
-          Math.min(t.want - there, part(s.group)[d] - use[d] - keep[d]),
+          Math.min(t.want - there, part(s.partition)[d] - use[d] - keep[d]),
         ),
       );
-      if (give <= EPS) continue;
-      part(s.group)[d] = hundredth(part(s.group)[d] - give);
-      part(t.group)[d] = hundredth(part(t.group)[d] + give);
+      if (give <= EPSILON) continue;
+      part(s.partition)[d] = roundDownToHundredth(part(s.partition)[d] - give);
+      part(t.partition)[d] = roundDownToHundredth(part(t.partition)[d] + give);
       reserved[d] += give;
-      const given = plan.given.find((g) => g.team === team && g.to === t.group);
+      const given = plan.given.find(
+        (g) => g.team === team && g.to === t.partition,
+      );
       if (given) given.give[d] += give;
       else
         plan.given.push({
           team,
-          to: t.group,
+          to: t.partition,
           give: d === 0 ? [give, 0] : [0, give],
         });
       moved = true;
@@ -247,11 +258,11 @@
   return moved;
 }
 
-const total = (parts: Record<string, Pair>, d: 0 | 1): number =>
+const total = (parts: Record<string, ResourceAmounts>, d: 0 | 1): number =>
   Object.values(parts).reduce((n, p) => n + p[d], 0);
 
 interface Taker {
-  group: string;
+  partition: string;
   since: number;
   now: boolean;
   want: number;
@@ -263,35 +274,36 @@
  * wanted, and was asked for them again at once: they went to and fro for as long as both waited.
  */
 function takersOf(
-  s: Situation,
+  s: QuotaSituation,
   team: string,
-  parts: Readonly<Record<string, Pair>>,
+  parts: Readonly<Record<string, ResourceAmounts>>,
   d: 0 | 1,
 ): Taker[] {
   const takers: Taker[] = [];
-  const ask = (group: string, w: Demand): void => {
-    const now = remaining(w.now, w.beyond, parts[group])[d];
+  const ask = (partition: string, w: PartitionDemand): void => {
+    const now = remaining(w.now, w.beyond, parts[partition])[d];
     const soon =
       remaining(
         [w.now[0] + w.soon[0], w.now[1] + w.soon[1]],
         w.beyond,
-        parts[group],
+        parts[partition],
       )[d] - now;
-    if (now > EPS)
-      takers.push({ group, since: w.nowSince[d], now: true, want: now });
-    if (soon > EPS)
-      takers.push({ group, since: w.soonSince[d], now: false, want: soon });
+    if (now > EPSILON)
+      takers.push({ partition, since: w.nowSince[d], now: true, want: now });
+    if (soon > EPSILON)
+      takers.push({ partition, since: w.soonSince[d], now: false, want: soon });
   };
-  for (const [group, wants] of s.others) {
+  for (const [partition, wants] of s.others) {
     const w = wants.get(team);
-    if (w && group !== s.group && s.groups.includes(group)) ask(group, w);
+    if (w && partition !== s.partition && s.partitions.includes(partition))
+      ask(partition, w);
   }
   const mine = s.mine.get(team);
-  if (mine) ask(s.group, mine);
+  if (mine) ask(s.partition, mine);
   return takers.sort(
     (a, b) =>
       Number(b.now) - Number(a.now) ||
       a.since - b.since ||
-      (a.group < b.group ? -1 : 1),
+      (a.partition < b.partition ? -1 : 1),
   );
 }
--- a/src/coordination/limits/reclaims.ts
+++ b/src/coordination/limits/reclaims.ts
@@ -5,20 +5,20 @@
   writeReclaims,
 } from "../../storage/records.js";
 import type { Context } from "../context.js";
-import { Urgent } from "../effects.js";
-import type { GroupState } from "../group-state.js";
+import { CallPriority } from "../effects.js";
+import type { PartitionState } from "../group-state.js";
 import { NO_USE } from "../ledger.js";
-import { EPS } from "../placement.js";
+import { EPSILON } from "../placement.js";
 import type { Guarantees } from "./guarantees.js";
-import { DIMS, type Pair } from "./shares.js";
+import { DIMENSIONS, type ResourceAmounts } from "./shares.js";
 
 /** Until what is stopped for a claim is gone and what it was stopped for is published as started. */
-const CLAIM_S = 6;
+const CLAIM_TTL_S = 6;
 
 /** Of which teams a claim takes how much. */
-type Takes = ReadonlyMap<string, Pair>;
+type ReclaimedByTeam = ReadonlyMap<string, ResourceAmounts>;
 
-const NOTHING: Pair = [0, 0];
+const NOTHING: ResourceAmounts = [0, 0];
 
 /**
  * What is stopped so that a team gets its guarantee is claimed first, by a commit that depends on all claims that stand:
@@ -26,33 +26,36 @@
  * anything. So all together stop no more than the deficit and one task (or gang) beyond, and nobody falls below a
  * guarantee by more than the last task stopped. A claim without an answer stops nothing and counts until its time is over.
  */
-export class Reclaims {
+export class GuaranteeReclaims {
   private asking = false;
   /** Stopped under a claim since this master began, by the team that it was for: CPUs and accelerators. */
-  readonly reclaimed = new Map<string, Pair>();
+  readonly reclaimed = new Map<string, ResourceAmounts>();
 
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
+    private readonly own: PartitionState,
     private readonly guarantees: Guarantees,
   ) {}
 
   private standing(): Map<string, readonly Reclaim[]> {
     const out = new Map<string, readonly Reclaim[]>();
-    for (const [group, list] of this.ctx.mirror.reclaims) {
+    for (const [partition, list] of this.ctx.cache.reclaims) {
       const open = list.filter((c) => c.until > this.ctx.wallMs);
-      if (open.length > 0) out.set(group, open);
+      if (open.length > 0) out.set(partition, open);
     }
     return out;
   }
 
   /** By claims that stand: what a team is about to get, and what it is about to lose. */
-  private claimed(team: string): { gets: Pair; loses: Pair } {
-    const gets: Pair = [0, 0];
-    const loses: Pair = [0, 0];
+  private claimed(team: string): {
+    gets: ResourceAmounts;
+    loses: ResourceAmounts;
+  } {
+    const gets: ResourceAmounts = [0, 0];
+    const loses: ResourceAmounts = [0, 0];
     for (const list of this.standing().values())
       for (const c of list) {
-        if (c.team === team) for (const d of DIMS) gets[d] += c.need[d];
+        if (c.team === team) for (const d of DIMENSIONS) gets[d] += c.need[d];
         for (const [t, cpus, gpus] of c.from)
           if (t === team) {
             loses[0] += cpus;
@@ -63,7 +66,7 @@
   }
 
   /** Whether a team may claim so much more: it fits into its guarantee with all that it has and all that is claimed for it. */
-  mayClaim(team: string, need: Pair): boolean {
+  mayClaim(team: string, need: ResourceAmounts): boolean {
     if (this.asking) return false;
     const lacks = this.guarantees.lacks(
       team,
@@ -71,11 +74,11 @@
     );
     if (!lacks) return false;
     const { gets } = this.claimed(team);
-    return DIMS.every((d) => need[d] + gets[d] <= lacks[d] + EPS);
+    return DIMENSIONS.every((d) => need[d] + gets[d] <= lacks[d] + EPSILON);
   }
 
   /** What may still be taken of a team: all that it surely has beyond its guarantee, less what is claimed of it already. */
-  left(team: string): Pair {
+  left(team: string): ResourceAmounts {
     const excess = this.guarantees.excess(team, this.own.ledger.useOf(team));
     const { loses } = this.claimed(team);
     return [excess[0] - loses[0], excess[1] - loses[1]];
@@ -84,15 +87,15 @@
   /** Claims so much for a team at the cost of others; `granted`: now, and only now, they may be stopped. */
   claim(
     team: string,
-    need: Pair,
-    from: Takes,
+    need: ResourceAmounts,
+    from: ReclaimedByTeam,
     graceS: number,
     granted: () => void,
   ): void {
     if (this.asking) return;
     const until = Math.round(
       this.ctx.wallMs +
-        (CLAIM_S + graceS + 2 * this.ctx.settings.reportS) * 1000,
+        (CLAIM_TTL_S + graceS + 2 * this.ctx.settings.reportS) * 1000,
     );
     const all = this.standing();
     const mine: Reclaim = {
@@ -102,20 +105,25 @@
       from: [...from].map(([t, p]) => [t, p[0], p[1]]),
       until,
     };
-    all.set(this.own.group, [...(all.get(this.own.group) ?? []), mine]);
+    all.set(this.own.partition, [...(all.get(this.own.partition) ?? []), mine]);
     const value = writeReclaims(all);
     if (bytesOf(value) > this.ctx.settings.state.valueBytes) return;
     this.asking = true;
     // No more urgent than the writing of rooms: a claim never overtakes the use that it was judged by.
     this.own.commit(
-      [{ key: RECLAIM_KEY, version: this.ctx.mirror.versionOf(RECLAIM_KEY) }],
+      [
+        {
+          key: RECLAIM_KEY,
+          version: this.ctx.cache.observedRevisionOf(RECLAIM_KEY),
+        },
+      ],
       [{ op: "put", key: RECLAIM_KEY, value }],
-      Urgent.Spare,
+      CallPriority.Background,
       (end) => {
         this.asking = false;
-        if (end !== "ok" || !this.own.permitted()) return;
+        if (end !== "ok" || !this.own.mayAct()) return;
         const sum = this.reclaimed.get(team) ?? NOTHING;
-        const taken = [...from.values()].reduce<Pair>(
+        const taken = [...from.values()].reduce<ResourceAmounts>(
           (s, p) => [s[0] + p[0], s[1] + p[1]],
           [0, 0],
         );
--- a/src/coordination/mirror.ts
+++ b/src/coordination/mirror.ts
@@ -1,48 +1,48 @@
 import type { Change, Item } from "../protocol/state.js";
 import {
-  type ClaimRecord,
-  type GroupRecord,
+  type LeadershipBidRecord,
+  type PartitionRecord,
   type JobRecord,
-  type PastRecord,
+  type FinalRecord,
   parseKey,
   readAttempt,
-  readClaim,
-  readFin,
-  readGroup,
+  readLeadershipBid,
+  readCompletion,
+  readPartition,
   readJob,
-  readPast,
+  readFinal,
   readQuota,
-  readRoom,
-  readRoster,
-  type RoomRecord,
-  type RosterRecord,
-  readBelief,
+  readCapacity,
+  readRegistry,
+  type CapacityRecord,
+  type RegistryRecord,
+  readObservedLimits,
   readReclaims,
   type Reclaim,
 } from "../storage/records.js";
-import type { LimitRecord } from "./limits/shares.js";
-import type { JobSpec, Standing } from "./model.js";
+import type { QuotaRecord } from "./limits/shares.js";
+import type { JobSpec, EffectivePriority } from "./model.js";
 import { type GangView, NO_GANG } from "./parts.js";
 import { RangeSet } from "./ranges.js";
 
-export interface JobView extends Standing {
+export interface JobView extends EffectivePriority {
   id: string;
   spec: JobSpec;
-  split: Map<string, RangeSet>;
+  assignment: Map<string, RangeSet>;
   /** Jobs that it waits for, as its record names them; empty once it may start. */
-  awaits: readonly string[];
+  dependsOn: readonly string[];
   releasedAt: number | null;
-  version: number;
+  revision: number;
 }
 
 /** What changed in the mirror, for those who act on it. */
-export type Seen =
+export type StoreEvent =
   | { kind: "job"; job: JobView; fresh: boolean }
   | { kind: "jobGone"; id: string }
-  | { kind: "past"; id: string; past: PastRecord }
-  | { kind: "group" | "claim"; group: string }
+  | { kind: "past"; id: string; past: FinalRecord }
+  | { kind: "group" | "claim"; partition: string }
   | { kind: "fin"; id: string }
-  | { kind: "room"; group: string }
+  | { kind: "room"; partition: string }
   | { kind: "limits" | "belief" }
   | { kind: "unreadable"; key: string };
 
@@ -51,82 +51,89 @@
   spec.deadlineS === null ? Infinity : acceptedAt + spec.deadlineS * 1000;
 
 /** About 150 bytes each: a question about any of these costs no read. */
-const PAST_KEPT = 20_000;
+const MAX_FINAL_RECORDS = 20_000;
 
 /**
  * A controller's copy of everything alive in the state service, kept up to date by one watch. `epoch` says
  * how far it goes; it never shows a key older than it has shown before (a late answer changes nothing).
  */
-export class Mirror {
-  epoch = 0;
+export class StoreCache {
+  revision = 0;
   ready = false;
-  readonly groups = new Map<string, GroupRecord & { version: number }>();
-  readonly claims = new Map<string, ClaimRecord & { version: number }>();
+  readonly partitions = new Map<
+    string,
+    PartitionRecord & { version: number }
+  >();
+  readonly leadershipBids = new Map<
+    string,
+    LeadershipBidRecord & { version: number }
+  >();
   readonly jobs = new Map<string, JobView>();
-  readonly rooms = new Map<string, RoomRecord>();
+  readonly capacities = new Map<string, CapacityRecord>();
   /** group -> chunk -> machines */
-  readonly rosters = new Map<string, Map<number, RosterRecord>>();
+  readonly registries = new Map<string, Map<number, RegistryRecord>>();
   /** Counts changes of `limits`. */
-  limitsSeq = 0;
+  quotaRecordsSequence = 0;
   /** Parts of the teams' limits, by key. */
-  readonly limits = new Map<string, LimitRecord>();
+  readonly quotaRecords = new Map<string, QuotaRecord>();
   /** Which limits the live controllers go by, as their hash. */
-  readonly beliefs = new Map<string, string>();
+  readonly observedLimits = new Map<string, string>();
   reclaims: ReadonlyMap<string, readonly Reclaim[]> = new Map();
   /** By group: the revision of the last change of who owns it, its end included. */
-  readonly ownerChanged = new Map<string, number>();
+  readonly leaderChangedRevision = new Map<string, number>();
   /** Final states: never change, so they may be kept; the most recent ones only. */
-  readonly past = new Map<string, PastRecord>();
+  readonly finalRecords = new Map<string, FinalRecord>();
   private readonly gangs = new Map<
     string,
     GangView & { ready: Map<string, number> }
   >();
-  private readonly fins = new Map<string, Map<string, RangeSet>>();
-  private readonly sides = new Map<string, Set<string>>();
-  private readonly versions = new Map<string, number>();
+  private readonly completions = new Map<string, Map<string, RangeSet>>();
+  private readonly sideKeysByJob = new Map<string, Set<string>>();
+  private readonly revisions = new Map<string, number>();
 
   /** Finished tasks of a job, by group, as far as they are written. */
   finished(id: string): ReadonlyMap<string, RangeSet> {
-    return this.fins.get(id) ?? new Map<string, RangeSet>();
+    return this.completions.get(id) ?? new Map<string, RangeSet>();
   }
   /** Tasks of a job that are written as finished, in all groups. */
   finishedCount(id: string): number {
-    return this.finCounts.get(id) ?? 0;
+    return this.completionCounts.get(id) ?? 0;
   }
-  private readonly finCounts = new Map<string, number>();
+  private readonly completionCounts = new Map<string, number>();
   gang(id: string): GangView {
     return this.gangs.get(id) ?? NO_GANG;
   }
   /** Records that belong to a job beside its own: they go when it is over. */
   sideKeys(id: string): string[] {
-    return [...(this.sides.get(id) ?? [])];
+    return [...(this.sideKeysByJob.get(id) ?? [])];
   }
   /** Revision of a key's last change, as far as seen; 0: it does not exist. */
-  versionOf(key: string): number {
-    return this.versions.get(key) ?? 0;
+  observedRevisionOf(key: string): number {
+    return this.revisions.get(key) ?? 0;
   }
   /** A commit of this controller was carried out, as this revision. */
-  wrote(key: string, epoch: number): void {
-    if (epoch > this.epoch) this.ahead.set(key, epoch);
+  noteCommitted(key: string, revision: number): void {
+    if (revision > this.revision) this.ownCommits.set(key, revision);
   }
   /**
    * The revision that a commit which follows on what this controller knows is to be conditional on: of its own last commit, if
    * this copy has not come to that yet. So a transaction without an answer that is carried out late, after newer ones of
    * the same controller or of its present life, changes nothing.
    */
-  revisionOf(key: string): number {
-    return this.ahead.get(key) ?? this.versionOf(key);
+  latestRevisionOf(key: string): number {
+    return this.ownCommits.get(key) ?? this.observedRevisionOf(key);
   }
-  private readonly ahead = new Map<string, number>();
-  private reached(epoch: number): void {
-    this.epoch = Math.max(this.epoch, epoch);
-    for (const [key, version] of this.ahead)
-      if (version <= this.epoch) this.ahead.delete(key);
+  private readonly ownCommits = new Map<string, number>();
+  private advanceTo(revision: number): void {
+    this.revision = Math.max(this.revision, revision);
+    for (const [key, revision] of this.ownCommits)
+      if (revision <= this.revision) this.ownCommits.delete(key);
   }
   /** Jobs that are over but left such records behind. */
   leftovers(): string[] {
     const out: string[] = [];
-    for (const id of this.sides.keys()) if (!this.jobs.has(id)) out.push(id);
+    for (const id of this.sideKeysByJob.keys())
+      if (!this.jobs.has(id)) out.push(id);
     return out;
   }
   allFinished(id: string): RangeSet {
@@ -134,107 +141,119 @@
     for (const set of this.finished(id).values()) all.addAll(set);
     return all;
   }
-  keepPast(id: string, p: PastRecord): void {
-    this.past.delete(id);
-    this.past.set(id, p);
-    if (this.past.size > PAST_KEPT)
-      this.past.delete(this.past.keys().next().value!);
+  keepFinalRecord(id: string, p: FinalRecord): void {
+    this.finalRecords.delete(id);
+    this.finalRecords.set(id, p);
+    if (this.finalRecords.size > MAX_FINAL_RECORDS)
+      this.finalRecords.delete(this.finalRecords.keys().next().value!);
   }
 
   /** The whole of what is alive, read anew: what is absent has gone. */
-  reload(items: readonly Item[], epoch: number): Seen[] {
-    const seen: Seen[] = [];
+  reload(items: readonly Item[], revision: number): StoreEvent[] {
+    const seen: StoreEvent[] = [];
     const present = new Set(items.map((i) => i.key));
-    for (const [key, version] of this.versions)
-      if (!present.has(key) && version <= epoch)
-        seen.push(...this.drop(key, epoch));
+    for (const [key, revision] of this.revisions)
+      if (!present.has(key) && revision <= revision)
+        seen.push(...this.drop(key, revision));
     // Groups first, jobs last: a master that starts on its group's record then finds all its jobs as old ones.
     for (const i of items) seen.push(...this.put(i.key, i.value, i.version));
-    this.reached(epoch);
+    this.advanceTo(revision);
     this.ready = true;
     return seen;
   }
 
-  apply(changes: readonly Change[], epoch: number): Seen[] {
-    const seen: Seen[] = [];
+  apply(changes: readonly Change[], revision: number): StoreEvent[] {
+    const seen: StoreEvent[] = [];
     for (const c of changes) {
       if (c.op === "put") seen.push(...this.put(c.key, c.value, c.version));
       else seen.push(...this.drop(c.key, c.version));
     }
-    this.reached(epoch);
+    this.advanceTo(revision);
     return seen;
   }
 
-  private put(key: string, value: unknown, version: number): Seen[] {
+  private put(key: string, value: unknown, revision: number): StoreEvent[] {
     const k = parseKey(key);
     if (!k) return [];
     if (k.kind === "past") {
-      const p = readPast(value);
+      const p = readFinal(value);
       if (!p) return [{ kind: "unreadable", key }];
-      this.keepPast(k.id, p);
+      this.keepFinalRecord(k.id, p);
       return [{ kind: "past", id: k.id, past: p }];
     }
     // A change that this copy has passed already (two reads may overlap) says nothing new.
     if (
-      version <= (this.versions.get(key) ?? 0) ||
-      (version <= this.epoch && this.ready)
+      revision <= (this.revisions.get(key) ?? 0) ||
+      (revision <= this.revision && this.ready)
     )
       return [];
-    this.versions.set(key, version);
+    this.revisions.set(key, revision);
     switch (k.kind) {
       case "group": {
-        const r = readGroup(value);
+        const r = readPartition(value);
         if (!r) return [{ kind: "unreadable", key }];
-        this.groups.set(k.group, { ...r, version });
-        this.ownerChanged.set(k.group, version);
-        return [{ kind: "group", group: k.group }];
+        this.partitions.set(k.partition, { ...r, version: revision });
+        this.leaderChangedRevision.set(k.partition, revision);
+        return [{ kind: "group", partition: k.partition }];
       }
       case "claim": {
-        const r = readClaim(value);
+        const r = readLeadershipBid(value);
         if (!r) return [{ kind: "unreadable", key }];
-        this.claims.set(k.group, { ...r, version });
-        return [{ kind: "claim", group: k.group }];
+        this.leadershipBids.set(k.partition, { ...r, version: revision });
+        return [{ kind: "claim", partition: k.partition }];
       }
       case "room": {
-        const r = readRoom(value);
+        const r = readCapacity(value);
         if (!r) return [{ kind: "unreadable", key }];
-        this.rooms.set(k.group, r);
-        return [{ kind: "room", group: k.group }];
+        this.capacities.set(k.partition, r);
+        return [{ kind: "room", partition: k.partition }];
       }
       case "roster": {
-        const r = readRoster(value);
+        const r = readRegistry(value);
         if (!r) return [{ kind: "unreadable", key }];
-        let chunks = this.rosters.get(k.group);
+        let chunks = this.registries.get(k.partition);
         if (!chunks)
-          this.rosters.set(k.group, (chunks = new Map<number, RosterRecord>()));
+          this.registries.set(
+            k.partition,
+            (chunks = new Map<number, RegistryRecord>()),
+          );
         chunks.set(k.chunk, r);
         return [];
       }
       case "limits":
-        this.limitsSeq++;
-        this.limits.set(key, { shares: readQuota(value) ?? {}, version });
+        this.quotaRecordsSequence++;
+        this.quotaRecords.set(key, {
+          shares: readQuota(value) ?? {},
+          revision,
+        });
         return [{ kind: "limits" }];
       case "belief": {
-        const limits = readBelief(value);
+        const limits = readObservedLimits(value);
         if (limits === null) return [{ kind: "unreadable", key }];
-        this.beliefs.set(k.label, limits);
+        this.observedLimits.set(k.label, limits);
         return [{ kind: "belief" }];
       }
       case "reclaim":
         this.reclaims = readReclaims(value) ?? new Map();
         return [];
       case "fin": {
-        const r = readFin(value, k.chunk);
+        const r = readCompletion(value, k.chunk);
         if (!r) return [{ kind: "unreadable", key }];
-        let byGroup = this.fins.get(k.id);
-        if (!byGroup)
-          this.fins.set(k.id, (byGroup = new Map<string, RangeSet>()));
-        const set = byGroup.get(k.group) ?? RangeSet.empty();
+        let byPartition = this.completions.get(k.id);
+        if (!byPartition)
+          this.completions.set(
+            k.id,
+            (byPartition = new Map<string, RangeSet>()),
+          );
+        const set = byPartition.get(k.partition) ?? RangeSet.empty();
         const had = set.size;
         set.addAll(r);
-        this.finCounts.set(k.id, this.finishedCount(k.id) + set.size - had);
-        byGroup.set(k.group, set);
-        this.noteSide(k.id, key);
+        this.completionCounts.set(
+          k.id,
+          this.finishedCount(k.id) + set.size - had,
+        );
+        byPartition.set(k.partition, set);
+        this.noteSideKey(k.id, key);
         return [{ kind: "fin", id: k.id }];
       }
       case "gang":
@@ -245,13 +264,13 @@
         if (!g)
           this.gangs.set(
             k.id,
-            (g = { attempt: 0, version: 0, ready: new Map() }),
+            (g = { attempt: 0, revision: 0, ready: new Map() }),
           );
         if (k.kind === "gang") {
           g.attempt = attempt;
-          g.version = version;
-        } else g.ready.set(k.group, attempt);
-        this.noteSide(k.id, key);
+          g.revision = revision;
+        } else g.ready.set(k.partition, attempt);
+        this.noteSideKey(k.id, key);
         return [{ kind: "fin", id: k.id }];
       }
       case "job": {
@@ -259,12 +278,12 @@
         if (!r) return [{ kind: "unreadable", key }];
         const old = this.jobs.get(k.id);
         if (old) {
-          old.split = r.split;
-          old.awaits = r.awaits;
+          old.assignment = r.assignment;
+          old.dependsOn = r.dependsOn;
           // An earlier version that moves tasks leaves the time of release out.
           old.releasedAt = r.releasedAt ?? old.releasedAt;
           old.readyAt = old.releasedAt ?? old.acceptedAt;
-          old.version = version;
+          old.revision = revision;
           return [{ kind: "job", job: old, fresh: false }];
         }
         const { spec, ...rest } = r;
@@ -273,9 +292,9 @@
           spec,
           ...rest,
           readyAt: r.releasedAt ?? r.acceptedAt,
-          urgency: spec.urgency,
+          priority: spec.priority,
           dueAt: ownDueAt(spec, r.acceptedAt),
-          version,
+          revision,
         };
         this.jobs.set(k.id, job);
         return [{ kind: "job", job, fresh: true }];
@@ -283,37 +302,37 @@
     }
   }
 
-  private noteSide(id: string, key: string): void {
-    let keys = this.sides.get(id);
-    if (!keys) this.sides.set(id, (keys = new Set()));
+  private noteSideKey(id: string, key: string): void {
+    let keys = this.sideKeysByJob.get(id);
+    if (!keys) this.sideKeysByJob.set(id, (keys = new Set()));
     keys.add(key);
   }
 
-  private drop(key: string, version: number): Seen[] {
+  private drop(key: string, revision: number): StoreEvent[] {
     const k = parseKey(key);
     if (!k || k.kind === "past") return [];
-    if (version < (this.versions.get(key) ?? 0)) return [];
-    this.versions.delete(key);
+    if (revision < (this.revisions.get(key) ?? 0)) return [];
+    this.revisions.delete(key);
     switch (k.kind) {
       case "group":
-        this.groups.delete(k.group);
-        this.ownerChanged.set(k.group, version);
-        return [{ kind: "group", group: k.group }];
+        this.partitions.delete(k.partition);
+        this.leaderChangedRevision.set(k.partition, revision);
+        return [{ kind: "group", partition: k.partition }];
       case "claim":
-        this.claims.delete(k.group);
-        return [{ kind: "claim", group: k.group }];
+        this.leadershipBids.delete(k.partition);
+        return [{ kind: "claim", partition: k.partition }];
       case "room":
-        this.rooms.delete(k.group);
-        return [{ kind: "room", group: k.group }];
+        this.capacities.delete(k.partition);
+        return [{ kind: "room", partition: k.partition }];
       case "roster":
-        this.rosters.get(k.group)?.delete(k.chunk);
+        this.registries.get(k.partition)?.delete(k.chunk);
         return [];
       case "limits":
-        this.limitsSeq++;
-        this.limits.delete(key);
+        this.quotaRecordsSequence++;
+        this.quotaRecords.delete(key);
         return [{ kind: "limits" }];
       case "belief":
-        this.beliefs.delete(k.label);
+        this.observedLimits.delete(k.label);
         return [{ kind: "belief" }];
       case "reclaim":
         this.reclaims = new Map();
@@ -321,12 +340,12 @@
       case "fin":
       case "gang":
       case "ready": {
-        const keys = this.sides.get(k.id);
+        const keys = this.sideKeysByJob.get(k.id);
         keys?.delete(key);
         if (keys?.size === 0) {
-          this.sides.delete(k.id);
-          this.fins.delete(k.id);
-          this.finCounts.delete(k.id);
+          this.sideKeysByJob.delete(k.id);
+          this.completions.delete(k.id);
+          this.completionCounts.delete(k.id);
           this.gangs.delete(k.id);
         }
         return [];
--- a/src/coordination/model.ts
+++ b/src/coordination/model.ts
@@ -1,24 +1,24 @@
 /** The words used inside: job, task, gang, worker, lease, token, attempt, zone, spot. */
 
-export type Shape = "batch" | "ensemble" | "daemon";
+export type JobKind = "array" | "gang" | "service";
 
 /** Higher is more urgent. */
-export const URGENCIES = ["best_effort", "normal", "high", "prod"] as const;
-export type Urgency = (typeof URGENCIES)[number];
+export const PRIORITIES = ["best_effort", "normal", "high", "prod"] as const;
+export type Priority = (typeof PRIORITIES)[number];
 
 export interface JobSpec {
   id: string;
-  class: string;
+  jobClass: string;
   team: string;
-  shape: Shape;
-  urgency: Urgency;
+  kind: JobKind;
+  priority: Priority;
   tasks: number;
   cpus: number;
   gpus: number;
   memGb: number;
   image: string;
   imageGb: number;
-  types: string[] | null;
+  machineTypes: string[] | null;
   zone: string | null;
   samePlace: boolean;
   spread: boolean;
@@ -31,7 +31,7 @@
 
 export type TaskState =
   "fetching" | "waiting" | "running" | "saving" | "exited";
-export type Cause =
+export type ExitCause =
   | "done"
   | "stopped"
   | "peers"
@@ -46,24 +46,24 @@
   index: number;
   attempt: number;
   state: TaskState;
-  cause: Cause | null;
-  saved: boolean;
+  cause: ExitCause | null;
+  checkpointed: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   worker: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  tally: number;
+  incarnation: number;
+  sequence: number;
   token: number;
   noticeS: number | null;
   tasks: ReportedTask[];
 }
 
-export type Order =
+export type Command =
   | { op: "start"; job: string; index: number; attempt: number }
   | { op: "stop"; job: string; index: number; attempt: number; graceS: number }
   | { op: "forget"; job: string; index: number; attempt: number };
@@ -132,13 +132,13 @@
 }
 
 /** What counts of a waiting job beside its own description; for a job that others need, theirs count as well. */
-export interface Standing {
+export interface EffectivePriority {
   /** Time of day when it was accepted. Deadlines count from here. */
   acceptedAt: number;
   /** Time of day when it could start: all other times count from here. */
   readyAt: number;
   /** Its own urgency, or that of the most urgent job that needs it. */
-  urgency: Urgency;
+  priority: Priority;
   /** Time of day by which it should be done, so that what needs it can be in time too; Infinity: no deadline. */
   dueAt: number;
 }
--- a/src/coordination/parts.ts
+++ b/src/coordination/parts.ts
@@ -8,33 +8,35 @@
 export interface GangView {
   /** The attempt that was called; 0: none yet. */
   attempt: number;
-  version: number;
+  revision: number;
   /** By group: the attempt that it is ready to follow. */
   ready: ReadonlyMap<string, number>;
 }
-export const NO_GANG: GangView = { attempt: 0, version: 0, ready: new Map() };
+export const NO_GANG: GangView = { attempt: 0, revision: 0, ready: new Map() };
 
-export const inParts = (spec: JobSpec, groups: number): boolean =>
-  spec.shape === "ensemble" && spec.spread && groups > 1;
+export const isSpreadOverPartitions = (
+  spec: JobSpec,
+  partitions: number,
+): boolean => spec.kind === "gang" && spec.spread && partitions > 1;
 
-type PartStep =
-  | { is: "ready"; after: number }
-  | { is: "call" }
-  | { is: "start"; attempt: number }
-  | { is: "wait" };
+type GangStep =
+  | { kind: "ready"; after: number }
+  | { kind: "call" }
+  | { kind: "start"; attempt: number }
+  | { kind: "wait" };
 
 /**
  * What a group does whose part has room and nothing left on any machine. `tried`: the attempt that this master has
  * started its part under. Invariant (ran_twice): the records only say when to start and under which attempt; that
  * nothing of the part is anywhere is each master's own knowledge, as for every other job.
  */
-export function partStep(
-  groups: readonly string[],
-  group: string,
+export function nextGangStep(
+  partitions: readonly string[],
+  partition: string,
   gang: GangView,
   tried: number,
-): PartStep {
-  const mine = gang.ready.get(group);
+): GangStep {
+  const mine = gang.ready.get(partition);
   // Called after this group said that it was ready: whoever starts late still completes the gang.
   if (
     gang.attempt > 0 &&
@@ -42,11 +44,11 @@
     tried !== gang.attempt &&
     mine !== undefined
   )
-    return { is: "start", attempt: gang.attempt };
-  if (mine !== gang.attempt) return { is: "ready", after: gang.attempt };
-  const first = [...groups].sort()[0];
-  return first === group &&
-    groups.every((g) => gang.ready.get(g) === gang.attempt)
-    ? { is: "call" }
-    : { is: "wait" };
+    return { kind: "start", attempt: gang.attempt };
+  if (mine !== gang.attempt) return { kind: "ready", after: gang.attempt };
+  const first = [...partitions].sort()[0];
+  return first === partition &&
+    partitions.every((g) => gang.ready.get(g) === gang.attempt)
+    ? { kind: "call" }
+    : { kind: "wait" };
 }
--- a/src/coordination/placing.ts
+++ b/src/coordination/placing.ts
@@ -1,132 +1,135 @@
 import { gangKey, jobKey, readyKey } from "../storage/records.js";
 import type { Context } from "./context.js";
-import { Urgent } from "./effects.js";
-import type { GroupState } from "./group-state.js";
-import { NO_USE, type Use } from "./ledger.js";
-import { Gathering } from "./gathering.js";
-import type { Guarantees, Sharing } from "./limits/index.js";
+import { CallPriority } from "./effects.js";
+import type { PartitionState } from "./group-state.js";
+import { NO_USE, type ResourceUse } from "./ledger.js";
+import { GangAssembly } from "./gathering.js";
+import type { Guarantees, QuotaAllocator } from "./limits/index.js";
 import { type JobSpec, taskKey } from "./model.js";
-import { inParts, partStep } from "./parts.js";
+import { isSpreadOverPartitions, nextGangStep } from "./parts.js";
 import {
-  allowedOn,
-  type Amounts,
+  isAllowedOn,
+  type Resources,
   fitCount,
-  fitLimit,
-  Misfits,
-  suits,
-  zoneCap,
+  fitWithinLimit,
+  UnplaceableCache,
+  isSuitable,
+  maxTasksPerZone,
 } from "./placement.js";
 import type { Preemption } from "./preemption.js";
-import { type Due, isLate, isShort, Round } from "./queues.js";
+import { type Precedence, isLate, isShort, SchedulingRound } from "./queues.js";
 import {
   freeOn,
   type JobRun,
-  take,
+  subtract,
   type TaskRun,
   type Worker,
 } from "./tasks.js";
 
 /** Attempts of one token: with a token below 2^33 they stay below 2^53. */
-const ATTEMPTS = 2 ** 20;
+const ATTEMPTS_PER_TOKEN = 2 ** 20;
 /**
  * Placing passes follow each other no faster than this, and what only time can change (back-offs, machines to
  * avoid, urgent work that waited) is looked at this often: reports come by the hundred a second on large groups.
  */
-const PLACE_GAP_MS = 60;
-const PLACE_AGAIN_MS = 1_000;
+const ROUND_INTERVAL_MS = 60;
+const IDLE_ROUND_INTERVAL_MS = 1_000;
 /** What may use a gang's places until it has them all: estimates are often too short by half. */
-const BACKFILL_SLOW = 1.6;
+const BACKFILL_ESTIMATE_FACTOR = 1.6;
 /** A task waits this long before others are stopped for it. */
 const PREEMPT_AFTER_MS = 2_000;
 
 /** Which waiting task starts where: Pigeon's two queues over the machines of a group. */
-export class Placing {
+export class Scheduler {
   private attempts = 0;
-  private readonly turn = { sinceLong: 0 };
-  private placedMs = -Infinity;
+  private readonly longQueueTurn = { sinceLong: 0 };
+  private lastRoundMs = -Infinity;
   /** Placing passes made: tests see by it that reports alone cause none. */
-  passes = 0;
+  rounds = 0;
 
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
-    private readonly sharing: Sharing,
+    private readonly own: PartitionState,
+    private readonly sharing: QuotaAllocator,
     private readonly guarantees: Guarantees,
     private readonly preemption: Preemption,
   ) {
-    this.gathering = new Gathering(ctx, own, sharing);
+    this.gangAssembly = new GangAssembly(ctx, own, sharing);
   }
-  private readonly gathering: Gathering;
+  private readonly gangAssembly: GangAssembly;
   /** Room on machines that a gang gathers: for what is done before the gang has all its places, it is there. */
-  private readonly kept = new Map<Worker, Amounts>();
+  private readonly reservedForGang = new Map<Worker, Resources>();
   /** Seconds until the gang that keeps it has all its places; the soonest of several. */
-  private keptS = 0;
+  private reservedForS = 0;
 
   /** What only time can change is looked at now and then. */
   tick(): void {
-    if (this.ctx.nowMs - this.placedMs >= PLACE_AGAIN_MS) this.own.dirty = true;
-    this.place();
+    if (this.ctx.nowMs - this.lastRoundMs >= IDLE_ROUND_INTERVAL_MS)
+      this.own.needsScheduling = true;
+    this.runRound();
   }
 
-  place(): void {
+  runRound(): void {
     // With thousands of waiting jobs a pass takes longer: it may take no more than a small part of the time.
     if (
-      !this.own.dirty ||
-      this.ctx.nowMs - this.placedMs <
-        Math.max(PLACE_GAP_MS, this.own.jobs.size / 5) ||
-      !this.own.permitted()
+      !this.own.needsScheduling ||
+      this.ctx.nowMs - this.lastRoundMs <
+        Math.max(ROUND_INTERVAL_MS, this.own.jobs.size / 5) ||
+      !this.own.mayAct()
     )
       return;
-    this.own.dirty = false;
-    this.placedMs = this.ctx.nowMs;
-    this.passes++;
-    this.own.holding.clear();
-    this.kept.clear();
-    this.keptS = Infinity;
+    this.own.needsScheduling = false;
+    this.lastRoundMs = this.ctx.nowMs;
+    this.rounds++;
+    this.own.reservedForGangs.clear();
+    this.reservedForGang.clear();
+    this.reservedForS = Infinity;
     const ready = [...this.own.jobs.values()].filter((j) =>
       this.own.mayStart(j),
     );
     if (ready.length === 0) return;
-    this.gathering.look(ready);
+    this.gangAssembly.update(ready);
     const used = this.own.usage();
     const { usable: workers, reserved } = this.own.usableWorkers();
-    const free = new Map<Worker, Amounts>(workers.map((w) => [w, freeOn(w)]));
+    const free = new Map<Worker, Resources>(workers.map((w) => [w, freeOn(w)]));
     const unreserved = workers.filter((w) => !reserved.has(w.id));
-    const round = new Round(
+    const round = new SchedulingRound(
       ready.map((j) => ({
         spec: j.view.spec,
-        standing: j.view,
-        tasks: this.own.unfinished(j),
+        effectivePriority: j.view,
+        remainingTasks: this.own.unfinishedTasks(j),
         late: isLate(
           j.view.spec,
           j.view,
           this.ctx.wallMs,
           this.ctx.settings.objectives,
         ),
-        due: this.gathering.due(j),
+        precedence: this.gangAssembly.precedenceOf(j),
         job: j,
       })),
       this.ctx.tuning,
-      this.turn,
+      this.longQueueTurn,
       this.ctx.tuning.guaranteeOrder
         ? (team) => this.guarantees.standing(team, used.get(team) ?? NO_USE)
         : null,
     );
-    const madeRoom = new Set(workers.map((w) => w.heldFor?.job));
+    const madeRoom = new Set(workers.map((w) => w.reservedFor?.job));
     const blocked: JobRun[] = [];
-    const misfits = new Misfits();
-    const most = (head: { due: Due }): number =>
-      head.due === "array" ? 1 : round.most();
+    const misfits = new UnplaceableCache();
+    const most = (head: { precedence: Precedence }): number =>
+      head.precedence === "array" ? 1 : round.maxTasks();
     for (let head = round.head(); head; head = round.head()) {
       const job = head.job;
       const short = isShort(job.view.spec, this.ctx.tuning);
-      const look = `${short}/${this.fillsIn(job.view.spec)}`;
+      const look = `${short}/${this.mayBackfill(job.view.spec)}`;
       // Room that was made for a job is hidden from the others.
       const own = madeRoom.has(job.id);
       const n =
-        !own && head.due === "no" && misfits.includes(job.view.spec, look)
+        !own &&
+        head.precedence === "no" &&
+        misfits.includes(job.view.spec, look)
           ? 0
-          : this.placeSome(
+          : this.placeTasks(
               job,
               most(head),
               short ? workers : unreserved,
@@ -136,8 +139,10 @@
             );
       if (n === null) misfits.add(job.view.spec, look);
       if (n) round.served(n);
-      else if (blocked.length < 3 && job.suspectMs === null) blocked.push(job);
-      if (!n || job.waiting.isEmpty || head.due === "array") round.skip();
+      else if (blocked.length < 3 && job.quarantinedSinceMs === null)
+        blocked.push(job);
+      if (!n || job.waiting.isEmpty || head.precedence === "array")
+        round.skip();
     }
     for (const job of blocked)
       if (this.ctx.nowMs - job.waitingSinceMs > PREEMPT_AFTER_MS)
@@ -145,45 +150,45 @@
   }
 
   /** Places a whole gang, or up to `most` tasks on one machine; the number of tasks placed, null: no room. */
-  private placeSome(
+  private placeTasks(
     job: JobRun,
     most: number,
     open: readonly Worker[],
-    free: Map<Worker, Amounts>,
+    free: Map<Worker, Resources>,
     reserved: ReadonlySet<string>,
-    used: Map<string, Use>,
+    used: Map<string, ResourceUse>,
   ): number | null {
     const spec = job.view.spec;
-    const gang = spec.shape === "ensemble";
+    const gang = spec.kind === "gang";
     // A gang starts anew only when nothing of its last attempt is left; its tasks complete or fail together.
     if (
       gang &&
       (job.active.size > 0 ||
-        job.waiting.size < job.mine.size ||
-        this.own.ledger.hasStrays(job.id))
+        job.waiting.size < job.assigned.size ||
+        this.own.ledger.hasUnconfirmed(job.id))
     )
       return 0;
     const team = used.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const share = this.sharing.share(spec.team);
-    const allowed = fitLimit(spec, {
+    const allowed = fitWithinLimit(spec, {
       cpus: share[0] - team.cpus,
       gpus: share[1] - team.gpus,
     });
     // Invariant (rule ran_twice): nothing is started that may still be on some machine.
     const startable = (i: number): boolean =>
-      !this.own.ledger.hasStrays(job.id, i);
+      !this.own.ledger.hasUnconfirmed(job.id, i);
     const want = gang
       ? job.waiting.size
       : Math.min(most, allowed, job.waiting.size);
     if (want === 0) return 0;
-    const gathers = gang && this.gathering.due(job) === "gang";
+    const gathers = gang && this.gangAssembly.precedenceOf(job) === "gang";
     if (allowed < want) {
-      if (gathers) this.keepLimit(spec, used);
+      if (gathers) this.reserveQuotaForGang(spec, used);
       return 0;
     }
     const indices = [
       ...job.waiting.take(
-        gang ? want : want + this.own.ledger.straysOf(job.id).size,
+        gang ? want : want + this.own.ledger.unconfirmedOf(job.id).size,
       ),
     ]
       .filter(startable)
@@ -196,22 +201,22 @@
       // `Gathering` says from when on it must, so as to begin in time.
       if (gang && want > 1) {
         if (gathers) {
-          this.keep(chosen, job);
-          this.keepLimit(spec, used);
+          this.reserveMachinesForGang(chosen, job);
+          this.reserveQuotaForGang(spec, used);
         } else if (
-          job.suspectMs === null &&
+          job.quarantinedSinceMs === null &&
           this.ctx.wallMs - job.view.readyAt > this.ctx.tuning.holdAfterS * 1000
         )
-          this.hold(chosen, spec, free);
+          this.reserveForGang(chosen, spec, free);
       }
       return null;
     }
-    const attempt = inParts(spec, job.view.split.size)
+    const attempt = isSpreadOverPartitions(spec, job.view.assignment.size)
       ? this.partAttempt(job)
-      : this.own.token * ATTEMPTS + ++this.attempts;
+      : this.own.token * ATTEMPTS_PER_TOKEN + ++this.attempts;
     if (attempt === null) {
       // The other parts are not ready yet: its room is held until they are.
-      this.hold(chosen, spec, free);
+      this.reserveForGang(chosen, spec, free);
       return null;
     }
     for (const [k, w] of chosen.entries()) {
@@ -223,41 +228,44 @@
         attempt,
         worker: w,
         phase: "ordered",
-        told: 0,
+        timesSent: 0,
         sinceMs: this.ctx.nowMs,
         stop: null,
       };
       job.active.set(index, t);
-      this.own.ledger.put(t);
+      this.own.ledger.add(t);
       w.idleSinceMs = null;
       this.ctx.log("starting task", {
         task: taskKey(job.id, index),
         attempt,
         worker: w.id,
       });
-      take(free.get(w)!, spec);
+      subtract(free.get(w)!, spec);
       team.cpus += spec.cpus;
       team.gpus += spec.gpus;
-      this.own.untold.add(w);
+      this.own.undelivered.add(w);
     }
     used.set(spec.team, team);
     return chosen.length;
   }
 
   /** Keeps the room that a gang could use already from those behind it in this pass, and from other groups' gangs. */
-  private hold(
+  private reserveForGang(
     chosen: readonly Worker[],
     spec: JobSpec,
-    free: ReadonlyMap<Worker, Amounts>,
+    free: ReadonlyMap<Worker, Resources>,
   ): void {
     for (const w of chosen) {
-      take(free.get(w)!, spec);
-      this.own.holding.add(w);
+      subtract(free.get(w)!, spec);
+      this.own.reservedForGangs.add(w);
     }
   }
 
   /** Of its team's limit, too, what comes free is for a gang that gathers: small ones of the same team took it as fast. */
-  private keepLimit(spec: JobSpec, used: Map<string, Use>): void {
+  private reserveQuotaForGang(
+    spec: JobSpec,
+    used: Map<string, ResourceUse>,
+  ): void {
     const team = used.get(spec.team) ?? NO_USE;
     used.set(spec.team, {
       cpus: team.cpus + spec.cpus * spec.tasks,
@@ -266,36 +274,39 @@
   }
 
   /** The same, but for what is done before the gang can have all its places: that may use them meanwhile. */
-  private keep(chosen: readonly Worker[], job: JobRun): void {
+  private reserveMachinesForGang(chosen: readonly Worker[], job: JobRun): void {
     const { cpus, gpus, memGb } = job.view.spec;
     for (const w of chosen) {
-      const k = this.kept.get(w) ?? { cpus: 0, gpus: 0, memGb: 0 };
-      this.kept.set(w, {
+      const k = this.reservedForGang.get(w) ?? { cpus: 0, gpus: 0, memGb: 0 };
+      this.reservedForGang.set(w, {
         cpus: k.cpus + cpus,
         gpus: k.gpus + gpus,
         memGb: k.memGb + memGb,
       });
-      this.own.holding.add(w);
+      this.own.reservedForGangs.add(w);
     }
-    this.keptS = Math.min(this.keptS, this.gathering.gatheredS(job));
+    this.reservedForS = Math.min(
+      this.reservedForS,
+      this.gangAssembly.assembledInS(job),
+    );
   }
-  private fillsIn(spec: JobSpec): boolean {
+  private mayBackfill(spec: JobSpec): boolean {
     return (
-      this.kept.size > 0 &&
-      spec.shape === "batch" &&
+      this.reservedForGang.size > 0 &&
+      spec.kind === "array" &&
       spec.estimateS > 0 &&
-      spec.estimateS * BACKFILL_SLOW < this.keptS
+      spec.estimateS * BACKFILL_ESTIMATE_FACTOR < this.reservedForS
     );
   }
   /** What is free on a machine for this job. */
   private roomOn(
     w: Worker,
-    free: ReadonlyMap<Worker, Amounts>,
+    free: ReadonlyMap<Worker, Resources>,
     spec: JobSpec,
-  ): Amounts {
+  ): Resources {
     const room = free.get(w)!;
-    const kept = this.kept.get(w);
-    if (!kept || this.fillsIn(spec)) return room;
+    const kept = this.reservedForGang.get(w);
+    if (!kept || this.mayBackfill(spec)) return room;
     return {
       cpus: room.cpus - kept.cpus,
       gpus: room.gpus - kept.gpus,
@@ -305,33 +316,33 @@
 
   /** The attempt under which a part of a gang is to start now; null: not yet. */
   private partAttempt(job: JobRun): number | null {
-    if (job.calling) return null;
-    const gang = this.ctx.mirror.gang(job.id);
-    const step = partStep(
-      [...job.view.split.keys()],
-      this.own.group,
+    if (job.writingGangRecord) return null;
+    const gang = this.ctx.cache.gang(job.id);
+    const step = nextGangStep(
+      [...job.view.assignment.keys()],
+      this.own.partition,
       gang,
-      job.tried,
+      job.lastAttempt,
     );
-    if (step.is === "start") return (job.tried = step.attempt);
-    if (step.is === "wait") return null;
-    job.calling = true;
+    if (step.kind === "start") return (job.lastAttempt = step.attempt);
+    if (step.kind === "wait") return null;
+    job.writingGangRecord = true;
     const done = (): void => {
-      job.calling = false;
+      job.writingGangRecord = false;
     };
-    const alive = { key: jobKey(job.id), version: job.view.version };
-    const called = { key: gangKey(job.id), version: gang.version };
-    const ready = readyKey(job.id, this.own.group);
+    const alive = { key: jobKey(job.id), version: job.view.revision };
+    const called = { key: gangKey(job.id), version: gang.revision };
+    const ready = readyKey(job.id, this.own.partition);
     // Both are conditional on the call that they follow: one that is carried out late, after the next, says nothing.
-    if (step.is === "ready")
+    if (step.kind === "ready")
       this.own.commit(
         [
           alive,
           called,
-          { key: ready, version: this.ctx.mirror.revisionOf(ready) },
+          { key: ready, version: this.ctx.cache.latestRevisionOf(ready) },
         ],
         [{ op: "put", key: ready, value: { attempt: step.after } }],
-        Urgent.Master,
+        CallPriority.Leader,
         done,
       );
     else
@@ -341,10 +352,12 @@
           {
             op: "put",
             key: called.key,
-            value: { attempt: this.own.token * ATTEMPTS + ++this.attempts },
+            value: {
+              attempt: this.own.token * ATTEMPTS_PER_TOKEN + ++this.attempts,
+            },
           },
         ],
-        Urgent.Master,
+        CallPriority.Leader,
         done,
       );
     return null;
@@ -356,7 +369,7 @@
     const add = (zone: string): void =>
       void zones.set(zone, (zones.get(zone) ?? 0) + 1);
     for (const t of job.active.values()) add(t.worker.zone);
-    for (const s of this.own.ledger.straysOf(job.id)) add(s.worker.zone);
+    for (const s of this.own.ledger.unconfirmedOf(job.id)) add(s.worker.zone);
     return zones;
   }
 
@@ -369,12 +382,12 @@
     want: number,
     gang: boolean,
     open: readonly Worker[],
-    free: ReadonlyMap<Worker, Amounts>,
+    free: ReadonlyMap<Worker, Resources>,
     reserved: ReadonlySet<string>,
   ): Worker[] {
     const spec = job.view.spec;
     const at = this.zonesOf(job);
-    const cap = zoneCap(spec);
+    const cap = maxTasksPerZone(spec);
     // Invariant (rule wrong_place): with `samePlace` only the zone where any of its tasks still is.
     if (spec.samePlace && at.size > 1) return [];
     const only = spec.samePlace && at.size === 1 ? [...at.keys()][0]! : null;
@@ -383,14 +396,14 @@
     for (const w of open) {
       if (only !== null && w.zone !== only) continue;
       if (
-        w.heldFor &&
-        w.heldFor.job !== job.id &&
-        this.ctx.nowMs < w.heldFor.untilMs
+        w.reservedFor &&
+        w.reservedFor.job !== job.id &&
+        this.ctx.nowMs < w.reservedFor.untilMs
       )
         continue;
       if (
-        !allowedOn(spec, w.typeName, w.zone, w.spot) ||
-        !suits(spec, w.type, w.spot, this.ctx.catalog)
+        !isAllowedOn(spec, w.typeName, w.zone, w.spot) ||
+        !isSuitable(spec, w.type, w.spot, this.ctx.catalog)
       )
         continue;
       const room = this.roomOn(w, free, spec);
@@ -431,12 +444,12 @@
   private score(
     job: JobRun,
     w: Worker,
-    room: Amounts,
+    room: Resources,
     reserved: ReadonlySet<string>,
   ): number {
     const spec = job.view.spec;
     let s = 0;
-    if (job.errors.has(w.id)) s -= 1_000;
+    if (job.failuresByMachine.has(w.id)) s -= 1_000;
     if (!spec.image || w.images.has(spec.image)) s += 200;
     if (reserved.has(w.id)) s -= 100;
     for (const t of w.tasks.values())
--- a/src/coordination/preemption.ts
+++ b/src/coordination/preemption.ts
@@ -1,32 +1,32 @@
 import type { Context } from "./context.js";
-import type { GroupState } from "./group-state.js";
-import type { Use } from "./ledger.js";
+import type { PartitionState } from "./group-state.js";
+import type { ResourceUse } from "./ledger.js";
 import {
-  type Pair,
-  type Reclaims,
-  type Sharing,
+  type ResourceAmounts,
+  type GuaranteeReclaims,
+  type QuotaAllocator,
   withinShare,
 } from "./limits/index.js";
-import { URGENCIES } from "./model.js";
+import { PRIORITIES } from "./model.js";
 import {
-  allowedOn,
-  type Amounts,
-  EPS,
+  isAllowedOn,
+  type Resources,
+  EPSILON,
   fitCount,
   fits,
-  suits,
+  isSuitable,
 } from "./placement.js";
-import type { Renting } from "./renting.js";
-import { graceOf, type JobRun, type TaskRun, type Worker } from "./tasks.js";
+import type { ScaleOut } from "./renting.js";
+import { saveTimeS, type JobRun, type TaskRun, type Worker } from "./tasks.js";
 
 /** Which running tasks are stopped for a waiting job that comes first. */
 export class Preemption {
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
-    private readonly sharing: Sharing,
-    private readonly renting: Renting,
-    private readonly reclaims: Reclaims,
+    private readonly own: PartitionState,
+    private readonly sharing: QuotaAllocator,
+    private readonly scaleOut: ScaleOut,
+    private readonly reclaims: GuaranteeReclaims,
   ) {}
 
   /** PROTOCOL, "Preemption": for a job of higher urgency, or to give a team its guarantee back. */
@@ -41,8 +41,8 @@
 
   private comesBefore(job: JobRun, running: JobRun, why: Why): boolean {
     if (
-      URGENCIES.indexOf(job.view.urgency) >
-      URGENCIES.indexOf(running.view.urgency)
+      PRIORITIES.indexOf(job.view.priority) >
+      PRIORITIES.indexOf(running.view.priority)
     )
       return true;
     return why.has(running.view.spec.team);
@@ -52,9 +52,9 @@
    * Teams that work may be taken of for the guarantee of the job's team, with how much: they are surely beyond their own,
    * whole fleet and claims of all groups counted, and the job fits into what its team is promised.
    */
-  private givers(job: JobRun, want: number): Why {
+  private teamsToReclaimFrom(job: JobRun, want: number): Why {
     const { spec } = job.view;
-    const out = new Map<string, Pair>();
+    const out = new Map<string, ResourceAmounts>();
     if (
       !this.reclaims.mayClaim(spec.team, [spec.cpus * want, spec.gpus * want])
     )
@@ -62,7 +62,7 @@
     for (const team of this.ctx.settings.teams.keys()) {
       if (team === spec.team) continue;
       const left = this.reclaims.left(team);
-      if (left[0] > EPS || left[1] > EPS) out.set(team, left);
+      if (left[0] > EPSILON || left[1] > EPSILON) out.set(team, left);
     }
     return out;
   }
@@ -75,7 +75,7 @@
   }
 
   /** What stopping a task loses, in seconds of its CPUs. */
-  private lossOf(t: TaskRun): number {
+  private lostWorkOf(t: TaskRun): number {
     const spec = t.job.view.spec;
     const ran = t.phase === "running" ? (this.ctx.nowMs - t.sinceMs) / 1000 : 0;
     return (
@@ -90,9 +90,9 @@
   private victimsOn(
     w: Worker,
     job: JobRun,
-    free: Amounts,
+    free: Resources,
     why: Why,
-    left: Map<string, Pair>,
+    left: Map<string, ResourceAmounts>,
   ): { victims: TaskRun[]; loss: number } | null {
     const spec = job.view.spec;
     const room = { ...free };
@@ -100,24 +100,31 @@
     let loss = 0;
     for (const t of [...w.tasks.values()]
       .filter((x) => this.mayPreempt(job, x, why))
-      .sort((x, y) => this.lossOf(x) - this.lossOf(y))) {
+      .sort((x, y) => this.lostWorkOf(x) - this.lostWorkOf(y))) {
       if (fits(spec, room)) break;
       if (!this.charge(t, job, left)) continue;
       victims.push(t);
-      loss += this.lossOf(t);
+      loss += this.lostWorkOf(t);
       addTo(room, t.job.view.spec);
     }
     return victims.length > 0 && fits(spec, room) ? { victims, loss } : null;
   }
 
   /** Counts a task against what may be taken of its team, if it is stopped for a guarantee; false: nothing may be any more. */
-  private charge(t: TaskRun, job: JobRun, left: Map<string, Pair>): boolean {
-    const { spec, urgency } = t.job.view;
-    if (URGENCIES.indexOf(job.view.urgency) > URGENCIES.indexOf(urgency))
+  private charge(
+    t: TaskRun,
+    job: JobRun,
+    left: Map<string, ResourceAmounts>,
+  ): boolean {
+    const { spec, priority } = t.job.view;
+    if (PRIORITIES.indexOf(job.view.priority) > PRIORITIES.indexOf(priority))
       return true;
     const l = left.get(spec.team);
     // The last task may go beyond, so that no guarantee stays unmet for the size of a task.
-    if (!l || !((spec.cpus > 0 && l[0] > EPS) || (spec.gpus > 0 && l[1] > EPS)))
+    if (
+      !l ||
+      !((spec.cpus > 0 && l[0] > EPSILON) || (spec.gpus > 0 && l[1] > EPSILON))
+    )
       return false;
     left.set(spec.team, [l[0] - spec.cpus, l[1] - spec.gpus]);
     return true;
@@ -131,13 +138,13 @@
   consider(
     job: JobRun,
     workers: readonly Worker[],
-    free: ReadonlyMap<Worker, Amounts>,
-    used: ReadonlyMap<string, Use>,
+    free: ReadonlyMap<Worker, Resources>,
+    used: ReadonlyMap<string, ResourceUse>,
   ): void {
     const spec = job.view.spec;
-    const gang = spec.shape === "ensemble";
+    const gang = spec.kind === "gang";
     if (spec.spread || (spec.samePlace && !gang)) return;
-    if (gang && !this.own.waitsWhole(job)) return;
+    if (gang && !this.own.isWhollyWaiting(job)) return;
     const want = gang ? spec.tasks : 1;
     if (
       !withinShare(
@@ -149,19 +156,21 @@
       return;
     const now = this.ctx.nowMs;
     if (
-      workers.some((w) => w.heldFor?.job === job.id && now < w.heldFor.untilMs)
+      workers.some(
+        (w) => w.reservedFor?.job === job.id && now < w.reservedFor.untilMs,
+      )
     )
       return;
-    const why = this.givers(job, want);
-    if (!this.anyBehind(job, why) || !this.renting.exhausted(spec)) return;
+    const why = this.teamsToReclaimFrom(job, want);
+    if (!this.anyBehind(job, why) || !this.scaleOut.exhausted(spec)) return;
     const may = workers.filter(
       (w) =>
-        allowedOn(spec, w.typeName, w.zone, w.spot) &&
-        suits(spec, w.type, w.spot, this.ctx.catalog) &&
-        !(w.heldFor && now < w.heldFor.untilMs) &&
-        !job.errors.has(w.id),
+        isAllowedOn(spec, w.typeName, w.zone, w.spot) &&
+        isSuitable(spec, w.type, w.spot, this.ctx.catalog) &&
+        !(w.reservedFor && now < w.reservedFor.untilMs) &&
+        !job.failuresByMachine.has(w.id),
     );
-    let best: Choice | null = null;
+    let best: Candidate | null = null;
     for (const zone of spec.samePlace
       ? new Set(may.map((w) => w.zone))
       : [null]) {
@@ -184,9 +193,9 @@
     here: readonly Worker[],
     rooms: readonly Worker[],
     lacking: number,
-    free: ReadonlyMap<Worker, Amounts>,
+    free: ReadonlyMap<Worker, Resources>,
     why: Why,
-  ): Choice | null {
+  ): Candidate | null {
     const options = here
       .filter((w) => !rooms.includes(w))
       .flatMap((w) => {
@@ -197,7 +206,7 @@
     if (options.length < lacking) return null;
     // Chosen in this order, what may be taken of a team is charged once for all machines.
     const left = new Map(why);
-    const out: Choice = { workers: [...rooms], victims: [], loss: 0 };
+    const out: Candidate = { workers: [...rooms], victims: [], loss: 0 };
     let found = 0;
     for (const { w } of options) {
       if (found === lacking) break;
@@ -220,11 +229,11 @@
     here: readonly Worker[],
     rooms: readonly Worker[],
     lacking: number,
-    free: ReadonlyMap<Worker, Amounts>,
+    free: ReadonlyMap<Worker, Resources>,
     why: Why,
-  ): Choice | null {
+  ): Candidate | null {
     const spec = job.view.spec;
-    let best: Choice | null = null;
+    let best: Candidate | null = null;
     for (const g of this.own.jobs.values()) {
       const other = g.view.spec;
       if (
@@ -238,7 +247,7 @@
       const tasks = [...g.active.values()];
       if (tasks.some((t) => t.stop || t.phase !== "running")) continue;
       if (!this.charge(tasks[0]!, job, new Map(why))) continue;
-      const room = new Map<Worker, Amounts>();
+      const room = new Map<Worker, Resources>();
       for (const t of tasks) {
         const r = room.get(t.worker) ?? {
           ...(free.get(t.worker) ?? { cpus: 0, gpus: 0, memGb: 0 }),
@@ -251,7 +260,7 @@
       );
       if (makes.reduce((n, [, r]) => n + fitCount(spec, r), 0) < lacking)
         continue;
-      const loss = tasks.reduce((n, t) => n + this.lossOf(t), 0);
+      const loss = tasks.reduce((n, t) => n + this.lostWorkOf(t), 0);
       if (!best || loss < best.loss)
         best = {
           workers: [...rooms, ...makes.map(([w]) => w)],
@@ -265,19 +274,19 @@
   private carryOut(
     job: JobRun,
     want: number,
-    { workers, victims }: Choice,
+    { workers, victims }: Candidate,
   ): void {
     const spec = job.view.spec;
-    const grace = Math.max(0, ...victims.map(graceOf));
+    const grace = Math.max(0, ...victims.map(saveTimeS));
     const stop = (): void => {
       // It may have begun, or ended, while the claim was written.
-      if (job.gone || job.waiting.isEmpty) return;
+      if (job.isOver || job.waiting.isEmpty) return;
       const untilMs =
         this.ctx.nowMs +
         grace * 1000 +
         2_000 * this.ctx.settings.reportS +
         3_000;
-      for (const w of workers) w.heldFor = { job: job.id, untilMs };
+      for (const w of workers) w.reservedFor = { job: job.id, untilMs };
       const still = victims.filter(
         (t) => !t.stop && t.job.active.get(t.index) === t,
       );
@@ -288,15 +297,17 @@
         tasks: still.length,
       });
       for (const t of still) {
-        this.own.stop(t, isGang(t.job) ? grace : graceOf(t), "preempted");
+        this.own.stop(t, isGang(t.job) ? grace : saveTimeS(t), "preempted");
         // It does not come up elsewhere a moment later: whoever it was stopped for comes first there, too.
         t.job.backoffUntilMs = Math.max(t.job.backoffUntilMs, untilMs);
       }
     };
-    const from = new Map<string, Pair>();
+    const from = new Map<string, ResourceAmounts>();
     for (const t of victims) {
       const v = t.job.view;
-      if (URGENCIES.indexOf(job.view.urgency) > URGENCIES.indexOf(v.urgency))
+      if (
+        PRIORITIES.indexOf(job.view.priority) > PRIORITIES.indexOf(v.priority)
+      )
         continue;
       const p = from.get(v.spec.team) ?? [0, 0];
       from.set(v.spec.team, [p[0] + v.spec.cpus, p[1] + v.spec.gpus]);
@@ -313,8 +324,8 @@
 }
 
 /** Teams that work may be taken of for a guarantee, with how much. */
-type Why = ReadonlyMap<string, Pair>;
-interface Choice {
+type Why = ReadonlyMap<string, ResourceAmounts>;
+interface Candidate {
   /** Where the room is, or will be. */
   workers: Worker[];
   victims: TaskRun[];
@@ -322,9 +333,9 @@
 }
 /** A gang that loses one task loses all. */
 const isGang = (j: JobRun): boolean =>
-  j.view.spec.shape === "ensemble" && j.view.spec.tasks > 1;
+  j.view.spec.kind === "gang" && j.view.spec.tasks > 1;
 
-function addTo(room: Amounts, spec: Amounts): void {
+function addTo(room: Resources, spec: Resources): void {
   room.cpus += spec.cpus;
   room.gpus += spec.gpus;
   room.memGb += spec.memGb;
--- a/src/coordination/reconciliation.ts
+++ b/src/coordination/reconciliation.ts
@@ -1,20 +1,25 @@
 import type { Context } from "./context.js";
-import type { Failures } from "./failures.js";
-import type { Finishing } from "./finishing.js";
-import type { GroupState } from "./group-state.js";
-import { type Cause, type ReportedTask, taskKey } from "./model.js";
-import { allowedOn } from "./placement.js";
-import type { Receipts } from "./receipt.js";
-import { runKey, type Stray, type TaskRun, type Worker } from "./tasks.js";
+import type { FailureTracker } from "./failures.js";
+import type { JobCompletion } from "./finishing.js";
+import type { PartitionState } from "./group-state.js";
+import { type ExitCause, type ReportedTask, taskKey } from "./model.js";
+import { isAllowedOn } from "./placement.js";
+import type { DeliveryTracker } from "./receipt.js";
+import {
+  attemptKey,
+  type UnconfirmedTask,
+  type TaskRun,
+  type Worker,
+} from "./tasks.js";
 
 /** A machine that refused a task for want of room, or a job that is not known there, is left alone for so long. */
 const REFUSED_PAUSE_MS = 2_000;
 
 /** Reported tasks by job, index and attempt. */
-type Shown = ReadonlyMap<string, ReportedTask>;
+type ReportedTasks = ReadonlyMap<string, ReportedTask>;
 
 /** What a report says of the starts that answers before it bore. */
-interface OrdersSeen {
+interface CommandEvidence {
   /** One that should be there is not. */
   missing: boolean;
   carriedOut: boolean;
@@ -24,10 +29,10 @@
 export class Reconciliation {
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
-    private readonly receipts: Receipts,
-    private readonly finishing: Finishing,
-    private readonly failures: Failures,
+    private readonly own: PartitionState,
+    private readonly receipts: DeliveryTracker,
+    private readonly finishing: JobCompletion,
+    private readonly failures: FailureTracker,
   ) {}
 
   /**
@@ -40,29 +45,30 @@
     ordered = true,
   ): void {
     const shown = new Map<string, ReportedTask>();
-    for (const r of reported) shown.set(runKey(r.job, r.index, r.attempt), r);
+    for (const r of reported)
+      shown.set(attemptKey(r.job, r.index, r.attempt), r);
     worker.exited = [];
-    const strays = new Map(worker.strays);
-    this.own.ledger.clearStrays(worker);
+    const unconfirmed = new Map(worker.unconfirmedTasks);
+    this.own.ledger.clearUnconfirmed(worker);
     const seen = this.reconcileKnown(worker, shown, ordered);
     for (const [key, r] of shown) {
       if (r.state === "exited") this.noteExited(worker, key, r);
       else if (!worker.tasks.has(key) && !this.adopt(worker, r))
-        this.addStray(worker, r, strays.get(key));
+        this.addUnconfirmed(worker, r, unconfirmed.get(key));
     }
-    this.receipts.noteOrders(worker, seen.missing, seen.carriedOut);
+    this.receipts.noteCommands(worker, seen.missing, seen.carriedOut);
     // What is gone from a machine has made room, or was what a waiting task had to wait for.
-    for (const key of strays.keys())
-      if (!worker.strays.has(key)) this.own.dirty = true;
+    for (const key of unconfirmed.keys())
+      if (!worker.unconfirmedTasks.has(key)) this.own.needsScheduling = true;
   }
 
   /** The tasks that are known to be, or were ordered to be, on the machine. */
   private reconcileKnown(
     worker: Worker,
-    shown: Shown,
+    shown: ReportedTasks,
     ordered: boolean,
-  ): OrdersSeen {
-    const seen: OrdersSeen = { missing: false, carriedOut: false };
+  ): CommandEvidence {
+    const seen: CommandEvidence = { missing: false, carriedOut: false };
     for (const [key, task] of [...worker.tasks]) {
       const r = shown.get(key);
       if (!r) {
@@ -71,7 +77,7 @@
         continue;
       }
       if (task.phase === "ordered") seen.carriedOut = true;
-      if (r.state === "exited") this.exited(task, r.cause, r.saved);
+      if (r.state === "exited") this.onExited(task, r.cause, r.checkpointed);
       else this.notePhase(worker, task, r.state);
     }
     return seen;
@@ -85,19 +91,22 @@
     ordered: boolean,
   ): boolean {
     if (task.phase !== "ordered") {
-      this.lostTask(task);
+      this.onVanished(task);
       return false;
     }
     // A start that no report shows was not carried out, and if it rode in an answer it never will be: the
     // worker drops answers that it no longer waits for. One sent straight to it may still arrive.
     if (!ordered) return false;
-    if (task.stop && !worker.openStarts.has(key)) {
+    if (task.stop && !worker.unansweredStarts.has(key)) {
       this.own.requeue(task);
       return false;
     }
-    if (task.told === 0) return false;
+    if (task.timesSent === 0) return false;
     // What a machine that receives nothing was to start goes elsewhere as soon as it can't be carried out any more.
-    if (worker.receipt.deafMs !== null && !worker.openStarts.has(key))
+    if (
+      worker.delivery.unreachableSinceMs !== null &&
+      !worker.unansweredStarts.has(key)
+    )
       this.own.requeue(task);
     return true;
   }
@@ -130,17 +139,17 @@
       attempt: r.attempt,
       cause: r.cause,
     });
-    if (!worker.tasks.has(key) && r.cause === "done") this.foundDone(r);
+    if (!worker.tasks.has(key) && r.cause === "done") this.onFoundDone(r);
   }
 
   /** A task that is not this master's: it is stopped, and counts until it is gone. */
-  private addStray(
+  private addUnconfirmed(
     worker: Worker,
     r: ReportedTask,
-    before: Stray | undefined,
+    before: UnconfirmedTask | undefined,
   ): void {
     const spec = (
-      this.own.jobs.get(r.job)?.view ?? this.ctx.mirror.jobs.get(r.job)
+      this.own.jobs.get(r.job)?.view ?? this.ctx.cache.jobs.get(r.job)
     )?.spec;
     const known = spec && {
       team: spec.team,
@@ -148,7 +157,7 @@
       gpus: spec.gpus,
       memGb: spec.memGb,
     };
-    this.own.ledger.addStray({
+    this.own.ledger.addUnconfirmed({
       worker,
       job: r.job,
       index: r.index,
@@ -174,32 +183,32 @@
   }
 
   /** A result that was reported under another attempt counts all the same. */
-  private foundDone(r: ReportedTask): void {
+  private onFoundDone(r: ReportedTask): void {
     const job = this.own.jobs.get(r.job);
     if (
       !job ||
-      job.view.spec.shape === "daemon" ||
-      !job.mine.has(r.index) ||
+      job.view.spec.kind === "service" ||
+      !job.assigned.has(r.index) ||
       job.finished.has(r.index)
     )
       return;
     const running = job.active.get(r.index);
-    this.finishing.finish(job, r.index);
+    this.finishing.completeTask(job, r.index);
     if (running) this.own.stop(running, 0, "done elsewhere");
   }
 
   /** A task that a former master started (or whose start we forgot): ours from now on, if it may be. */
   private adopt(worker: Worker, r: ReportedTask): boolean {
     const job = this.own.jobs.get(r.job);
-    if (!job || job.gone || !job.waiting.has(r.index) || r.state === "exited")
+    if (!job || job.isOver || !job.waiting.has(r.index) || r.state === "exited")
       return false;
     const spec = job.view.spec;
     if (
-      spec.shape === "ensemble" &&
+      spec.kind === "gang" &&
       [...job.active.values()].some((t) => t.attempt !== r.attempt)
     )
       return false;
-    if (!allowedOn(spec, worker.typeName, worker.zone, worker.spot))
+    if (!isAllowedOn(spec, worker.typeName, worker.zone, worker.spot))
       return false;
     job.waiting.remove(r.index);
     const task: TaskRun = {
@@ -208,17 +217,17 @@
       attempt: r.attempt,
       worker,
       phase: r.state,
-      told: 0,
+      timesSent: 0,
       sinceMs: this.ctx.nowMs,
       stop: null,
     };
     job.active.set(r.index, task);
-    this.own.ledger.put(task);
+    this.own.ledger.add(task);
     this.noteImage(worker, task);
     return true;
   }
 
-  private lostTask(task: TaskRun): void {
+  private onVanished(task: TaskRun): void {
     this.ctx.log("task missing from its worker", {
       task: taskKey(task.job.id, task.index),
       worker: task.worker.id,
@@ -226,7 +235,11 @@
     this.own.requeue(task);
   }
 
-  private exited(task: TaskRun, cause: Cause | null, saved: boolean): void {
+  private onExited(
+    task: TaskRun,
+    cause: ExitCause | null,
+    saved: boolean,
+  ): void {
     const { job, worker } = task;
     this.ctx.log("task ended", {
       task: taskKey(job.id, task.index),
@@ -234,13 +247,13 @@
       cause,
       checkpointed: saved,
     });
-    if (cause === "done" && !job.gone && job.view.spec.shape !== "daemon")
-      this.finishing.finish(job, task.index);
+    if (cause === "done" && !job.isOver && job.view.spec.kind !== "service")
+      this.finishing.completeTask(job, task.index);
     if (cause === "done") {
-      worker.failed.clear();
-      this.failures.completed(job);
+      worker.failedJobs.clear();
+      this.failures.onCompleted(job);
     }
-    if (cause === "error") this.failures.failed(task);
+    if (cause === "error") this.failures.onFailed(task);
     if (cause === "no_room" || cause === "busy")
       worker.avoidUntilMs = this.ctx.nowMs + REFUSED_PAUSE_MS;
     if (cause === "no_such")
