--- a/src/coordination/renting.ts
+++ b/src/coordination/renting.ts
@@ -1,77 +1,82 @@
 import type { Context } from "./context.js";
-import { Urgent } from "./effects.js";
-import type { GroupState } from "./group-state.js";
-import type { JobSpec, MachineType, Standing, Tuning } from "./model.js";
+import { CallPriority } from "./effects.js";
+import type { PartitionState } from "./group-state.js";
+import type {
+  JobSpec,
+  MachineType,
+  EffectivePriority,
+  Tuning,
+} from "./model.js";
 import {
-  allowedOn,
-  type Amounts,
-  couldRun,
+  isAllowedOn,
+  type Resources,
+  canRunOn,
   fitCount,
-  fitLimit,
+  fitWithinLimit,
   fits,
-  goesWhole,
-  offer,
-  placeAsked,
-  suits,
-  zoneCap,
+  startsWhole,
+  offerKey,
+  requestKeyOf,
+  isSuitable,
+  maxTasksPerZone,
 } from "./placement.js";
 import { isShort } from "./queues.js";
-import type { Sharing } from "./limits/index.js";
-import { queueOf } from "./splitter.js";
-import { freeOn, type JobRun, take } from "./tasks.js";
+import type { QuotaAllocator } from "./limits/index.js";
+import { backlogKindOf } from "./splitter.js";
+import { freeOn, type JobRun, subtract } from "./tasks.js";
 
 /** What the cloud has: machines of a type in a zone, spot or ordinary. */
-interface Offer {
+interface CapacityOffer {
   type: string;
   zone: string;
   spot: boolean;
 }
-const same = (a: Offer, b: Offer): boolean =>
+const isSameOffer = (a: CapacityOffer, b: CapacityOffer): boolean =>
   a.type === b.type && a.zone === b.zone && a.spot === b.spot;
 
-interface Booting extends Offer {
+interface BootingMachine extends CapacityOffer {
   rentedMs: number;
 }
 /** What is to be asked for next; made anew with every plan. */
-interface Planned extends Offer {
+interface PlannedRental extends CapacityOffer {
   count: number;
 }
 /** A request that was sent at least once: its charter stands for this offer and count from then on. */
-interface Rental extends Booting {
+interface RentalRequest extends BootingMachine {
   request: string;
   count: number;
   sent: boolean;
   retryMs: number;
 }
 /** Room on a machine that is there or will be. */
-interface Place extends Offer {
+interface Place extends CapacityOffer {
   reserved: boolean;
-  room: Amounts;
+  room: Resources;
 }
 
-const NO_CAPACITY_MS = 15_000;
+const SOLD_OUT_PAUSE_MS = 15_000;
 /** What a refusal told of an offer's size is believed for this long. */
 const CEILING_MS = 300_000;
 /** PROTOCOL: most machines of one request. */
-const MOST_AT_ONCE = 50;
-const PLAN_MS = 500;
+const MAX_MACHINES_PER_REQUEST = 50;
+const PLAN_INTERVAL_MS = 500;
 /** Estimates and boot times are often this much too short. */
-const SLOW = 1.4;
+const ESTIMATE_FACTOR = 1.4;
 
 /** One kind of request for places, as far as a plan has come. */
-interface Ask {
+interface RequestKind {
   /** The last job that asked so found neither room nor an offer. */
-  vain: boolean;
+  foundNothing: boolean;
   /** Places that still have room for a task of it. */
-  roomy(spec: JobSpec, places: readonly Place[]): readonly Place[];
+  placesWithRoom(spec: JobSpec, places: readonly Place[]): readonly Place[];
 }
 
 /**
  * Waiting jobs ask for few different things, however many they are: with thousands of them, looking through the places of
  * hundreds of machines for each took more time than there is.
  */
-class Asks {
-  private readonly known = new Map<string, Ask>();
+class RequestKinds {
+  private readonly known = new Map<string, RequestKind>();
   private readonly lists = new Map<string, { seen: number; places: Place[] }>();
 
   constructor(
@@ -80,25 +85,26 @@
   ) {}
 
   /** `n`: places that it asks for; `active`: its tasks that run, which may bind it to a zone. */
-  of(spec: JobSpec, n: number, active: number): Ask {
+  of(spec: JobSpec, n: number, active: number): RequestKind {
     const short = isShort(spec, this.tuning);
-    const place = `${placeAsked(spec)}/${short}`;
-    const whole = goesWhole(spec);
+    const place = `${requestKeyOf(spec)}/${short}`;
+    const whole = startsWhole(spec);
     // What jobs with a deadline ask for depends on the work that is due: each of them is looked at.
-    const key = `${place}/${spec.deadlineS === null}/${spec.spread ? `spread/${spec.tasks}/${n}/${active > 0 ? spec.id : ""}` : whole ? `${spec.shape}/${spec.samePlace}/${n}/${active > 0 ? spec.id : ""}` : ""}`;
+    const key = `${place}/${spec.deadlineS === null}/${spec.spread ? `spread/${spec.tasks}/${n}/${active > 0 ? spec.id : ""}` : whole ? `${spec.kind}/${spec.samePlace}/${n}/${active > 0 ? spec.id : ""}` : ""}`;
     let ask = this.known.get(key);
     if (!ask)
       this.known.set(
         key,
         (ask = {
-          vain: false,
-          roomy: (s, places) => this.roomy(s, short, place, places),
+          foundNothing: false,
+          placesWithRoom: (s, places) =>
+            this.placesWithRoom(s, short, place, places),
         }),
       );
     return ask;
   }
 
-  private roomy(
+  private placesWithRoom(
     spec: JobSpec,
     short: boolean,
     place: string,
@@ -121,24 +127,24 @@
 }
 
 /** What a group rents: decides from waiting work, room and what the cloud refused, and sends the requests. */
-export class Renting {
+export class ScaleOut {
   /** Machines that were rented, or that the list shows, and that have not reported yet. */
-  readonly booting = new Map<string, Booting>();
-  private readonly rentals: Rental[] = [];
-  private planned: Planned[] = [];
-  private readonly emptyUntilMs = new Map<string, number>();
+  readonly booting = new Map<string, BootingMachine>();
+  private readonly rentals: RentalRequest[] = [];
+  private planned: PlannedRental[] = [];
+  private readonly soldOutUntilMs = new Map<string, number>();
   /** By offer: machines that the group held when the cloud had no more, the most it can expect to have. */
   private readonly ceilings = new Map<
     string,
-    Offer & { machines: number; untilMs: number }
+    CapacityOffer & { machines: number; untilMs: number }
   >();
   private requests = 0;
   private planMs = -Infinity;
 
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
-    private readonly sharing: Sharing,
+    private readonly own: PartitionState,
+    private readonly sharing: QuotaAllocator,
     private readonly zones: () => string[],
   ) {}
 
@@ -147,7 +153,7 @@
   }
 
   tick(spare: () => { spec: JobSpec; places: number }[]): void {
-    if (this.ctx.nowMs - this.planMs >= PLAN_MS) {
+    if (this.ctx.nowMs - this.planMs >= PLAN_INTERVAL_MS) {
       this.planMs = this.ctx.nowMs;
       this.plan(spare());
     }
@@ -165,7 +171,10 @@
     if (!r) {
       const plan = this.planned.shift();
       if (!plan) return;
-      const next = { ...plan, count: Math.min(plan.count, MOST_AT_ONCE) };
+      const next = {
+        ...plan,
+        count: Math.min(plan.count, MAX_MACHINES_PER_REQUEST),
+      };
       // Invariant: a charter is never used again by anyone. The token belongs to one master of one group.
       const request = `${this.ctx.settings.label}-${this.own.token}-${++this.requests}`;
       r = {
@@ -190,9 +199,9 @@
         spot: r.spot,
         count: r.count,
       },
-      Urgent.Master,
+      CallPriority.Leader,
       (reply) => {
-        if (reply.is !== "rented" && reply.is !== "noCapacity") {
+        if (reply.kind !== "rented" && reply.kind !== "noCapacity") {
           // The same charter again: whatever became of the request, it rents once.
           rental.sent = false;
           rental.retryMs = this.ctx.nowMs + 1_500;
@@ -200,7 +209,7 @@
         }
         this.rentals.splice(this.rentals.indexOf(rental), 1);
         const { type, zone, spot, count } = rental;
-        const got = reply.is === "rented" ? reply.machines : [];
+        const got = reply.kind === "rented" ? reply.machines : [];
         for (const id of got)
           if (!this.own.workers.has(id))
             this.booting.set(id, {
@@ -209,9 +218,9 @@
               spot,
               rentedMs: this.ctx.nowMs,
             });
-        if (got.length > 0) this.ceilings.delete(offer(type, zone, spot));
+        if (got.length > 0) this.ceilings.delete(offerKey(type, zone, spot));
         if (got.length < count) {
-          this.noteEmpty(rental);
+          this.noteSoldOut(rental);
           this.ctx.log("cloud capacity exhausted", {
             type,
             zone,
@@ -229,8 +238,8 @@
    * An offer that is sold out rests for no less than it takes this controller to ask for all its offers within half
    * its part of the cloud's limit: asking for what is not there must not delay what is.
    */
-  private noteEmpty(r: Rental): void {
-    const what = offer(r.type, r.zone, r.spot);
+  private noteSoldOut(r: RentalRequest): void {
+    const what = offerKey(r.type, r.zone, r.spot);
     this.ceilings.set(what, {
       type: r.type,
       zone: r.zone,
@@ -238,28 +247,29 @@
       machines: this.held(r),
       untilMs: this.ctx.nowMs + CEILING_MS,
     });
-    const rate = this.ctx.settings.cloud.rps / this.ctx.groups.names.length;
+    const rate = this.ctx.settings.cloud.rps / this.ctx.partitions.names.length;
     const offers = this.zones().length * (this.ctx.catalog?.length ?? 1) * 2;
-    this.emptyUntilMs.set(
+    this.soldOutUntilMs.set(
       what,
-      this.ctx.nowMs + Math.max(NO_CAPACITY_MS, (offers / (rate / 2)) * 1000),
+      this.ctx.nowMs +
+        Math.max(SOLD_OUT_PAUSE_MS, (offers / (rate / 2)) * 1000),
     );
   }
 
   // ---- what there is to be had ---------------------------------------------------------------------------
 
   /** Machines of an offer that the group has, or that are on their way. */
-  private held(o: Offer): number {
+  private held(o: CapacityOffer): number {
     let n = 0;
     for (const w of this.own.workers.values())
       if (
         w.typeName === o.type &&
         w.zone === o.zone &&
         w.spot === o.spot &&
-        !w.lost
+        !w.leaseExpired
       )
         n++;
-    for (const b of this.booting.values()) if (same(b, o)) n++;
+    for (const b of this.booting.values()) if (isSameOffer(b, o)) n++;
     return n;
   }
   /** By offer, where a refusal told: how many more machines there may be. */
@@ -273,13 +283,14 @@
   }
   private isEmpty(type: string, zone: string, spot: boolean): boolean {
     return (
-      (this.emptyUntilMs.get(offer(type, zone, spot)) ?? 0) > this.ctx.nowMs
+      (this.soldOutUntilMs.get(offerKey(type, zone, spot)) ?? 0) >
+      this.ctx.nowMs
     );
   }
   /** What the cloud refused of late: `type/zone/kind`. */
   soldOut(): string[] {
     const out: string[] = [];
-    for (const [k, until] of this.emptyUntilMs)
+    for (const [k, until] of this.soldOutUntilMs)
       if (until + 30_000 > this.ctx.nowMs) out.push(k);
     return out;
   }
@@ -292,19 +303,20 @@
   ): Generator<{ t: MachineType; zone: string; spot: boolean; most: number }> {
     for (const t of this.ctx.catalog ?? [])
       for (const zone of zones) {
-        if (!couldRun(spec, t, zone)) continue;
+        if (!canRunOn(spec, t, zone)) continue;
         for (const spot of spec.spot ? [true, false] : [false]) {
           if (
             this.isEmpty(t.name, zone, spot) ||
-            !suits(spec, t, spot, this.ctx.catalog)
+            !isSuitable(spec, t, spot, this.ctx.catalog)
           )
             continue;
           const planned =
-            this.planned.find((p) => same(p, { type: t.name, zone, spot }))
-              ?.count ?? 0;
+            this.planned.find((p) =>
+              isSameOffer(p, { type: t.name, zone, spot }),
+            )?.count ?? 0;
           // Nothing left when it last rested, and it has rested: there may be any number by now.
           const most =
-            (left.get(offer(t.name, zone, spot)) || Infinity) - planned;
+            (left.get(offerKey(t.name, zone, spot)) || Infinity) - planned;
           if (most > 0) yield { t, zone, spot, most };
         }
       }
@@ -312,7 +324,7 @@
 
   /** Nothing that this job could use is on its way or, as far as known, to be had. */
   exhausted(spec: JobSpec): boolean {
-    for (const c of this.comingNow())
+    for (const c of this.bootingNow())
       if (this.serves(spec, c) && fits(spec, c.room)) return false;
     return this.offers(spec, this.zones(), new Map()).next().done === true;
   }
@@ -329,27 +341,30 @@
   }
 
   /** Tasks of this job that machines on their way have room for. */
-  comingFor(spec: JobSpec): number {
+  bootingFor(spec: JobSpec): number {
     let n = 0;
-    for (const c of this.comingNow())
+    for (const c of this.bootingNow())
       if (this.serves(spec, c)) n += fitCount(spec, c.room);
     return n;
   }
 
-  private serves(spec: JobSpec, o: Offer): boolean {
+  private serves(spec: JobSpec, o: CapacityOffer): boolean {
     return (
-      allowedOn(spec, o.type, o.zone, o.spot) &&
-      suits(spec, this.typeOf(o.type) ?? null, o.spot, this.ctx.catalog)
+      isAllowedOn(spec, o.type, o.zone, o.spot) &&
+      isSuitable(spec, this.typeOf(o.type) ?? null, o.spot, this.ctx.catalog)
     );
   }
 
   /** The same for all jobs that are looked at in one step; not to be changed. */
-  private comingNow(): readonly Place[] {
-    if (this.lastComing.nowMs !== this.ctx.nowMs)
-      this.lastComing = { nowMs: this.ctx.nowMs, places: this.coming() };
-    return this.lastComing.places;
+  private bootingNow(): readonly Place[] {
+    if (this.lastBooting.nowMs !== this.ctx.nowMs)
+      this.lastBooting = {
+        nowMs: this.ctx.nowMs,
+        places: this.bootingPlaces(),
+      };
+    return this.lastBooting.places;
   }
-  private lastComing: { nowMs: number; places: readonly Place[] } = {
+  private lastBooting: { nowMs: number; places: readonly Place[] } = {
     nowMs: -Infinity,
     places: [],
   };
@@ -358,9 +373,9 @@
    * Machines on their way; and those that receive nothing, but for the few that are replaced at a time: a broken link to a
    * zone must not rent a second fleet.
    */
-  private coming(): Place[] {
+  private bootingPlaces(): Place[] {
     const out: Place[] = [];
-    const add = (m: Offer): void => {
+    const add = (m: CapacityOffer): void => {
       const t = this.typeOf(m.type);
       if (t)
         out.push({
@@ -375,9 +390,11 @@
     for (const r of this.rentals) for (let i = 0; i < r.count; i++) add(r);
     // Up, but not to be used yet: its place in the roster is being written.
     for (const w of this.own.workers.values())
-      if (!w.lost && !w.going && !this.own.roster.has(w.id))
+      if (!w.leaseExpired && !w.isReturning && !this.own.registry.has(w.id))
         add({ type: w.typeName, zone: w.zone, spot: w.spot });
-    for (const w of this.own.deafMachines().slice(this.own.deafReplaced()))
+    for (const w of this.own
+      .unreachableMachines()
+      .slice(this.own.unreachableBeingReplaced()))
       add({ type: w.typeName, zone: w.zone, spot: w.spot });
     return out;
   }
@@ -387,7 +404,7 @@
   /** Plans what to rent for the waiting tasks that fit neither on what is free nor on what is on its way. */
   private plan(spare: { spec: JobSpec; places: number }[]): void {
     this.planned = [];
-    const places = this.coming();
+    const places = this.bootingPlaces();
     const { usable, reserved } = this.own.usableWorkers();
     for (const w of usable)
       places.push({
@@ -399,45 +416,46 @@
       });
     const left = this.left();
     const headroom = this.sharing.headroom();
-    const asks = new Asks(this.ctx.tuning, (spec, p) => this.serves(spec, p));
+    const asks = new RequestKinds(this.ctx.tuning, (spec, p) =>
+      this.serves(spec, p),
+    );
     /** Work of arrays that is due so far, by kind of machine, in seconds of one place. */
     const dueWork = { plain: 0, accelerated: 0 };
     // What runs now is halfway, on the whole.
     const addDue = (j: JobRun): number =>
-      (dueWork[queueOf(j.view.spec)] +=
+      (dueWork[backlogKindOf(j.view.spec)] +=
         (j.waiting.size + j.active.size / 2) * j.view.spec.estimateS);
     for (const j of this.own.jobs.values())
-      if (j.waiting.isEmpty && j.view.spec.shape === "batch") addDue(j);
+      if (j.waiting.isEmpty && j.view.spec.kind === "array") addDue(j);
     const due = (j: JobRun): number =>
       Number.isFinite(j.view.dueAt) ? j.view.dueAt : j.view.readyAt;
     const jobs = [...this.own.jobs.values()]
-      .filter((j) => this.own.mayStart(j) && j.suspectMs === null)
+      .filter((j) => this.own.mayStart(j) && j.quarantinedSinceMs === null)
       .sort((a, b) => due(a) - due(b));
     for (const j of jobs) {
       const spec = j.view.spec;
       const room = headroom.get(spec.team);
       if (!room) continue;
       // What the team may not use now is not waited for: nothing is rented for it.
-      const n = Math.min(j.waiting.size, fitLimit(spec, room));
-      if (n === 0 || (spec.shape === "ensemble" && n < j.waiting.size))
-        continue;
+      const n = Math.min(j.waiting.size, fitWithinLimit(spec, room));
+      if (n === 0 || (spec.kind === "gang" && n < j.waiting.size)) continue;
       room.cpus -= n * spec.cpus;
       room.gpus -= n * spec.gpus;
       const ask = asks.of(spec, n, j.active.size);
       // Room and offers only shrink while a plan is made: what was to be had of neither is not looked for again.
-      if (ask.vain) continue;
-      const mine = ask.roomy(spec, places);
+      if (ask.foundNothing) continue;
+      const mine = ask.placesWithRoom(spec, places);
       if (spec.spread)
-        ask.vain =
+        ask.foundNothing =
           !this.planSpread(j, n, mine, places, left) && spec.deadlineS === null;
-      else if (goesWhole(spec))
-        ask.vain =
+      else if (startsWhole(spec))
+        ask.foundNothing =
           !this.planWhole(j, n, mine, places, left) && spec.deadlineS === null;
       else {
         let lacking = this.fill(spec, n, mine);
         const found = lacking < n;
         if (
-          spec.shape === "batch" &&
+          spec.kind === "array" &&
           spec.deadlineS !== null &&
           spec.estimateS > 0
         )
@@ -455,7 +473,7 @@
           places,
           left,
         );
-        ask.vain = !found && !rented && spec.deadlineS === null;
+        ask.foundNothing = !found && !rented && spec.deadlineS === null;
       }
     }
     for (const s of spare) {
@@ -469,7 +487,7 @@
   }
 
   /** Time until the job's own deadline, in seconds: what others need of it makes it no cheaper to be late. */
-  private leftS(spec: JobSpec, standing: Standing | null): number {
+  private leftS(spec: JobSpec, standing: EffectivePriority | null): number {
     return spec.deadlineS === null || !standing
       ? Infinity
       : (standing.dueAt - this.ctx.wallMs) / 1000;
@@ -482,7 +500,7 @@
    */
   private hopeS(
     spec: JobSpec,
-    standing: Standing | null,
+    standing: EffectivePriority | null,
     leftS: number,
   ): number {
     let s = leftS;
@@ -490,7 +508,7 @@
       if (
         standing &&
         o.kind === "finished" &&
-        o.class === spec.class &&
+        o.class === spec.jobClass &&
         o.withinS !== undefined
       )
         s = Math.max(
@@ -517,7 +535,7 @@
       (n, p) => n + fitCount(spec, this.typeOf(p.type)!),
       0,
     );
-    const lackS = due - (slots * leftS) / SLOW;
+    const lackS = due - (slots * leftS) / ESTIMATE_FACTOR;
     if (lackS <= 0) return 0;
     return Math.min(
       lacking,
@@ -529,10 +547,10 @@
   private readyS(spec: JobSpec): number {
     let s = Infinity;
     for (const t of this.ctx.catalog ?? [])
-      if (t.zones.some((z) => couldRun(spec, t, z)))
+      if (t.zones.some((z) => canRunOn(spec, t, z)))
         s = Math.min(
           s,
-          t.bootS * SLOW +
+          t.bootS * ESTIMATE_FACTOR +
             (t.fetchGbPerS > 0 ? spec.imageGb / t.fetchGbPerS : 0),
         );
     return Number.isFinite(s) ? s : 0;
@@ -543,7 +561,7 @@
     for (const p of places) {
       if (n === 0) break;
       const k = Math.min(n, fitCount(spec, p.room));
-      for (let i = 0; i < k; i++) take(p.room, spec);
+      for (let i = 0; i < k; i++) subtract(p.room, spec);
       n -= k;
     }
     return n;
@@ -581,7 +599,7 @@
       if (lacking > 0)
         for (const o of this.offers(spec, set, left))
           rentable += o.most * fitCount(spec, o.t);
-      const some = spec.shape !== "ensemble" && (lacking < n || rentable > 0);
+      const some = spec.kind !== "gang" && (lacking < n || rentable > 0);
       if ((lacking <= rentable || some) && (!best || lacking < best.lacking))
         best = { zones: set, places: here, lacking };
     }
@@ -609,7 +627,7 @@
     left: ReadonlyMap<string, number>,
   ): boolean {
     const spec = j.view.spec;
-    const may = new Map(this.zones().map((z) => [z, zoneCap(spec)]));
+    const may = new Map(this.zones().map((z) => [z, maxTasksPerZone(spec)]));
     for (const t of j.active.values())
       may.set(t.worker.zone, (may.get(t.worker.zone) ?? 0) - 1);
     const takes: { zone: string; here: number; rent: number }[] = [];
@@ -640,7 +658,7 @@
       lacking -= t.rent;
     }
     // A gang starts once all of it has room.
-    if (spec.shape === "ensemble" && lacking > 0) return false;
+    if (spec.kind === "gang" && lacking > 0) return false;
     let some = false;
     for (const { zone, here, rent } of takes) {
       this.fill(
@@ -657,7 +675,7 @@
   /** Plans machines for `need` tasks, where a task's place costs least; whether any were to be had. */
   private rentFor(
     spec: JobSpec,
-    standing: Standing | null,
+    standing: EffectivePriority | null,
     need: number,
     zones: readonly string[],
     places: Place[],
@@ -672,7 +690,7 @@
       spec.deadlineS !== null &&
       this.ctx.wallMs - standing.readyAt <
         (standing.dueAt - standing.readyAt) * this.ctx.tuning.cheapPatience &&
-      leftS > this.readyS(spec) + spec.estimateS * SLOW;
+      leftS > this.readyS(spec) + spec.estimateS * ESTIMATE_FACTOR;
     // A machine that comes too late for all that is expected saves nothing: only a cheap one is worth it.
     const lost =
       spec.spot &&
@@ -702,13 +720,13 @@
       const per = fitCount(spec, t);
       const count = Math.min(best.most, Math.ceil(need / per));
       const ask = { type: t.name, zone, spot, count };
-      const had = this.planned.find((p) => same(p, ask));
+      const had = this.planned.find((p) => isSameOffer(p, ask));
       if (had) had.count += count;
       else this.planned.push(ask);
       // What its tasks leave free of the new machines is there for the jobs behind it.
       for (let i = 0; i < count; i++) {
         const room = { cpus: t.cpus, gpus: t.gpus, memGb: t.memGb };
-        for (let k = 0; k < per && need > 0; k++, need--) take(room, spec);
+        for (let k = 0; k < per && need > 0; k++, need--) subtract(room, spec);
         places.push({ type: t.name, zone, spot, reserved: false, room });
       }
     }
--- a/src/coordination/room.ts
+++ b/src/coordination/room.ts
@@ -1,48 +1,51 @@
 import {
   bytesOf,
   type FreeKind,
-  type YieldKind,
-  roomKey,
-  type RoomRecord,
-  type RoomRow,
+  type ReclaimableKind,
+  capacityKey,
+  type CapacityRecord,
+  type CapacityRow,
   tenth,
-  writeRoom,
+  writeCapacity,
 } from "../storage/records.js";
 import { backlogOf } from "./backlog.js";
 import type { Context } from "./context.js";
-import { Urgent } from "./effects.js";
-import type { GroupState } from "./group-state.js";
-import { type JobSpec, URGENCIES } from "./model.js";
-import { EPS } from "./placement.js";
-import type { Renting } from "./renting.js";
-import type { Sharing } from "./limits/index.js";
-import { type Handed, queueOf } from "./splitter.js";
+import { CallPriority } from "./effects.js";
+import type { PartitionState } from "./group-state.js";
+import { type JobSpec, PRIORITIES } from "./model.js";
+import { EPSILON } from "./placement.js";
+import type { ScaleOut } from "./renting.js";
+import type { QuotaAllocator } from "./limits/index.js";
+import { type PendingAssignment, backlogKindOf } from "./splitter.js";
 import { freeOn, type Worker } from "./tasks.js";
 
 /** Which urgencies there are is looked at this often. */
-const LEVELS_MS = 2_000;
+const LEVELS_REFRESH_MS = 2_000;
 /** The room is written at most this often. */
-const WRITE_MS = 700;
+const WRITE_INTERVAL_MS = 700;
 /** Splits go by room that is no older than this: counting it anew for each of a flood of submissions took most of the time. */
-const SPLIT_MS = 200;
+const REUSE_MS = 200;
 
 /** What a row's list of what gives way takes beside its entries: `,"y":[]`. A row that has none leaves the field out. */
 const FIELD_BYTES = 7;
 
 /** For each range of urgencies that would find the same: what this machine has once tasks that give way to them are stopped. */
-function yieldsOf(w: Worker, levels: readonly number[]): YieldKind[] {
+function reclaimableOn(
+  w: Worker,
+  levels: readonly number[],
+): ReclaimableKind[] {
   if (w.tasks.size === 0) return [];
-  const out: YieldKind[] = [];
+  const out: ReclaimableKind[] = [];
   const f = freeOn(w);
   for (const level of levels) {
     let { cpus, gpus, memGb } = f;
     let more = false;
     for (const t of w.tasks.values()) {
-      const { spec, urgency } = t.job.view;
+      const { spec, priority } = t.job.view;
       // A gang loses all its tasks with one: it does not give way.
       if (
-        (spec.shape === "ensemble" && spec.tasks > 1) ||
-        URGENCIES.indexOf(urgency) >= level
+        (spec.kind === "gang" && spec.tasks > 1) ||
+        PRIORITIES.indexOf(priority) >= level
       )
         continue;
       more = true;
@@ -51,7 +54,7 @@
       memGb += spec.memGb;
     }
     if (!more) continue;
-    const kind: YieldKind = [
+    const kind: ReclaimableKind = [
       tenth(cpus),
       tenth(gpus),
       tenth(memGb),
@@ -68,27 +71,27 @@
 }
 
 /** The room and the queues of a group, which splits and moves go by, and the writing of them. */
-export class Room {
+export class CapacityReport {
   private writtenMs = -Infinity;
   private written = "";
   private busy = false;
 
   constructor(
     private readonly ctx: Context,
-    private readonly own: GroupState,
-    private readonly sharing: Sharing,
-    private readonly renting: Renting,
+    private readonly own: PartitionState,
+    private readonly sharing: QuotaAllocator,
+    private readonly scaleOut: ScaleOut,
   ) {}
 
   /** The room as it is. */
-  now(): RoomRecord {
-    const rows = new Map<string, RoomRow>();
+  current(): CapacityRecord {
+    const rows = new Map<string, CapacityRow>();
     const kinds = new Map<string, FreeKind>();
-    const yields = new Map<string, YieldKind>();
+    const yields = new Map<string, ReclaimableKind>();
     const { usable, reserved } = this.own.usableWorkers();
     const levels = this.levels();
     for (const w of usable) {
-      const key = w.kind;
+      const key = w.offerKey;
       let row = rows.get(key);
       if (!row)
         rows.set(
@@ -104,16 +107,20 @@
         );
       row.machines++;
       const f = freeOn(w);
-      for (const y of levels.length > 1 ? yieldsOf(w, levels) : []) {
+      for (const y of levels.length > 1 ? reclaimableOn(w, levels) : []) {
         const name = `${key}/${y.join("/")}`;
         const same = yields.get(name);
         if (same) same[3]++;
         else {
           yields.set(name, y);
-          (row.yields ??= []).push(y);
+          (row.reclaimable ??= []).push(y);
         }
       }
-      if ((f.cpus <= EPS && f.gpus <= EPS) || this.own.isHeld(w)) continue;
+      if (
+        (f.cpus <= EPSILON && f.gpus <= EPSILON) ||
+        this.own.isReservedForOther(w)
+      )
+        continue;
       const kind: FreeKind = [tenth(f.cpus), tenth(f.gpus), tenth(f.memGb), 1];
       const isReserved = reserved.has(w.id);
       const name = `${key}/${kind[0]}/${kind[1]}/${kind[2]}/${isReserved}`;
@@ -127,14 +134,14 @@
     const queueFrom = this.queueFrom();
     const running = new Map<string, number>();
     for (const j of this.own.jobs.values()) {
-      const n = this.own.runningOf(j.id);
+      const n = this.own.runningTasksOf(j.id);
       if (n > 0) running.set(j.id, n);
     }
-    const { renting } = this;
-    const soldOut = renting.soldOut();
+    const { scaleOut } = this;
+    const soldOut = scaleOut.soldOut();
     // Nothing left of what is sold out goes without saying.
     const left = new Map(
-      [...renting.left()].filter(
+      [...scaleOut.left()].filter(
         ([what, n]) => n > 0 || !soldOut.includes(what),
       ),
     );
@@ -152,11 +159,11 @@
 
   /** Urgencies that jobs were seen to have, lowest first: who asks for less than the highest may be asked to give way. */
   private levels(): readonly number[] {
-    if (this.ctx.nowMs - this.levelsMs >= LEVELS_MS) {
+    if (this.ctx.nowMs - this.levelsMs >= LEVELS_REFRESH_MS) {
       this.levelsMs = this.ctx.nowMs;
       const seen = new Set(this.seen);
-      for (const j of this.ctx.mirror.jobs.values())
-        seen.add(URGENCIES.indexOf(j.urgency));
+      for (const j of this.ctx.cache.jobs.values())
+        seen.add(PRIORITIES.indexOf(j.priority));
       this.seen = [...seen].sort((a, b) => a - b);
     }
     return this.seen;
@@ -166,33 +173,43 @@
 
   /** Tasks that wait, from each urgency upwards. */
   private queueFrom(): [number, number][] {
-    const out = URGENCIES.map((): [number, number] => [0, 0]);
+    const out = PRIORITIES.map((): [number, number] => [0, 0]);
     for (const j of this.own.jobs.values()) {
       if (j.waiting.isEmpty) continue;
-      const kind = queueOf(j.view.spec) === "plain" ? 0 : 1;
-      for (let u = URGENCIES.indexOf(j.view.urgency); u >= 0; u--)
+      const kind = backlogKindOf(j.view.spec) === "plain" ? 0 : 1;
+      for (let u = PRIORITIES.indexOf(j.view.priority); u >= 0; u--)
         out[u]![kind] += j.waiting.size;
     }
     return out;
   }
 
   /** For splits: the room as it was a moment ago, and what splits have handed to the group since. */
-  lately(): { room: RoomRecord; handed: readonly Handed[] } {
-    if (!this.recent || this.ctx.nowMs - this.recent.atMs >= SPLIT_MS)
-      this.recent = { atMs: this.ctx.nowMs, room: this.now(), handed: [] };
-    return this.recent;
+  recent(): { room: CapacityRecord; handed: readonly PendingAssignment[] } {
+    if (
+      !this.recentReport ||
+      this.ctx.nowMs - this.recentReport.atMs >= REUSE_MS
+    )
+      this.recentReport = {
+        atMs: this.ctx.nowMs,
+        room: this.current(),
+        handed: [],
+      };
+    return this.recentReport;
   }
-  noteHanded(spec: JobSpec, tasks: number): void {
-    this.recent?.handed.push({ spec, tasks });
+  notePendingAssignment(spec: JobSpec, tasks: number): void {
+    this.recentReport?.handed.push({ spec, tasks });
   }
-  private recent: { atMs: number; room: RoomRecord; handed: Handed[] } | null =
-    null;
+  private recentReport: {
+    atMs: number;
+    room: CapacityRecord;
+    handed: PendingAssignment[];
+  } | null = null;
 
   /** What is written of it: what fits a value. Running counts give way first, then the smallest kinds of free room. */
-  fitted(): RoomRecord {
-    const all = this.now();
+  fitted(): CapacityRecord {
+    const all = this.current();
     const rows = all.rows.sort((x, y) => y.machines - x.machines);
-    const record: RoomRecord & { rows: RoomRow[] } = {
+    const record: CapacityRecord & { rows: CapacityRow[] } = {
       ...all,
       rows: rows.map((r) => ({
         type: r.type,
@@ -216,8 +233,8 @@
       () => teams.delete([...teams.keys()].at(-1)!) && (record.cut = true),
       () => record.rows.pop() !== undefined,
     ];
-    while (bytesOf(writeRoom(record)) > most && cut.some((one) => one()));
-    let bytes = most - bytesOf(writeRoom(record));
+    while (bytesOf(writeCapacity(record)) > most && cut.some((one) => one()));
+    let bytes = most - bytesOf(writeCapacity(record));
     const fits = (entry: readonly unknown[], around = 0): boolean => {
       const takes = bytesOf(entry) + 1 + around;
       if (takes > bytes) return false;
@@ -236,26 +253,27 @@
     ))
       if (fits(kind)) to.push(kind);
     for (const [i, r] of rows.slice(0, record.rows.length).entries())
-      for (const y of r.yields ?? [])
-        if (fits(y, record.rows[i]!.yields ? 0 : FIELD_BYTES))
-          (record.rows[i]!.yields ??= []).push(y);
+      for (const y of r.reclaimable ?? [])
+        if (fits(y, record.rows[i]!.reclaimable ? 0 : FIELD_BYTES))
+          (record.rows[i]!.reclaimable ??= []).push(y);
     for (const entry of all.running)
       if (fits(entry)) record.running.set(...entry);
     return record;
   }
 
   writeIfChanged(): void {
-    if (this.busy || this.ctx.nowMs - this.writtenMs < WRITE_MS) return;
-    const value = writeRoom(this.fitted());
+    if (this.busy || this.ctx.nowMs - this.writtenMs < WRITE_INTERVAL_MS)
+      return;
+    const value = writeCapacity(this.fitted());
     const text = JSON.stringify(value);
     if (text === this.written) return;
     this.writtenMs = this.ctx.nowMs;
     this.busy = true;
-    const key = roomKey(this.own.group);
+    const key = capacityKey(this.own.partition);
     this.own.commit(
-      [{ key, version: this.ctx.mirror.revisionOf(key) }],
+      [{ key, version: this.ctx.cache.latestRevisionOf(key) }],
       [{ op: "put", key, value }],
-      Urgent.Spare,
+      CallPriority.Background,
       (end) => {
         this.busy = false;
         if (end === "ok") this.written = text;
--- a/src/coordination/roster.ts
+++ b/src/coordination/roster.ts
@@ -1,12 +1,12 @@
 import {
   bytesOf,
-  type RosterEntry,
-  type RosterRecord,
-  rosterKey,
-  writeRoster,
+  type RegistryEntry,
+  type RegistryRecord,
+  registryKey,
+  writeRegistry,
 } from "../storage/records.js";
 import type { Condition, Write } from "../protocol/state.js";
-import type { CommitEnd, Context } from "./context.js";
+import type { TransactionOutcome, Context } from "./context.js";
 
 /** Left free in each record, for what a mark or another machine type adds. */
 const SLACK_BYTES = 100;
@@ -14,17 +14,17 @@
 const RETRY_MS = 300;
 
 /** Bytes that a record of these machines takes once it is marked as complete. */
-const bytesOfMarked = (machines: Map<string, RosterEntry>): number =>
-  bytesOf(writeRoster({ machines, complete: true }));
+const bytesOfMarked = (machines: Map<string, RegistryEntry>): number =>
+  bytesOf(writeRegistry({ machines, complete: true }));
 
 /**
  * The written list of the machines that a group may have started tasks on. A machine is committed before its
  * first start, so that after a takeover the new master knows whom to wait for; a machine to be returned is
  * marked first, so that no later master uses it.
  */
-export class Roster {
-  private readonly want = new Map<number, Map<string, RosterEntry>>();
-  private readonly written = new Map<string, RosterEntry>();
+export class MachineRegistry {
+  private readonly wanted = new Map<number, Map<string, RegistryEntry>>();
+  private readonly written = new Map<string, RegistryEntry>();
   private readonly dirty = new Set<number>();
   /** Records between which machines were moved: they are committed together or not at all. */
   private together: ReadonlySet<number> = new Set();
@@ -37,17 +37,17 @@
 
   constructor(
     private readonly ctx: Context,
-    private readonly group: string,
+    private readonly partition: string,
     private readonly commit: (
       conditions: Condition[],
       writes: Write[],
-      done: (end: CommitEnd) => void,
+      done: (end: TransactionOutcome) => void,
     ) => void,
-    private readonly changed: () => void,
+    private readonly onWritten: () => void,
   ) {
-    for (const [chunk, record] of ctx.mirror.rosters.get(group) ?? []) {
+    for (const [chunk, record] of ctx.cache.registries.get(partition) ?? []) {
       const { machines, complete } = record;
-      this.want.set(chunk, new Map(machines));
+      this.wanted.set(chunk, new Map(machines));
       for (const [id, entry] of machines) this.written.set(id, entry);
       if (!complete) this.unconfirmed.add(chunk);
       if (!this.fits(machines)) this.dirty.add(chunk);
@@ -70,25 +70,25 @@
     this.flush();
   }
 
-  machines(): ReadonlyMap<string, RosterEntry> {
+  machines(): ReadonlyMap<string, RegistryEntry> {
     return this.written;
   }
   has(id: string): boolean {
     return this.written.has(id);
   }
-  goingWritten(id: string): boolean {
-    return this.written.get(id)?.going === true;
+  isReturnWritten(id: string): boolean {
+    return this.written.get(id)?.isReturning === true;
   }
 
   private chunkOf(id: string): number | undefined {
-    for (const [chunk, m] of this.want) if (m.has(id)) return chunk;
+    for (const [chunk, m] of this.wanted) if (m.has(id)) return chunk;
     return undefined;
   }
-  private fits(machines: Map<string, RosterEntry>): boolean {
+  private fits(machines: Map<string, RegistryEntry>): boolean {
     return bytesOfMarked(machines) <= this.ctx.settings.state.valueBytes;
   }
   /** Bytes that a record takes, worked out once for as long as nobody changes it. */
-  private sizeOf(chunk: number, m: Map<string, RosterEntry>): number {
+  private sizeOf(chunk: number, m: Map<string, RegistryEntry>): number {
     let size = this.sizes.get(chunk);
     if (size === undefined) this.sizes.set(chunk, (size = bytesOfMarked(m)));
     return size;
@@ -98,14 +98,14 @@
   /** The first record, from `from` on, that has room for this machine, and the bytes that it takes with it, if that was worked out. */
   private roomy(
     id: string,
-    entry: RosterEntry,
+    entry: RegistryEntry,
     from = 0,
   ): { chunk: number; size?: number } {
     const most = this.ctx.settings.state.valueBytes - SLACK_BYTES;
     for (let chunk = from; ; chunk++) {
-      const m = this.want.get(chunk);
+      const m = this.wanted.get(chunk);
       if (!m) {
-        this.want.set(chunk, new Map());
+        this.wanted.set(chunk, new Map());
         return { chunk };
       }
       // It takes at least its name and seven signs: most records are full, and known to be.
@@ -115,15 +115,16 @@
     }
   }
 
-  set(id: string, entry: RosterEntry): void {
+  set(id: string, entry: RegistryEntry): void {
     const known = this.chunkOf(id);
     const { chunk, size } =
       known === undefined
         ? this.roomy(id, entry)
         : { chunk: known, size: undefined };
-    const m = this.want.get(chunk)!;
+    const m = this.wanted.get(chunk)!;
     const old = m.get(id);
-    if (old && old.going === entry.going && old.type === entry.type) return;
+    if (old && old.isReturning === entry.isReturning && old.type === entry.type)
+      return;
     m.set(id, entry);
     if (size === undefined) this.sizes.delete(chunk);
     else this.sizes.set(chunk, size);
@@ -133,7 +134,7 @@
   remove(id: string): void {
     const chunk = this.chunkOf(id);
     if (chunk === undefined) return;
-    this.want.get(chunk)!.delete(id);
+    this.wanted.get(chunk)!.delete(id);
     this.sizes.delete(chunk);
     // At once: a machine that comes back is not to be used before a commit that names it again, whatever becomes of
     // the one that leaves it out.
@@ -149,7 +150,7 @@
    */
   private divide(chunk: number): ReadonlySet<number> {
     const parts = new Set([chunk]);
-    const from = this.want.get(chunk)!;
+    const from = this.wanted.get(chunk)!;
     let last = 0;
     for (const [id, entry] of [...from].reverse()) {
       if (this.fits(from)) break;
@@ -157,14 +158,14 @@
       const to = this.roomy(id, entry, last).chunk;
       if (!parts.has(to) && parts.size >= this.ctx.settings.state.txnOps) break;
       from.delete(id);
-      this.want.get(to)!.set(id, entry);
+      this.wanted.get(to)!.set(id, entry);
       this.sizes.delete(chunk);
       this.sizes.delete(to);
       parts.add(to);
       last = to;
     }
     this.ctx.log("splitting oversized registry record", {
-      partition: this.group,
+      partition: this.partition,
       chunk,
       parts: [...parts],
     });
@@ -179,15 +180,15 @@
   }
 
   /** Records as they are to be written now, and whether they may be marked as complete. */
-  private toSend(): Map<number, RosterRecord> {
+  private toSend(): Map<number, RegistryRecord> {
     for (const chunk of this.together) this.dirty.delete(chunk);
     // Invariant (ran_twice): while a machine that was added is in no record yet, some record has to say that one may be missing.
     const allWritten = this.nothingLacking && this.dirty.size === 0;
-    const records = new Map<number, RosterRecord>();
+    const records = new Map<number, RegistryRecord>();
     for (const chunk of this.together) {
       const complete = allWritten || !this.unconfirmed.has(chunk);
       records.set(chunk, {
-        machines: new Map(this.want.get(chunk)),
+        machines: new Map(this.wanted.get(chunk)),
         complete,
       });
     }
@@ -199,7 +200,7 @@
     if (this.together.size === 0) {
       const chunk = this.nextChunk();
       if (chunk === undefined) return;
-      this.together = this.fits(this.want.get(chunk)!)
+      this.together = this.fits(this.wanted.get(chunk)!)
         ? new Set([chunk])
         : this.divide(chunk);
     }
@@ -208,13 +209,13 @@
     // Conditional on what this master last knew of them: a commit without an answer that is carried out after a later
     // one would take machines off the list on which tasks run.
     const conditions = [...records.keys()].map((chunk) => {
-      const key = rosterKey(this.group, chunk);
-      return { key, version: this.ctx.mirror.revisionOf(key) };
+      const key = registryKey(this.partition, chunk);
+      return { key, version: this.ctx.cache.latestRevisionOf(key) };
     });
     const writes = [...records].map(([chunk, record]): Write => ({
       op: "put",
-      key: rosterKey(this.group, chunk),
-      value: writeRoster(record),
+      key: registryKey(this.partition, chunk),
+      value: writeRegistry(record),
     }));
     this.commit(conditions, writes, (end) => {
       this.busy = false;
@@ -227,14 +228,14 @@
     });
   }
 
-  private committed(records: ReadonlyMap<number, RosterRecord>): void {
+  private committed(records: ReadonlyMap<number, RegistryRecord>): void {
     this.together = new Set();
     for (const [chunk, { machines, complete }] of records) {
       if (complete) this.unconfirmed.delete(chunk);
       // Taken off since, or listed elsewhere by now: only a commit that names it there counts.
       for (const [id, entry] of machines)
-        if (this.want.get(chunk)!.has(id)) this.written.set(id, entry);
+        if (this.wanted.get(chunk)!.has(id)) this.written.set(id, entry);
     }
-    this.changed();
+    this.onWritten();
   }
 }
--- a/src/coordination/splitter.ts
+++ b/src/coordination/splitter.ts
@@ -1,45 +1,47 @@
-import type { RoomRecord, RoomRow } from "../storage/records.js";
-import type { Groups } from "./groups.js";
-import { type JobSpec, type MachineType, URGENCIES } from "./model.js";
+import type { CapacityRecord, CapacityRow } from "../storage/records.js";
+import type { PartitionMap } from "./groups.js";
+import { type JobSpec, type MachineType, PRIORITIES } from "./model.js";
 import {
-  allowedOn,
-  couldRun,
+  isAllowedOn,
+  canRunOn,
   fitCount,
-  goesWhole,
-  offer,
-  suits,
-  zoneCap,
+  startsWhole,
+  offerKey,
+  isSuitable,
+  maxTasksPerZone,
 } from "./placement.js";
 import { RangeSet } from "./ranges.js";
 
 /** How a job is cut over the groups: by the room that each group last wrote (Pigeon's suggestion, section 2.2). */
 
-interface Capable {
-  group: string;
+interface CapablePartition {
+  partition: string;
   /** Zones of the group where some allowed type is offered. */
   zones: string[];
 }
 
-export function capableGroups(
+export function capablePartitions(
   spec: JobSpec,
   catalog: readonly MachineType[],
-  groups: Groups,
-): Capable[] {
+  partitions: PartitionMap,
+): CapablePartition[] {
   const zones = new Set<string>();
   for (const t of catalog)
-    for (const z of t.zones) if (couldRun(spec, t, z)) zones.add(z);
-  return groups.names
-    .map((group) => ({
-      group,
-      zones: [...zones].filter((z) => groups.of(z) === group).sort(),
+    for (const z of t.zones) if (canRunOn(spec, t, z)) zones.add(z);
+  return partitions.names
+    .map((partition) => ({
+      partition,
+      zones: [...zones]
+        .filter((z) => partitions.partitionOf(z) === partition)
+        .sort(),
     }))
     .filter((c) => c.zones.length > 0);
 }
 
 /** Tasks of this job that fit into a group's written room. */
-function roomFor(
+function placesFor(
   spec: JobSpec,
-  room: RoomRecord | undefined,
+  room: CapacityRecord | undefined,
   catalog: readonly MachineType[],
   short: boolean,
 ): number {
@@ -47,8 +49,8 @@
   if (!room) return 0;
   for (const row of room.rows) {
     if (
-      !allowedOn(spec, row.type, row.zone, row.spot) ||
-      !suits(
+      !isAllowedOn(spec, row.type, row.zone, row.spot) ||
+      !isSuitable(
         spec,
         catalog.find((t) => t.name === row.type) ?? null,
         row.spot,
@@ -69,18 +71,18 @@
  * after it asks. Without it a guest's swarm on all machines of a group sent everything urgent to the others, where it waited
  * for minutes (docs/incidents/claimdesk-ops-visitors.md).
  */
-function yieldsFor(
+function reclaimablePlacesFor(
   spec: JobSpec,
-  rows: readonly RoomRow[],
+  rows: readonly CapacityRow[],
   catalog: readonly MachineType[],
 ): number {
-  const urgency = URGENCIES.indexOf(spec.urgency);
+  const priority = PRIORITIES.indexOf(spec.priority);
   let n = 0;
   for (const row of rows) {
     if (
-      !row.yields?.length ||
-      !allowedOn(spec, row.type, row.zone, row.spot) ||
-      !suits(
+      !row.reclaimable?.length ||
+      !isAllowedOn(spec, row.type, row.zone, row.spot) ||
+      !isSuitable(
         spec,
         catalog.find((t) => t.name === row.type) ?? null,
         row.spot,
@@ -88,8 +90,8 @@
       )
     )
       continue;
-    for (const [cpus, gpus, memGb, machines, from, to] of row.yields)
-      if (urgency >= from && urgency <= to)
+    for (const [cpus, gpus, memGb, machines, from, to] of row.reclaimable)
+      if (priority >= from && priority <= to)
         n += machines * fitCount(spec, { cpus, gpus, memGb });
   }
   return n;
@@ -98,34 +100,34 @@
 /** Tasks that wait in a group and come before this job or beside it: what is less urgent does not keep it waiting. */
 export function waitingBefore(
   spec: JobSpec,
-  room: RoomRecord | undefined,
+  room: CapacityRecord | undefined,
 ): number {
-  const kind = queueOf(spec);
-  const from = room?.queueFrom?.[URGENCIES.indexOf(spec.urgency)];
+  const kind = backlogKindOf(spec);
+  const from = room?.queueFrom?.[PRIORITIES.indexOf(spec.priority)];
   return from ? from[kind === "plain" ? 0 : 1] : (room?.queue[kind] ?? 0);
 }
 
 /** Tasks that were given to a group and that its written room may not show yet. */
-export interface Handed {
+export interface PendingAssignment {
   spec: JobSpec;
   tasks: number;
 }
 
 /** Which queue of a group a job's tasks stand in, as far as others need to know. */
-export const queueOf = (spec: JobSpec): "plain" | "accelerated" =>
+export const backlogKindOf = (spec: JobSpec): "plain" | "accelerated" =>
   spec.gpus > 0 ? "accelerated" : "plain";
 
 /** Tasks of this job that a group can start at once, less what was handed to it since it wrote so. */
-export function roomLeft(
+export function placesLeft(
   spec: JobSpec,
-  room: RoomRecord | undefined,
+  room: CapacityRecord | undefined,
   catalog: readonly MachineType[],
   short: boolean,
-  handed: readonly Handed[] = [],
+  pending: readonly PendingAssignment[] = [],
 ): number {
   return Math.max(
     0,
-    roomFor(spec, room, catalog, short) - handedOf(spec, handed),
+    placesFor(spec, room, catalog, short) - pendingTasksOf(spec, pending),
   );
 }
 
@@ -133,32 +135,32 @@
  * For a job that goes whole: the most of its tasks that a group can start at once, the most once less urgent work has given
  * way, and the most with what it may still rent as well. With `samePlace` one zone must hold them all, so zones are not added up.
  */
-export function wholeRoom(
+export function placesForWhole(
   spec: JobSpec,
   zones: readonly string[],
-  room: RoomRecord | undefined,
+  room: CapacityRecord | undefined,
   catalog: readonly MachineType[],
   short: boolean,
-  handed: readonly Handed[] = [],
+  pending: readonly PendingAssignment[] = [],
 ): { now: number; yields: number; soon: number } {
   const gone = new Set(room?.soldOut);
-  const taken = handedOf(spec, handed);
+  const taken = pendingTasksOf(spec, pending);
   const best = { now: 0, yields: 0, soon: 0 };
   const sum = { now: 0, yields: 0, soon: 0 };
   for (const zone of zones) {
     const rows = room?.rows.filter((r) => r.zone === zone) ?? [];
     const one = {
-      now: room ? roomFor(spec, { ...room, rows }, catalog, short) : 0,
+      now: room ? placesFor(spec, { ...room, rows }, catalog, short) : 0,
       yields: 0,
       soon: 0,
     };
-    one.yields = one.now + yieldsFor(spec, rows, catalog);
+    one.yields = one.now + reclaimablePlacesFor(spec, rows, catalog);
     one.soon = one.yields;
     for (const t of catalog) {
-      if (!couldRun(spec, t, zone)) continue;
+      if (!canRunOn(spec, t, zone)) continue;
       for (const spot of spec.spot ? [false, true] : [false]) {
-        if (!suits(spec, t, spot, catalog)) continue;
-        const what = offer(t.name, zone, spot);
+        if (!isSuitable(spec, t, spot, catalog)) continue;
+        const what = offerKey(t.name, zone, spot);
         const left = room?.left.get(what) ?? (gone.has(what) ? 0 : Infinity);
         if (left > 0) one.soon += left * fitCount(spec, t);
       }
@@ -177,17 +179,20 @@
 }
 
 /** What was handed to a group since it wrote its room, in tasks of this job. */
-function handedOf(spec: JobSpec, handed: readonly Handed[]): number {
+function pendingTasksOf(
+  spec: JobSpec,
+  pending: readonly PendingAssignment[],
+): number {
   let n = 0;
-  for (const h of handed)
-    if (queueOf(h.spec) === queueOf(spec))
+  for (const h of pending)
+    if (backlogKindOf(h.spec) === backlogKindOf(spec))
       n +=
         h.tasks *
         Math.max(1, Math.ceil(spec.cpus > 0 ? h.spec.cpus / spec.cpus : 1));
   return n;
 }
 
-interface Weighted extends Capable {
+interface WeightedPartition extends CapablePartition {
   /** Tasks that fit at once. */
   room: number;
   /** How fast it may come to the rest: machines it has or could have, over what waits there. */
@@ -195,25 +200,25 @@
   cap: number;
 }
 
-function weigh(
+function weighPartition(
   spec: JobSpec,
-  capable: readonly Capable[],
-  rooms: ReadonlyMap<string, RoomRecord>,
+  capable: readonly CapablePartition[],
+  rooms: ReadonlyMap<string, CapacityRecord>,
   catalog: readonly MachineType[],
   short: boolean,
-  handed: ReadonlyMap<string, readonly Handed[]>,
-): Weighted[] {
+  pending: ReadonlyMap<string, readonly PendingAssignment[]>,
+): WeightedPartition[] {
   return capable.map((c) => {
-    const r = rooms.get(c.group);
-    const given = handed.get(c.group) ?? [];
+    const r = rooms.get(c.partition);
+    const given = pending.get(c.partition) ?? [];
     let waiting = waitingBefore(spec, r);
     for (const h of given)
-      if (queueOf(h.spec) === queueOf(spec)) waiting += h.tasks;
+      if (backlogKindOf(h.spec) === backlogKindOf(spec)) waiting += h.tasks;
     return {
       ...c,
-      room: roomLeft(spec, r, catalog, short, given),
-      later: 1 / waitS(spec, c.zones, r, catalog, waiting),
-      cap: zoneCap(spec) * c.zones.length,
+      room: placesLeft(spec, r, catalog, short, given),
+      later: 1 / expectedWaitS(spec, c.zones, r, catalog, waiting),
+      cap: maxTasksPerZone(spec) * c.zones.length,
     };
   });
 }
@@ -222,7 +227,7 @@
 export function canRent(
   spec: JobSpec,
   zones: readonly string[],
-  room: RoomRecord | undefined,
+  room: CapacityRecord | undefined,
   catalog: readonly MachineType[],
 ): MachineType | null {
   const gone = new Set(room?.soldOut);
@@ -231,9 +236,9 @@
     for (const z of zones)
       for (const spot of spec.spot ? [false, true] : [false])
         if (
-          couldRun(spec, t, z) &&
-          suits(spec, t, spot, catalog) &&
-          !gone.has(offer(t.name, z, spot)) &&
+          canRunOn(spec, t, z) &&
+          isSuitable(spec, t, spot, catalog) &&
+          !gone.has(offerKey(t.name, z, spot)) &&
           (!best || t.bootS < best.bootS)
         )
           best = t;
@@ -241,24 +246,24 @@
 }
 
 /** About how long a task would wait in a group without room: for a machine to boot, or for its turn. */
-function waitS(
+function expectedWaitS(
   spec: JobSpec,
   zones: readonly string[],
-  room: RoomRecord | undefined,
+  room: CapacityRecord | undefined,
   catalog: readonly MachineType[],
   waiting: number,
 ): number {
   const rent = canRent(spec, zones, room, catalog);
   if (rent) return rent.bootS + 5 + waiting;
   return (
-    ((waiting + 1) * (spec.estimateS || 120)) / slotsOf(spec, room, catalog)
+    ((waiting + 1) * (spec.estimateS || 120)) / placesOnAll(spec, room, catalog)
   );
 }
 
 /** Machines of this group that the job's tasks could use, as places. */
-function slotsOf(
+function placesOnAll(
   spec: JobSpec,
-  room: RoomRecord | undefined,
+  room: CapacityRecord | undefined,
   catalog: readonly MachineType[],
 ): number {
   let slots = 0;
@@ -266,8 +271,8 @@
     const t = catalog.find((x) => x.name === row.type);
     if (
       t &&
-      allowedOn(spec, row.type, row.zone, row.spot) &&
-      suits(spec, t, row.spot, catalog)
+      isAllowedOn(spec, row.type, row.zone, row.spot) &&
+      isSuitable(spec, t, row.spot, catalog)
     )
       slots += row.machines * fitCount(spec, t);
   }
@@ -275,14 +280,14 @@
 }
 
 /** From the asking until work that gives way has saved and is gone, in seconds. */
-const YIELD_S = 12;
+const PREEMPTION_DELAY_S = 12;
 
 /** About how long a whole job would wait in a group: not at all, for machines to boot, or for others to finish. */
-function wholeWaitS(
+function expectedWholeWaitS(
   spec: JobSpec,
-  c: Capable,
+  c: CapablePartition,
   at: { now: number; yields: number; soon: number },
-  room: RoomRecord | undefined,
+  room: CapacityRecord | undefined,
   catalog: readonly MachineType[],
 ): number {
   const waiting = waitingBefore(spec, room);
@@ -290,36 +295,37 @@
   // What waits there does not fit yet and may be holding that room: a little worse than room for all.
   if (at.now >= spec.tasks) return 1;
   // Stopped first, with time to save.
-  if (at.yields >= spec.tasks + waiting) return YIELD_S;
+  if (at.yields >= spec.tasks + waiting) return PREEMPTION_DELAY_S;
   const boots = catalog
     .filter(
       (t) =>
-        suits(spec, t, spec.spot, catalog) &&
-        c.zones.some((z) => couldRun(spec, t, z)),
+        isSuitable(spec, t, spec.spot, catalog) &&
+        c.zones.some((z) => canRunOn(spec, t, z)),
     )
     .map((t) => t.bootS);
   const bootS = Math.min(...boots) + 5;
   const short = spec.tasks + waiting - at.soon;
   return short <= 0
     ? bootS
-    : bootS + (short * (spec.estimateS || 120)) / slotsOf(spec, room, catalog);
+    : bootS +
+        (short * (spec.estimateS || 120)) / placesOnAll(spec, room, catalog);
 }
 
 /** A fixed shuffle by job id: equal groups take turns without a source of chance in the core. */
-export function turn(id: string, n: number): number {
+export function turnOf(id: string, n: number): number {
   let h = 2166136261;
   for (const ch of id) h = Math.imul(h ^ ch.charCodeAt(0), 16777619) >>> 0;
   return h % n;
 }
 
 /** A split with these tasks of one group given to another. */
-export function movedSplit(
-  split: ReadonlyMap<string, RangeSet>,
+export function reassigned(
+  assignment: ReadonlyMap<string, RangeSet>,
   from: string,
   tasks: RangeSet,
   to: string,
 ): Map<string, RangeSet> {
-  const out = new Map([...split].map(([g, r]) => [g, r.clone()]));
+  const out = new Map([...assignment].map(([g, r]) => [g, r.clone()]));
   out.get(from)!.removeAll(tasks);
   const theirs = out.get(to) ?? RangeSet.empty();
   theirs.addAll(tasks);
@@ -327,47 +333,47 @@
   return out;
 }
 
-export function splitJob(
+export function partitionJob(
   spec: JobSpec,
-  capable: readonly Capable[],
-  rooms: ReadonlyMap<string, RoomRecord>,
+  capable: readonly CapablePartition[],
+  rooms: ReadonlyMap<string, CapacityRecord>,
   catalog: readonly MachineType[],
   short: boolean,
-  handed: ReadonlyMap<string, readonly Handed[]>,
+  pending: ReadonlyMap<string, readonly PendingAssignment[]>,
 ): Map<string, RangeSet> {
-  const start = turn(spec.id, capable.length);
-  const ws = weigh(
+  const start = turnOf(spec.id, capable.length);
+  const ws = weighPartition(
     spec,
     [...capable.slice(start), ...capable.slice(0, start)],
     rooms,
     catalog,
     short,
-    handed,
+    pending,
   );
-  const best = (score: (w: Weighted) => number): Weighted =>
+  const best = (score: (w: WeightedPartition) => number): WeightedPartition =>
     ws.reduce((a, b) => (score(b) > score(a) ? b : a));
-  if (goesWhole(spec)) {
+  if (startsWhole(spec)) {
     const enough =
-      spec.shape === "ensemble" || spec.samePlace
+      spec.kind === "gang" || spec.samePlace
         ? ws.filter((w) => w.cap >= spec.tasks)
         : ws;
     const from = enough.length > 0 ? enough : ws;
     // To the roomiest group that can hold it; if none can, to the one that is expected to be able to first.
     const rated = from.map((w) => {
-      const room = rooms.get(w.group);
-      const at = wholeRoom(
+      const room = rooms.get(w.partition);
+      const at = placesForWhole(
         spec,
         w.zones,
         room,
         catalog,
         short,
-        handed.get(w.group),
+        pending.get(w.partition),
       );
       return {
-        group: w.group,
+        group: w.partition,
         cap: w.cap,
         now: at.now,
-        waitS: wholeWaitS(spec, w, at, room, catalog),
+        waitS: expectedWholeWaitS(spec, w, at, room, catalog),
       };
     });
     rated.sort((a, b) => a.waitS - b.waitS || b.now - a.now);
@@ -385,15 +391,15 @@
     return whole;
   }
   // First into the room there is, by weight; then the rest by who comes to it soonest.
-  const counts = new Map<string, number>(ws.map((w) => [w.group, 0]));
-  const given = (w: Weighted): number => counts.get(w.group)!;
+  const counts = new Map<string, number>(ws.map((w) => [w.partition, 0]));
+  const given = (w: WeightedPartition): number => counts.get(w.partition)!;
   const total = ws.reduce((n, w) => n + Math.min(w.room, w.cap), 0);
   let left = spec.tasks;
   if (total > 0) {
     const share = Math.min(1, spec.tasks / total);
     for (const w of ws) {
       const n = Math.min(left, Math.floor(Math.min(w.room, w.cap) * share));
-      counts.set(w.group, n);
+      counts.set(w.partition, n);
       left -= n;
     }
   }
@@ -406,7 +412,7 @@
       left,
       Math.max(0, Math.min(w.room, w.cap) - given(w)),
     );
-    counts.set(w.group, given(w) + n);
+    counts.set(w.partition, given(w) + n);
     left -= n;
   }
   const open = ws.filter((w) => given(w) < w.cap);
@@ -418,7 +424,7 @@
       Math.floor((rest * w.later) / weights),
       w.cap - given(w),
     );
-    counts.set(w.group, given(w) + n);
+    counts.set(w.partition, given(w) + n);
     left -= n;
   }
   while (left > 0) {
@@ -431,15 +437,15 @@
             w.cap - given(w),
           )
         : left;
-    counts.set(w.group, given(w) + n);
+    counts.set(w.partition, given(w) + n);
     left -= n;
   }
-  const split = new Map<string, RangeSet>();
+  const assignment = new Map<string, RangeSet>();
   let next = 0;
   for (const w of ws) {
     const n = given(w);
-    if (n > 0) split.set(w.group, RangeSet.of([[next, next + n - 1]]));
+    if (n > 0) assignment.set(w.partition, RangeSet.of([[next, next + n - 1]]));
     next += n;
   }
-  return split;
+  return assignment;
 }
--- a/src/coordination/tasks.ts
+++ b/src/coordination/tasks.ts
@@ -1,7 +1,7 @@
-import type { Handover } from "./handover.js";
+import type { PendingTransfer } from "./handover.js";
 import type { JobView } from "./mirror.js";
-import type { Cause, MachineType, TaskState } from "./model.js";
-import type { Amounts } from "./placement.js";
+import type { ExitCause, MachineType, TaskState } from "./model.js";
+import type { Resources } from "./placement.js";
 import { RangeSet } from "./ranges.js";
 
 /** One task on one machine, from the start order until the machine is known not to have it any more. */
@@ -13,7 +13,7 @@
   /** `ordered`: no report has shown it yet. */
   phase: "ordered" | Exclude<TaskState, "exited">;
   /** Answers that bore its start. */
-  told: number;
+  timesSent: number;
   sinceMs: number;
   /** It is to be stopped, with this much time to save. */
   stop: { graceS: number; why: string } | null;
@@ -24,7 +24,7 @@
   id: string;
   view: JobView;
   /** Tasks of the job that this group answers for. */
-  mine: RangeSet;
+  assigned: RangeSet;
   waiting: RangeSet;
   active: Map<number, TaskRun>;
   /** Finished here, written or not. */
@@ -33,59 +33,59 @@
   written: RangeSet;
   writing: boolean;
   /** All of its tasks are known to be finished, here or elsewhere: its end is to be written. */
-  complete: boolean;
+  isComplete: boolean;
   /** When finished tasks were last written. */
-  wroteMs: number;
+  lastWrittenMs: number;
   /** From before this master's token: a task that nobody reports may be running somewhere. */
-  old: boolean;
+  predatesLeader: boolean;
   /** Over, or not ours any more: whatever still runs has to go. */
-  gone: boolean;
+  isOver: boolean;
   finalizing: boolean;
   waitingSinceMs: number;
   backoffUntilMs: number;
   /** A gang in several groups: the attempt that its part here was started under, and whether a record is being written. */
-  tried: number;
-  calling: boolean;
+  lastAttempt: number;
+  writingGangRecord: boolean;
   /** Machines where it failed, and how often. */
-  errors: Map<string, number>;
+  failuresByMachine: Map<string, number>;
   /** It seems to have been submitted with a mistake, since then; null: no reason to think so. */
-  suspectMs: number | null;
+  quarantinedSinceMs: number | null;
   /** Tries that ended in failure, its tasks' failures within a moment counted as one; and when the last did. */
   failedTries: number;
-  failedMs: number;
+  lastFailureMs: number;
   /** Handed to another group by a commit that has not shown yet. */
-  moving: { tasks: RangeSet; change: Handover } | null;
+  pendingTransfer: { tasks: RangeSet; change: PendingTransfer } | null;
 }
 
 /** A task on a machine that should not be there. */
-export interface Stray {
+export interface UnconfirmedTask {
   worker: Worker;
   job: string;
   index: number;
   attempt: number;
-  need: (Amounts & { team: string }) | null;
+  need: (Resources & { team: string }) | null;
   sinceMs: number;
 }
 
 /** What a master knows of whether a machine gets its answers and commands, and of its life before. */
-export interface Receipt {
+export interface DeliveryState {
   /** It has shown that it gets what this master sends, or was known to run for this group before. */
   proven: boolean;
   /** Since when it gets nothing, as far as its reports say; null: it does. */
-  deafMs: number | null;
+  unreachableSinceMs: number | null;
   /** Times that it was found deaf: the more, the longer it has to show the contrary. */
-  deafTimes: number;
+  timesUnreachable: number;
   /** Reports in a row that don't show what answers before them bore. */
   missed: number;
   /** When its present session was first seen. */
-  sessionMs: number;
+  incarnationSinceMs: number;
   /** When it was last asked by `inspect`, and whether that is on its way. */
-  askedMs: number;
-  asking: boolean;
+  inspectedMs: number;
+  inspecting: boolean;
   /** It began anew: what its former life had reached at most, and until when late copies of it may come. */
-  former: { session: number; tally: number; untilMs: number } | null;
+  formerLife: { incarnation: number; sequence: number; untilMs: number } | null;
   /** When the last command with starts that was sent straight to it ended. */
-  commandMs: number;
+  lastCommandMs: number;
 }
 
 export interface Worker {
@@ -96,103 +96,106 @@
   zone: string;
   spot: boolean;
   /** Type, zone and kind as one word: machines that share it are alike to every job. */
-  kind: string;
+  offerKey: string;
   /** What is free on it, as last counted; null: something came or went since. */
-  free: Readonly<Amounts> | null;
-  session: number;
-  tally: number;
+  free: Readonly<Resources> | null;
+  incarnation: number;
+  sequence: number;
   token: number;
   /** When its last report was answered with 200: its lease ends no later than lease_s after. */
-  answeredMs: number;
-  lost: boolean;
+  lastAnsweredMs: number;
+  leaseExpired: boolean;
   /** When a report of it last counted. */
-  heardMs: number;
-  receipt: Receipt;
-  firstMs: number;
-  takenAtMs: number | null;
+  lastHeardMs: number;
+  delivery: DeliveryState;
+  firstSeenMs: number;
+  reclaimedAtMs: number | null;
   tasks: Map<string, TaskRun>;
-  strays: Map<string, Stray>;
+  unconfirmedTasks: Map<string, UnconfirmedTask>;
   /** Exited tasks of the last report that wait for a `forget`. */
   exited: {
     job: string;
     index: number;
     attempt: number;
-    cause: Cause | null;
+    cause: ExitCause | null;
   }[];
   /** Images it should have, by last use. */
   images: Map<string, { gb: number; usedMs: number }>;
-  going: boolean;
+  isReturning: boolean;
   idleSinceMs: number | null;
   /** Jobs that failed here since a task last completed. */
-  failed: Set<string>;
+  failedJobs: Set<string>;
   avoidUntilMs: number;
   /** Room made here by stopping others belongs to this job for a while. */
-  heldFor: { job: string; untilMs: number } | null;
+  reservedFor: { job: string; untilMs: number } | null;
   /**
    * Starts sent straight to it whose message was not answered: it may arrive at any time within this session,
    * so a `forget` of such a task could start it again.
    */
-  openStarts: Map<string, number>;
-  direct: boolean;
+  unansweredStarts: Map<string, number>;
+  commandInFlight: boolean;
 }
 
 /** Time to save for a task that is to be stopped in order; what can't save is stopped at once. */
-export function graceOf(t: TaskRun): number {
+export function saveTimeS(t: TaskRun): number {
   const spec = t.job.view.spec;
   return spec.checkpointS > 0 ? spec.saveS + 1 : 0;
 }
 
-export const runKey = (job: string, index: number, attempt: number): string =>
-  `${job}/${index}#${attempt}`;
+export const attemptKey = (
+  job: string,
+  index: number,
+  attempt: number,
+): string => `${job}/${index}#${attempt}`;
 
 export function newJobRun(view: JobView, old: boolean, nowMs: number): JobRun {
   return {
     id: view.id,
     view,
-    mine: RangeSet.empty(),
+    assigned: RangeSet.empty(),
     waiting: RangeSet.empty(),
     active: new Map(),
     finished: RangeSet.empty(),
     written: RangeSet.empty(),
     writing: false,
-    complete: false,
-    wroteMs: -Infinity,
-    old,
-    gone: false,
+    isComplete: false,
+    lastWrittenMs: -Infinity,
+    predatesLeader: old,
+    isOver: false,
     finalizing: false,
     waitingSinceMs: nowMs,
     backoffUntilMs: 0,
-    tried: 0,
-    calling: false,
-    errors: new Map(),
-    suspectMs: null,
+    lastAttempt: 0,
+    writingGangRecord: false,
+    failuresByMachine: new Map(),
+    quarantinedSinceMs: null,
     failedTries: 0,
-    failedMs: -Infinity,
-    moving: null,
+    lastFailureMs: -Infinity,
+    pendingTransfer: null,
   };
 }
 
 /** What is free on a machine, counting all that is or may be on it. The ledger forgets the count when that changes. */
-export function freeOn(w: Worker): Amounts {
+export function freeOn(w: Worker): Resources {
   w.free ??= countFree(w);
   return { cpus: w.free.cpus, gpus: w.free.gpus, memGb: w.free.memGb };
 }
-function countFree(w: Worker): Amounts {
+function countFree(w: Worker): Resources {
   const free = {
     cpus: w.type?.cpus ?? 0,
     gpus: w.type?.gpus ?? 0,
     memGb: w.type?.memGb ?? 0,
   };
-  for (const t of w.tasks.values()) take(free, t.job.view.spec);
-  for (const s of w.strays.values()) {
+  for (const t of w.tasks.values()) subtract(free, t.job.view.spec);
+  for (const s of w.unconfirmedTasks.values()) {
     // A task of a job that nobody knows any more: it may take the whole machine.
-    if (s.need) take(free, s.need);
+    if (s.need) subtract(free, s.need);
     else return { cpus: 0, gpus: 0, memGb: 0 };
   }
   return free;
 }
 
-export function take(from: Amounts, need: Amounts): void {
+export function subtract(from: Resources, need: Resources): void {
   from.cpus -= need.cpus;
   from.gpus -= need.gpus;
   from.memGb -= need.memGb;
--- a/src/coordination/unanswered-commits.ts
+++ b/src/coordination/unanswered-commits.ts
@@ -8,7 +8,7 @@
 const MAX_KEYS = 100;
 
 /** Transactions without an answer, to say in the log when one of them shows all the same: nothing is decided by it. */
-export class UnansweredCommits {
+export class IndeterminateTransactions {
   /** By key: the value that was put, and when its answer was given up. */
   private readonly puts = new Map<string, { value: string; atMs: number }>();
 
@@ -24,7 +24,7 @@
   }
 
   /** Which of them these changes show; `afterMs`: since the answer was given up. What was put of the same key since says nothing more of it. */
-  among(
+  foundIn(
     changes: readonly Change[],
     nowMs: number,
   ): { key: string; afterMs: number }[] {
--- a/src/daemon.ts
+++ b/src/daemon.ts
@@ -14,21 +14,26 @@
 } from "./coordination/effects.js";
 import { type LogEntry, type LogEvent, logEntry } from "./logging/events.js";
 import type { Tuning } from "./coordination/model.js";
-import { StateClient } from "./storage/client.js";
+import { StoreClient } from "./storage/client.js";
 import { CloudClient } from "./transport/cloud.js";
 import { Frame } from "./protocol/frames.js";
 import type { StateCall, StateReply } from "./protocol/state.js";
-import { parseReport } from "./protocol/workers.js";
-import { json } from "./transport/client.js";
-import { Mesh } from "./transport/mesh.js";
-import { api, type Asked, listen, toHttp } from "./transport/server.js";
+import { parseHeartbeat } from "./protocol/workers.js";
+import { parseJson } from "./transport/client.js";
+import { PeerMesh } from "./transport/mesh.js";
+import {
+  api,
+  type RequestHandler,
+  listen,
+  toHttp,
+} from "./transport/server.js";
 import { WorkerClient } from "./transport/workers.js";
 
 const TICK_MS = 200;
 /** What a permit that ended kept from leaving is logged at most this often. */
 const WITHHELD_LOG_MS = 1_000;
 /** Part of the heap that may be in use right after a full collection: beyond it, nothing new is accepted. */
-const HEAP_FULL = 0.75;
+const HEAP_FULL_SHARE = 0.75;
 
 /** What the old space may take, in MB: V8 states its limit with the young generation's. */
 function heapMb(): number {
@@ -41,9 +46,9 @@
 }
 
 /** What may be turned on beside the core. */
-interface Extra {
+interface Extension {
   routes?(limit: MiddlewareHandler): Hono;
-  seen?(e: Extract<Effect, { do: "seen" }>): void;
+  onStoreChanges?(e: Extract<Effect, { type: "storeChanges" }>): void;
   tick?(): void;
   /** A line of the log, whether it is written or not. */
   logged?(event: LogEvent): void;
@@ -58,21 +63,21 @@
 }
 
 /** Runs one controller: feeds inputs to the core and carries out what it returns. */
-export class Daemon implements Asked {
+export class Daemon implements RequestHandler {
   private readonly log;
   private readonly core: Controller;
-  private readonly state: StateClient;
+  private readonly state: StoreClient;
   private readonly cloud: CloudClient;
   private readonly workers: WorkerClient;
-  private readonly mesh: Mesh;
+  private readonly mesh: PeerMesh;
   private up = "";
   private readonly pending = new Map<number, (a: Answer) => void>();
   private requests = 0;
   private faults = 0;
   /** Answers and commands that were not sent because their permit had ended. */
-  private withheld = 0;
+  private withheldCount = 0;
   private toldWithheldMs = -Infinity;
-  private readonly extras: Extra[] = [];
+  private readonly extensions: Extension[] = [];
 
   constructor(
     private readonly settings: Settings,
@@ -92,17 +97,17 @@
       performance.now(),
       Date.now(),
     );
-    this.state = new StateClient(settings);
+    this.state = new StoreClient(settings);
     this.cloud = new CloudClient(settings);
     this.workers = new WorkerClient(settings.maxSockets);
-    this.mesh = new Mesh(settings, {
+    this.mesh = new PeerMesh(settings, {
       serve: (type, body) => this.serve(type, body),
       stateOk: () => this.state.ok,
     });
-    this.state.through = this.mesh;
+    this.state.peers = this.mesh;
   }
 
-  private readonly odd = new RateLimitedLog({
+  private readonly inconsistencyLog = new RateLimitedLog({
     get nowMs() {
       return performance.now();
     },
@@ -110,25 +115,25 @@
   });
 
   /** Before `run`. */
-  add(extra: Extra): void {
-    this.extras.push(extra);
+  add(extra: Extension): void {
+    this.extensions.push(extra);
   }
-  get permit(): { hold: number | null; untilMs: number } {
-    return this.core.permit;
+  get leadershipLease(): { hold: number | null; untilMs: number } {
+    return this.core.leadershipLease;
   }
-  get teamFigures(): Controller["teamFigures"] {
-    return this.core.teamFigures;
+  get teamStatistics(): Controller["teamStatistics"] {
+    return this.core.teamStatistics;
   }
-  get figures(): Controller["figures"] {
-    return this.core.figures;
+  get statistics(): Controller["statistics"] {
+    return this.core.statistics;
   }
   /** A call to the state service on behalf of something turned on. */
-  async callForExtra(call: StateCall, urgent: number): Promise<StateReply> {
+  async callForExtension(call: StateCall, urgent: number): Promise<StateReply> {
     return (await this.callState(call, urgent)).reply;
   }
   /** Writes a line that the metrics count. */
   write(entry: LogEntry): void {
-    for (const x of this.extras) x.logged?.(entry.msg);
+    for (const x of this.extensions) x.logged?.(entry.msg);
     this.writeUncounted(entry);
   }
   private writeUncounted({ level, msg, fields }: LogEntry): void {
@@ -138,10 +143,10 @@
     call: StateCall,
     urgent: number,
   ): Promise<{ reply: StateReply; sentMs: number }> {
-    if (this.extras.length === 0) return this.state.call(call, urgent);
+    if (this.extensions.length === 0) return this.state.call(call, urgent);
     const askedMs = performance.now();
     const r = await this.state.call(call, urgent);
-    for (const x of this.extras)
+    for (const x of this.extensions)
       x.called?.(
         "state",
         call.op,
@@ -156,11 +161,11 @@
     call: CloudCall,
     urgent: number,
   ): Promise<CloudReply> {
-    if (this.extras.length === 0) return this.cloud.call(call, urgent);
+    if (this.extensions.length === 0) return this.cloud.call(call, urgent);
     const askedMs = performance.now();
     const reply = await this.cloud.call(call, urgent);
-    for (const x of this.extras)
-      x.called?.("cloud", call.op, reply.is, 0, performance.now() - askedMs);
+    for (const x of this.extensions)
+      x.called?.("cloud", call.op, reply.kind, 0, performance.now() - askedMs);
     return reply;
   }
 
@@ -169,24 +174,24 @@
     await listen(
       api(
         this,
-        this.extras.flatMap((x) => (x.routes ? [x.routes.bind(x)] : [])),
+        this.extensions.flatMap((x) => (x.routes ? [x.routes.bind(x)] : [])),
       ),
       this.settings,
     );
     this.writeUncounted(
       logEntry("controller started", {
         area: this.settings.area,
-        partitions: this.core.groups.names,
+        partitions: this.core.partitions.names,
       }),
     );
-    this.feed({ is: "tick" });
+    this.feed({ type: "tick" });
     setInterval(() => this.tick(), TICK_MS);
     this.watchMemory();
   }
 
   /** What a full collection leaves is what is really needed; between them the heap may look full and hold little. */
   private watchMemory(): void {
-    const most = heapMb() * HEAP_FULL * 2 ** 20;
+    const most = heapMb() * HEAP_FULL_SHARE * 2 ** 20;
     new PerformanceObserver((list) => {
       if (
         !list
@@ -199,7 +204,7 @@
       )
         return;
       this.feed({
-        is: "memory",
+        type: "memory",
         short: getHeapStatistics().used_heap_size > most,
       });
     }).observe({ entryTypes: ["gc"] });
@@ -212,32 +217,32 @@
         logEntry("reachable peers changed", { reachable: up }),
       );
       this.up = up.join();
-      this.feed({ is: "peers", up });
+      this.feed({ type: "peers", up });
     }
-    this.feed({ is: "tick" });
-    for (const x of this.extras) x.tick?.();
+    this.feed({ type: "tick" });
+    for (const x of this.extensions) x.tick?.();
   }
 
   /** What a peer asks for: to answer a worker's report, or to carry a call to the state service. */
   private async serve(
-    type: typeof Frame.Report | typeof Frame.State,
+    type: typeof Frame.Heartbeat | typeof Frame.StoreCall,
     body: string,
   ): Promise<{ status: number; body: string }> {
-    if (type === Frame.State) {
-      const call = json(body) as StateCall | undefined;
+    if (type === Frame.StoreCall) {
+      const call = parseJson(body) as StateCall | undefined;
       if (typeof call?.op !== "string") return { status: 400, body: "" };
       return {
         status: 200,
         body: JSON.stringify(await this.state.carry(call)),
       };
     }
-    const r = parseReport(body);
+    const r = parseHeartbeat(body);
     if (!r.ok) return { status: 400, body: "" };
     const answer = toHttp(
       await this.ask((req) => ({
-        is: "report",
+        type: "heartbeat",
         req,
-        report: r.value,
+        heartbeat: r.value,
         relayed: true,
       })),
     );
@@ -245,12 +250,12 @@
   }
 
   async relay(
-    master: string,
+    leader: string,
     zone: string,
     body: string,
   ): Promise<{ status: number; body: string } | null> {
-    const r = await this.mesh.call(master, Frame.Report, body, 2_000);
-    if (r?.status !== 200) this.feed({ is: "unserved", zone });
+    const r = await this.mesh.call(leader, Frame.Heartbeat, body, 2_000);
+    if (r?.status !== 200) this.feed({ type: "leaderUnreachable", zone });
     return r;
   }
 
@@ -259,7 +264,7 @@
   }
 
   malformed(error: string): void {
-    this.odd.warn("malformed heartbeat", error, {});
+    this.inconsistencyLog.warn("malformed heartbeat", error, {});
   }
 
   fault(error: Error): void {
@@ -297,61 +302,65 @@
 
   /** The process stood still between a step and the carrying out of its effects, and its permit has ended meanwhile. */
   private withhold(e: Effect): void {
-    this.withheld++;
+    this.withheldCount++;
     const now = performance.now();
     if (now - this.toldWithheldMs > WITHHELD_LOG_MS) {
       this.toldWithheldMs = now;
       this.write(
         logEntry("message withheld after leadership lease expiry", {
-          what: e.do,
-          withheld: this.withheld,
-          leadershipLeaseExpiredMs: Math.round(now - this.core.permit.untilMs),
+          what: e.type,
+          withheld: this.withheldCount,
+          leadershipLeaseExpiredMs: Math.round(
+            now - this.core.leadershipLease.untilMs,
+          ),
         }),
       );
     }
-    if (e.do === "answer")
+    if (e.type === "answer")
       this.carryOut({
         ...e,
-        answer: { is: "later", afterS: 1, why: "no permit" },
+        answer: { kind: "retryLater", afterS: 1, why: "no permit" },
       });
-    else if (e.do === "command")
+    else if (e.type === "command")
       setImmediate(() =>
-        this.feed({ is: "command", op: e.op, reply: { is: "refused" } }),
+        this.feed({ type: "command", op: e.op, reply: { kind: "refused" } }),
       );
   }
 
   private carryOut(e: Effect): void {
     if (!this.core.mayLeave(e, performance.now())) return this.withhold(e);
-    switch (e.do) {
+    switch (e.type) {
       case "answer":
         this.pending.get(e.req)?.(e.answer);
         this.pending.delete(e.req);
         break;
       case "state":
-        void this.callState(e.call, e.urgent).then(({ reply, sentMs }) =>
-          this.feed({ is: "state", op: e.op, reply, sentMs }),
+        void this.callState(e.call, e.priority).then(({ reply, sentMs }) =>
+          this.feed({ type: "state", op: e.op, reply, sentMs }),
         );
         break;
       case "cloud":
-        void this.callCloud(e.call, e.urgent).then((reply) =>
-          this.feed({ is: "cloud", op: e.op, reply }),
+        void this.callCloud(e.call, e.priority).then((reply) =>
+          this.feed({ type: "cloud", op: e.op, reply }),
         );
         break;
-      case "seen":
-        for (const x of this.extras) x.seen?.(e);
+      case "storeChanges":
+        for (const x of this.extensions) x.onStoreChanges?.(e);
         break;
       case "command":
         void this.workers
-          .command(e.address, e.token, e.session, e.orders)
-          .then((reply) => this.feed({ is: "command", op: e.op, reply }));
+          .command(e.address, e.token, e.incarnation, e.commands)
+          .then((reply) => this.feed({ type: "command", op: e.op, reply }));
         break;
       case "inspect":
         void this.workers
           .inspect(e.address)
-          .then((report) => this.feed({ is: "inspected", op: e.op, report }));
+          .then((report) =>
+            this.feed({ type: "inspectReply", op: e.op, heartbeat: report }),
+          );
         break;
       case "wake":
-        setTimeout(() => this.feed({ is: "wake" }), e.afterMs);
+        setTimeout(() => this.feed({ type: "wake" }), e.afterMs);
         break;
       case "log":
         this.write(e);
--- a/src/extras.ts
+++ b/src/extras.ts
@@ -12,27 +12,28 @@
 ): Promise<void> {
   const metrics = operator.metrics
     ? new (await import("./metrics/index.js")).Metrics(
-        () => daemon.figures,
-        () => daemon.permit.untilMs - performance.now(),
+        () => daemon.statistics,
+        () => daemon.leadershipLease.untilMs - performance.now(),
       )
     : null;
-  metrics?.watchTeams(() => daemon.teamFigures);
+  metrics?.watchTeams(() => daemon.teamStatistics);
   if (metrics) daemon.add(metrics);
   if (!operator.hooks) return;
-  const { Hooks } = await import("./hooks/index.js");
-  const hooks = new Hooks(
+  const { Webhooks } = await import("./hooks/index.js");
+  const webhooks = new Webhooks(
     operator.hooks,
     settings,
     file,
     `linencove/${version}`,
     {
-      state: (call, urgent) => daemon.callForExtra(call, urgent),
-      permit: () => daemon.permit,
+      state: (call, urgent) => daemon.callForExtension(call, urgent),
+      leadershipLease: () => daemon.leadershipLease,
       log: (entry) => daemon.write(entry),
-      settled: (outcome, tookMs) => metrics?.hookSettled(outcome, tookMs),
-      attempted: (outcome, tookMs) => metrics?.hookAttempted(outcome, tookMs),
+      settled: (outcome, tookMs) => metrics?.webhookSettled(outcome, tookMs),
+      attempted: (outcome, tookMs) =>
+        metrics?.webhookAttempted(outcome, tookMs),
     },
   );
-  metrics?.watchHooks(() => hooks.figures);
-  daemon.add(hooks);
+  metrics?.watchWebhooks(() => webhooks.figures);
+  daemon.add(webhooks);
 }
--- a/src/hooks/core.ts
+++ b/src/hooks/core.ts
@@ -12,60 +12,70 @@
   StateReply,
   Write,
 } from "../protocol/state.js";
-import { Urgent } from "../coordination/effects.js";
+import { CallPriority } from "../coordination/effects.js";
 import { Breaker, type BackoffLimits, type BreakerState } from "./breaker.js";
 import {
-  type Attempted,
+  type AttemptResult,
   Delivery,
   type DeliveryLimits,
-  type Host,
-  type Launch,
+  type DeliveryHost,
+  type AttemptRequest,
 } from "./delivery.js";
-import { chosen, laneOf } from "./lanes.js";
+import { chosenController, laneOf } from "./lanes.js";
 import {
-  hereKey,
-  HOOKS_NOW,
-  LANES,
-  ownKey,
-  readAt,
-  readHere,
-  readOwn,
-  readSub,
-  readUpto,
-  subKey,
+  presenceKey,
+  WEBHOOKS_LIVE_PREFIX,
+  LANE_COUNT,
+  laneOwnerKey,
+  readProgress,
+  readPresence,
+  readLaneOwner,
+  readSubscription,
+  readSettledUpTo,
+  subscriptionKey,
   type Subscription,
-  UPTO_KEY,
-  writeSub,
+  SETTLED_UP_TO_KEY,
+  writeSubscription,
 } from "./records.js";
-import { type HookRequest, Requests } from "./requests.js";
-import { Tail } from "./tail.js";
+import { type WebhookRequest, SubscriptionRequests } from "./requests.js";
+import { ChangeFeed } from "./tail.js";
 
 /** What the core of hooks is told. */
-export type HookInput =
+export type WebhookInput =
   /** What the scheduler's core read; `from` later than the last `to`: there is a gap. */
-  | { is: "seen"; from: number; to: number; changes: readonly Change[] }
+  | {
+      type: "storeChanges";
+      from: number;
+      to: number;
+      changes: readonly Change[];
+    }
   /** The hold that this controller lives under, and until when (steady time) it may act on what it owns. */
-  | { is: "permit"; hold: number | null; untilMs: number }
-  | { is: "state"; op: number; reply: StateReply }
-  | { is: "attempted"; attempt: number; result: Attempted }
-  | { is: "request"; req: number; request: HookRequest }
-  | { is: "tick" };
+  | { type: "permit"; hold: number | null; untilMs: number }
+  | { type: "state"; op: number; reply: StateReply }
+  | { type: "attempted"; attempt: number; result: AttemptResult }
+  | { type: "request"; req: number; request: WebhookRequest }
+  | { type: "tick" };
 
-export type HookEffect =
-  | { do: "state"; op: number; call: StateCall; urgent: Urgent }
-  | { do: "attempt"; attempt: number; hook: string; launch: Launch }
-  | { do: "abort"; attempt: number }
-  | { do: "reply"; req: number; status: number; body: object }
+export type WebhookEffect =
+  | { type: "state"; op: number; call: StateCall; urgent: CallPriority }
+  | {
+      type: "attempt";
+      attempt: number;
+      webhook: string;
+      launch: AttemptRequest;
+    }
+  | { type: "abort"; attempt: number }
+  | { type: "reply"; req: number; status: number; body: object }
   | {
-      do: "settled";
-      hook: string;
+      type: "settled";
+      webhook: string;
       outcome: "delivered" | "dead";
       attempts: number;
       /** From the end of the job, ms by time of day. */ tookMs: number;
     }
-  | ({ do: "log" } & LogEntry);
+  | ({ type: "log" } & LogEntry);
 
-export interface HookLimits extends DeliveryLimits {
+export interface WebhookLimits extends DeliveryLimits {
   /** Changes a second that hooks may make, and how many at once. */
   changesPerS: number;
   changesBurst: number;
@@ -90,17 +100,17 @@
 }
 
 /** The sending of hooks on one controller: pure as the scheduler's core, and beside it. */
-export class HookCore implements Host {
+export class WebhookCore implements DeliveryHost {
   nowMs = 0;
   wallMs = 0;
-  readonly tail = new Tail();
-  private out: HookEffect[] = [];
+  readonly feed = new ChangeFeed();
+  private effects: WebhookEffect[] = [];
   private ops = 0;
   private attempts = 0;
   private readonly stateOps = new Map<number, (r: StateReply) => void>();
   private readonly flights = new Map<number, Delivery>();
-  private hold: number | null = null;
-  private permitUntilMs = -Infinity;
+  private storeLease: number | null = null;
+  private leadershipLeaseUntilMs = -Infinity;
   private level: number;
   private levelMs = 0;
   private refusedSinceMs: number | null = null;
@@ -110,14 +120,14 @@
   private backlog: { from: number; to: number; changes: readonly Change[] }[] =
     [];
   private listAgainMs = -Infinity;
-  readonly subs = new Map<string, Kept<Subscription>>();
-  private readonly ats = new Map<string, Kept<unknown>>();
-  private readonly owns = new Map<
+  readonly subscriptions = new Map<string, Kept<Subscription>>();
+  private readonly progressRecords = new Map<string, Kept<unknown>>();
+  private readonly laneOwners = new Map<
     number,
     Kept<{ owner: string; hold: number }>
   >();
-  private readonly heres = new Map<string, Kept<{ hold: number }>>();
-  private upto: Kept<Record<string, number>> = { value: {}, version: 0 };
+  private readonly presences = new Map<string, Kept<{ hold: number }>>();
+  private settledUpTo: Kept<Record<string, number>> = { value: {}, version: 0 };
   private present = "";
   private presentSinceMs = 0;
   // ---- what this controller does
@@ -125,11 +135,11 @@
   private readonly writing = new Set<string>();
   private readonly againMs = new Map<string, number>();
   private readonly breakers = new Map<string, Breaker>();
-  private readonly requests: Requests;
+  private readonly requests: SubscriptionRequests;
 
   constructor(
     readonly label: string,
-    readonly limits: HookLimits,
+    readonly limits: WebhookLimits,
     /** Within 0 and 1. */
     readonly random: () => number,
     /** Ids of the keys that this controller can sign with. */
@@ -138,9 +148,10 @@
     refuses: (url: string) => string | null,
   ) {
     this.level = limits.changesBurst;
-    this.requests = new Requests(
-      (call, done) => this.state(call, done, Urgent.User),
-      (req, status, body) => this.out.push({ do: "reply", req, status, body }),
+    this.requests = new SubscriptionRequests(
+      (call, done) => this.state(call, done, CallPriority.UserRequest),
+      (req, status, body) =>
+        this.effects.push({ type: "reply", req, status, body }),
       (name) => this.figuresOf(name),
       keys,
       refuses,
@@ -148,17 +159,17 @@
     );
   }
 
-  step(input: HookInput, nowMs: number, wallMs: number): HookEffect[] {
+  step(input: WebhookInput, nowMs: number, wallMs: number): WebhookEffect[] {
     this.nowMs = nowMs;
     this.wallMs = wallMs;
-    switch (input.is) {
-      case "seen":
+    switch (input.type) {
+      case "storeChanges":
         this.seen(input.from, input.to, input.changes);
         break;
       case "permit":
-        if (input.hold !== this.hold) this.dropAll();
-        this.hold = input.hold;
-        this.permitUntilMs = input.untilMs;
+        if (input.hold !== this.storeLease) this.dropAll();
+        this.storeLease = input.hold;
+        this.leadershipLeaseUntilMs = input.untilMs;
         break;
       case "state": {
         const done = this.stateOps.get(input.op);
@@ -181,25 +192,30 @@
         break;
     }
     this.act();
-    const out = this.out;
-    this.out = [];
+    const out = this.effects;
+    this.effects = [];
     return out;
   }
 
   // ---- Host ----------------------------------------------------------------------------------------------
 
-  state(call: StateCall, done: (r: StateReply) => void, urgent?: Urgent): void {
+  state(
+    call: StateCall,
+    done: (r: StateReply) => void,
+    urgent?: CallPriority,
+  ): void {
     const op = ++this.ops;
     this.stateOps.set(op, done);
     // Users and holds never wait for hooks; masters only when hooks have waited for long.
     const patient =
       this.refusedSinceMs === null ||
       this.nowMs - this.refusedSinceMs < PATIENT_MS;
-    this.out.push({
-      do: "state",
+    this.effects.push({
+      type: "state",
       op,
       call,
-      urgent: urgent ?? (patient ? Urgent.Spare : Urgent.Master),
+      urgent:
+        urgent ?? (patient ? CallPriority.Background : CallPriority.Leader),
     });
   }
   /** Hooks have a part of this controller's changes for themselves: what waits for it gathers, and goes with one change. */
@@ -228,16 +244,19 @@
       );
     return b;
   }
-  private get permitted(): boolean {
-    return this.hold !== null && this.nowMs < this.permitUntilMs - MARGIN_MS;
+  private get mayAct(): boolean {
+    return (
+      this.storeLease !== null &&
+      this.nowMs < this.leadershipLeaseUntilMs - MARGIN_MS
+    );
   }
   mayLaunch(): boolean {
-    return this.permitted && this.flights.size < this.limits.inFlight;
+    return this.mayAct && this.flights.size < this.limits.inFlight;
   }
-  launch(d: Delivery, launch: Launch): number {
+  launch(d: Delivery, launch: AttemptRequest): number {
     const attempt = ++this.attempts;
     this.flights.set(attempt, d);
-    this.out.push({ do: "attempt", attempt, hook: d.name, launch });
+    this.effects.push({ type: "attempt", attempt, webhook: d.name, launch });
     this.log("webhook delivery attempt", {
       webhook: d.name,
       job: launch.end.id,
@@ -247,35 +266,35 @@
     return attempt;
   }
   abort(attempt: number): void {
-    this.out.push({ do: "abort", attempt });
+    this.effects.push({ type: "abort", attempt });
   }
   settled(
-    hook: string,
+    webhook: string,
     o: {
       outcome: "delivered" | "dead";
       end: { id: string; at: number };
       attempts: number;
     },
   ): void {
-    this.out.push({
-      do: "settled",
-      hook,
+    this.effects.push({
+      type: "settled",
+      webhook,
       outcome: o.outcome,
       attempts: o.attempts,
       tookMs: Math.max(0, this.wallMs - o.end.at),
     });
     if (o.outcome === "dead")
       this.log("webhook notification given up", {
-        webhook: hook,
+        webhook: webhook,
         job: o.end.id,
         attempts: o.attempts,
       });
   }
   log<E extends LogEvent>(event: E, fields: LogEventFields[E]): void {
-    this.out.push({ do: "log", ...logEntry(event, fields) });
+    this.effects.push({ type: "log", ...logEntry(event, fields) });
   }
   ended(name: string): void {
-    const s = this.subs.get(name);
+    const s = this.subscriptions.get(name);
     const lane = laneOf(name);
     const token = this.tokenOf(lane);
     if (
@@ -289,14 +308,14 @@
     this.put(
       `sub ${name}`,
       [
-        { key: ownKey(lane), version: token },
-        { key: subKey(name), version: s.version },
+        { key: laneOwnerKey(lane), version: token },
+        { key: subscriptionKey(name), version: s.version },
       ],
       [
         {
           op: "put",
-          key: subKey(name),
-          value: writeSub({ ...s.value, state: "ended" }),
+          key: subscriptionKey(name),
+          value: writeSubscription({ ...s.value, state: "ended" }),
         },
       ],
     );
@@ -305,11 +324,11 @@
   // ---- what is read --------------------------------------------------------------------------------------
 
   private seen(from: number, to: number, changes: readonly Change[]): void {
-    const { unnamed } = this.tail;
-    this.tail.push(from, to, changes);
-    if (this.tail.unnamed > unnamed)
+    const { unnamed } = this.feed;
+    this.feed.push(from, to, changes);
+    if (this.feed.unnamed > unnamed)
       this.log("jobs ended without webhook notification", {
-        jobs: this.tail.unnamed - unnamed,
+        jobs: this.feed.unnamed - unnamed,
       });
     if (this.listing) {
       this.backlog.push({ from, to, changes });
@@ -324,7 +343,7 @@
       return;
     }
     for (const c of changes)
-      if (c.version > this.epoch && c.key.startsWith(HOOKS_NOW))
+      if (c.version > this.epoch && c.key.startsWith(WEBHOOKS_LIVE_PREFIX))
         this.note(c.key, c.op === "put" ? c.value : undefined, c.version);
     this.epoch = Math.max(this.epoch, to);
   }
@@ -335,7 +354,7 @@
   ): void {
     this.listing = true;
     this.state(
-      { op: "list", prefix: HOOKS_NOW, after },
+      { op: "list", prefix: WEBHOOKS_LIVE_PREFIX, after },
       (r) => {
         if (r.is !== "items") {
           this.listing = false;
@@ -349,8 +368,14 @@
         const last = r.items.at(-1);
         if (r.more && last) return this.list(last.key, all, first);
         this.listing = false;
-        for (const m of [this.subs, this.ats, this.owns, this.heres]) m.clear();
-        this.upto = { value: {}, version: 0 };
+        for (const m of [
+          this.subscriptions,
+          this.progressRecords,
+          this.laneOwners,
+          this.presences,
+        ])
+          m.clear();
+        this.settledUpTo = { value: {}, version: 0 };
         for (const i of all)
           if (i.version <= first) this.note(i.key, i.value, i.version);
         // What changed between the pages comes with the changes after the first; what was not there in its own page any more was deleted after it.
@@ -360,27 +385,29 @@
         for (const b of backlog)
           if (this.epoch >= 0) this.follow(b.from, b.to, b.changes);
       },
-      Urgent.Master,
+      CallPriority.Leader,
     );
   }
   /** `undefined`: deleted. */
   private note(key: string, value: unknown, version: number): void {
-    const [kind, ...rest] = key.slice(HOOKS_NOW.length).split("/");
+    const [kind, ...rest] = key.slice(WEBHOOKS_LIVE_PREFIX.length).split("/");
     const name = rest.join("/");
     const keep = <K, T>(m: Map<K, Kept<T>>, k: K, v: T | null): void => {
       if (v === null) m.delete(k);
       else m.set(k, { value: v, version });
     };
     const gone = value === undefined;
-    if (kind === "sub") keep(this.subs, name, gone ? null : readSub(value));
-    else if (kind === "at") keep(this.ats, name, gone ? null : value);
+    if (kind === "sub")
+      keep(this.subscriptions, name, gone ? null : readSubscription(value));
+    else if (kind === "at")
+      keep(this.progressRecords, name, gone ? null : value);
     else if (kind === "own")
-      keep(this.owns, Number(name), gone ? null : readOwn(value));
+      keep(this.laneOwners, Number(name), gone ? null : readLaneOwner(value));
     else if (kind === "here")
-      keep(this.heres, name, gone ? null : readHere(value));
+      keep(this.presences, name, gone ? null : readPresence(value));
     else if (kind === "upto")
-      this.upto = {
-        value: gone ? {} : readUpto(value),
+      this.settledUpTo = {
+        value: gone ? {} : readSettledUpTo(value),
         version: gone ? 0 : version,
       };
   }
@@ -388,8 +415,8 @@
   // ---- lanes ---------------------------------------------------------------------------------------------
 
   private tokenOf(lane: number): number | null {
-    const o = this.owns.get(lane);
-    return o && o.value.owner === this.label && o.value.hold === this.hold
+    const o = this.laneOwners.get(lane);
+    return o && o.value.owner === this.label && o.value.hold === this.storeLease
       ? o.version
       : null;
   }
@@ -410,7 +437,7 @@
         // Until the change is seen the old version would be written again.
         else this.againMs.set(name, this.nowMs + AGAIN_MS / 4);
       },
-      Urgent.Master,
+      CallPriority.Leader,
     );
   }
 
@@ -420,27 +447,27 @@
       if (!this.listing && this.nowMs >= this.listAgainMs) this.list();
       return;
     }
-    if (!this.permitted) {
+    if (!this.mayAct) {
       for (const d of this.deliveries.values()) d.abort();
       return;
     }
-    const hold = this.hold!;
-    const here = this.heres.get(this.label);
+    const hold = this.storeLease!;
+    const here = this.presences.get(this.label);
     if (here?.value.hold !== hold)
       this.put(
         "here",
-        [{ key: hereKey(this.label), version: here?.version ?? 0 }],
-        [{ op: "put", key: hereKey(this.label), value: { hold }, hold }],
+        [{ key: presenceKey(this.label), version: here?.version ?? 0 }],
+        [{ op: "put", key: presenceKey(this.label), value: { hold }, hold }],
       );
-    const present = [...this.heres.keys()].sort();
+    const present = [...this.presences.keys()].sort();
     if (present.join() !== this.present) {
       this.present = present.join();
       this.presentSinceMs = this.nowMs;
     }
     const byLane = new Map<number, string[]>();
-    for (const name of this.ats.keys())
+    for (const name of this.progressRecords.keys())
       byLane.set(laneOf(name), [...(byLane.get(laneOf(name)) ?? []), name]);
-    for (let lane = 0; lane < LANES; lane++)
+    for (let lane = 0; lane < LANE_COUNT; lane++)
       this.keepLane(lane, byLane.get(lane) ?? [], present, hold);
     this.deliver(present);
     this.writeUpto(byLane);
@@ -452,12 +479,12 @@
     present: readonly string[],
     hold: number,
   ): void {
-    const own = this.owns.get(lane);
+    const own = this.laneOwners.get(lane);
     const token = this.tokenOf(lane);
     const settled =
       this.nowMs - this.presentSinceMs >= SETTLED_MS &&
       present.includes(this.label);
-    const mine = chosen(lane, present) === this.label;
+    const mine = chosenController(lane, present) === this.label;
     for (const name of names)
       if (
         this.deliveries.has(name) &&
@@ -467,11 +494,11 @@
     const take = (version: number): void =>
       this.put(
         `lane ${lane}`,
-        [{ key: ownKey(lane), version }],
+        [{ key: laneOwnerKey(lane), version }],
         [
           {
             op: "put",
-            key: ownKey(lane),
+            key: laneOwnerKey(lane),
             value: { owner: this.label, hold },
             hold,
           },
@@ -490,8 +517,8 @@
         for (const n of names) this.drop(n);
         this.put(
           `lane ${lane}`,
-          [{ key: ownKey(lane), version: token }],
-          [{ op: "delete", key: ownKey(lane) }],
+          [{ key: laneOwnerKey(lane), version: token }],
+          [{ op: "delete", key: laneOwnerKey(lane) }],
         );
       }
       return;
@@ -505,18 +532,18 @@
    * what they name is all that it may have sent.
    */
   private begin(name: string, lane: number, token: number): void {
-    const kept = this.ats.get(name)!;
-    const at = readAt(kept.value);
+    const kept = this.progressRecords.get(name)!;
+    const at = readProgress(kept.value);
     if (!at) return;
-    const upto = this.upto.value[lane] ?? 0;
+    const upto = this.settledUpTo.value[lane] ?? 0;
     this.deliveries.set(
       name,
       new Delivery(
         this,
         name,
         token,
-        { key: ownKey(lane), version: token },
-        () => this.subs.get(name)?.value ?? null,
+        { key: laneOwnerKey(lane), version: token },
+        () => this.subscriptions.get(name)?.value ?? null,
         kept.version,
         at,
         upto,
@@ -536,9 +563,9 @@
     for (const [name, d] of [...this.deliveries].sort(
       ([, x], [, y]) => x.wroteMs - y.wroteMs,
     )) {
-      const at = this.ats.get(name);
+      const at = this.progressRecords.get(name);
       if (d.foreign || !at) this.drop(name);
-      else d.act(chosen(laneOf(name), present) === this.label);
+      else d.act(chosenController(laneOf(name), present) === this.label);
     }
   }
 
@@ -546,7 +573,7 @@
   private writeUpto(byLane: ReadonlyMap<number, readonly string[]>): void {
     const next: Record<string, number> = {};
     const conditions: Condition[] = [
-      { key: UPTO_KEY, version: this.upto.version },
+      { key: SETTLED_UP_TO_KEY, version: this.settledUpTo.version },
     ];
     let behind = 0;
     for (const [lane, names] of byLane) {
@@ -556,16 +583,20 @@
       const to = Math.min(
         ...names.map((n) => this.deliveries.get(n)!.settledTo),
       );
-      const was = this.upto.value[lane] ?? 0;
+      const was = this.settledUpTo.value[lane] ?? 0;
       if (to <= was) continue;
       next[lane] = to;
-      conditions.push({ key: ownKey(lane), version: token });
+      conditions.push({ key: laneOwnerKey(lane), version: token });
       behind = Math.max(behind, to - was);
     }
     if (behind < this.limits.settleEvery || this.writing.has("upto")) return;
     if (!this.mayWrite(1)) return;
     this.put("upto", conditions, [
-      { op: "put", key: UPTO_KEY, value: { ...this.upto.value, ...next } },
+      {
+        op: "put",
+        key: SETTLED_UP_TO_KEY,
+        value: { ...this.settledUpTo.value, ...next },
+      },
     ]);
   }
 
@@ -576,7 +607,7 @@
     const d = this.deliveries.get(name);
     if (!d) return null;
     const b = d.behind;
-    const sub = this.subs.get(name)?.value;
+    const sub = this.subscriptions.get(name)?.value;
     return {
       window: b.window,
       batches: b.batches,
--- a/src/hooks/delivery.ts
+++ b/src/hooks/delivery.ts
@@ -6,7 +6,7 @@
   StateReply,
   Write,
 } from "../protocol/state.js";
-import { PAST } from "../storage/records.js";
+import { FINAL_PREFIX } from "../storage/records.js";
 import {
   type Breaker,
   backoffMs,
@@ -17,30 +17,35 @@
 import {
   after,
   AT_HEAD,
-  type AtRecord,
-  atKey,
+  type ProgressRecord,
+  progressKey,
   BATCH_HEAD,
   batchNumber,
   type Cursor,
   deadKey,
   deadPrefix,
-  type Ending,
+  type JobEnd,
   LAST_ID,
   later,
-  type Owed,
+  type PendingDelivery,
   Packer,
-  readAt,
+  readProgress,
   readBatch,
   spoolKey,
   spoolPrefix,
   type Subscription,
-  writeAt,
+  writeProgress,
   writeBatch,
 } from "./records.js";
-import { type Ended, endingOf, endingsOf, type Tail } from "./tail.js";
+import {
+  type FeedEntry,
+  jobEndOf,
+  jobEndsOf,
+  type ChangeFeed,
+} from "./tail.js";
 
 /** What an attempt came to. */
-export type Attempted =
+export type AttemptResult =
   | { is: "answered"; status: number; retryAfterMs: number | null }
   /** Asked first, the receiver has it. */
   | { is: "had" }
@@ -61,8 +66,8 @@
   spoolBatches: number;
 }
 
-export interface Launch {
-  end: Ending;
+export interface AttemptRequest {
+  end: JobEnd;
   /** The number of the attempt, from 1. */
   attempt: number;
   reason: Reason | null;
@@ -71,11 +76,11 @@
 }
 
 /** What a delivery needs of its core. */
-export interface Host extends EventLog {
+export interface DeliveryHost extends EventLog {
   readonly nowMs: number;
   readonly wallMs: number;
   readonly limits: DeliveryLimits;
-  readonly tail: Tail;
+  readonly feed: ChangeFeed;
   random(): number;
   state(call: StateCall, done: (r: StateReply) => void): void;
   /** Whether hooks may change so many records now; counts them if so. `sinceMs`: since when it is asked. */
@@ -83,17 +88,17 @@
   /** Whether an attempt may go to the receiver, and that one does; `gone`: until it comes back. */
   breaker(url: string): Breaker;
   mayLaunch(): boolean;
-  launch(d: Delivery, l: Launch): number;
+  launch(d: Delivery, l: AttemptRequest): number;
   abort(attempt: number): void;
   /** The receiver wants no more. */
   ended(name: string): void;
   settled(
     name: string,
-    o: { outcome: "delivered" | "dead"; end: Ending; attempts: number },
+    o: { outcome: "delivered" | "dead"; end: JobEnd; attempts: number },
   ): void;
 }
 
-interface Entry extends Owed {
+interface Entry extends PendingDelivery {
   /** Attempts that the record says may have been made: `attempts` never exceeds it. */
   reserved: number;
   failures: number;
@@ -106,12 +111,12 @@
 /** Attempt numbers that are written down at once after the first: one change serves so many repeats. */
 const RESERVE = 8;
 /** Ends that wait in memory for a place in the window or the spool. */
-const FRESH_MOST = 300;
+const MAX_FRESH = 300;
 /** What is only to be forgotten waits this long for more. */
-const TIDY_MS = 1_000;
-const AGAIN_MS = 300;
+const CLEANUP_INTERVAL_MS = 1_000;
+const RETRY_MS = 300;
 /** A window of more could not be sent again within a moment by the next owner. */
-const WINDOW_MOST = 100;
+const MAX_WINDOW = 100;
 /** Batches of dead letters that one subscription may have; the oldest go. */
 const DEAD_BATCHES = 1_000;
 
@@ -126,19 +131,20 @@
  * with a number of attempts that covers it; so whoever reads the record next repeats nothing else.
  */
 export class Delivery {
-  private rec: Omit<AtRecord, "window">;
+  private record: Omit<ProgressRecord, "window">;
   private window: Entry[];
-  private fresh: Ended[] = [];
+  private fresh: FeedEntry[] = [];
   /** Up to here ends were taken to `fresh`; never before the record's cursor. */
-  private pos: Cursor;
+  private position: Cursor;
   /** The spool's first batch, as far as it is read. */
-  private front: { n: number; entries: Owed[] } | null = null;
+  private front: { n: number; entries: PendingDelivery[] } | null = null;
   private loaded = false;
   private busy = false;
   private reading = false;
   private againMs = -Infinity;
   private tidySinceMs: number | null = null;
-  private page: { items: Ended[]; after: string; last: boolean } | null = null;
+  private page: { items: FeedEntry[]; after: string; last: boolean } | null =
+    null;
   private stopped = false;
   /** When it last made use of the changes that hooks have. */
   wroteMs = -Infinity;
@@ -146,19 +152,19 @@
   foreign = false;
 
   constructor(
-    private readonly host: Host,
+    private readonly host: DeliveryHost,
     readonly name: string,
     readonly token: number,
     private readonly owner: Condition,
     /** The subscription as it is now; null: it was removed. */
-    private readonly sub: () => Subscription | null,
+    private readonly subscription: () => Subscription | null,
     private version: number,
-    at: AtRecord,
+    at: ProgressRecord,
     /** All of the lane is settled up to here, beside what the record names. */
     upto: number,
   ) {
     const { window, ...rec } = at;
-    this.rec = rec;
+    this.record = rec;
     // The former owner may have sent any of these, as often as it wrote down.
     this.window = window.map((o) => ({
       ...o,
@@ -169,11 +175,11 @@
       flying: null,
       over: null,
     }));
-    this.rec.cursor = later(at.cursor ?? { version, id: LAST_ID }, {
+    this.record.cursor = later(at.cursor ?? { version, id: LAST_ID }, {
       version: at.listing ? 0 : upto,
       id: LAST_ID,
     });
-    this.pos = this.rec.cursor;
+    this.position = this.record.cursor;
   }
 
   // ---- what others ask of it -----------------------------------------------------------------------------
@@ -190,10 +196,11 @@
   }
   /** Up to this revision all ends that this subscription is owed are in its records. */
   get settledTo(): number {
-    if (!this.loaded || this.rec.listing) return this.rec.cursor?.version ?? 0;
+    if (!this.loaded || this.record.listing)
+      return this.record.cursor?.version ?? 0;
     return this.fresh.length > 0
       ? this.fresh[0]!.at.version - 1
-      : this.pos.version - (this.pos.id === LAST_ID ? 0 : 1);
+      : this.position.version - (this.position.id === LAST_ID ? 0 : 1);
   }
   /** What waits, as far as it is counted; and when its oldest ended. */
   get behind(): {
@@ -210,9 +217,9 @@
       null;
     return {
       window: this.window.length,
-      batches: this.rec.spool.next - this.rec.spool.first,
+      batches: this.record.spool.next - this.record.spool.first,
       fresh: this.fresh.length,
-      dead: this.rec.dead.next - this.rec.dead.first,
+      dead: this.record.dead.next - this.record.dead.first,
       oldestAt: oldest,
     };
   }
@@ -232,7 +239,7 @@
   /** `sending`: new attempts may be made; not while the lane is being given up. */
   act(sending: boolean): void {
     if (this.stopped) return;
-    const sub = this.sub();
+    const sub = this.subscription();
     if (!this.loaded) return this.load();
     if (!sub) return this.clean();
     this.collect(sub);
@@ -252,7 +259,7 @@
   private load(): void {
     if (this.reading) return;
     this.reading = true;
-    const from = this.rec.spool.next;
+    const from = this.record.spool.next;
     this.host.state(
       {
         op: "list",
@@ -264,11 +271,12 @@
         if (this.stopped || r.is !== "items") return;
         for (const i of r.items) {
           const b = readBatch(i.value);
-          if (!b || batchNumber(i.key) !== this.rec.spool.next) continue;
-          this.rec.spool.next++;
-          if (b.to) this.rec.cursor = later(this.rec.cursor ?? NONE, b.to);
+          if (!b || batchNumber(i.key) !== this.record.spool.next) continue;
+          this.record.spool.next++;
+          if (b.to)
+            this.record.cursor = later(this.record.cursor ?? NONE, b.to);
         }
-        this.pos = later(this.pos, this.rec.cursor ?? NONE);
+        this.position = later(this.position, this.record.cursor ?? NONE);
         this.loaded = !r.more;
         this.act(false);
       },
@@ -277,7 +285,7 @@
 
   // ---- what is owed --------------------------------------------------------------------------------------
 
-  private wants(sub: Subscription, e: Ending): boolean {
+  private wants(sub: Subscription, e: JobEnd): boolean {
     if (sub.state === "ended" || e.outcome === "test") return false;
     return (
       (sub.teams === null || sub.teams.includes(e.team)) &&
@@ -287,39 +295,50 @@
   }
 
   private collect(sub: Subscription): void {
-    if (this.reading || this.fresh.length >= FRESH_MOST) return;
-    if (this.rec.listing) return this.list(sub);
-    const known = this.host.tail.since(this.pos);
-    if (known) return this.take(sub, known, this.host.tail.end);
+    if (this.reading || this.fresh.length >= MAX_FRESH) return;
+    if (this.record.listing) return this.list(sub);
+    const known = this.host.feed.since(this.position);
+    if (known) return this.take(sub, known, this.host.feed.end);
     if (this.busy || this.host.nowMs < this.againMs) return;
     // Behind what this controller has read: the state service's log goes further back.
     this.reading = true;
     const since =
-      this.pos.id === LAST_ID ? this.pos.version : this.pos.version - 1;
+      this.position.id === LAST_ID
+        ? this.position.version
+        : this.position.version - 1;
     this.host.state(
-      { op: "changes", prefix: PAST, since: Math.max(0, since), waitMs: 0 },
+      {
+        op: "changes",
+        prefix: FINAL_PREFIX,
+        since: Math.max(0, since),
+        waitMs: 0,
+      },
       (r) => {
         this.reading = false;
         if (this.stopped) return;
         if (r.is === "changes")
           this.take(
             sub,
-            endingsOf(r.changes).filter((e) => after(e.at, this.pos)),
+            jobEndsOf(r.changes).filter((e) => after(e.at, this.position)),
             r.epoch,
           );
         else if (r.is === "gone") this.startListing();
-        else this.againMs = this.host.nowMs + AGAIN_MS;
+        else this.againMs = this.host.nowMs + RETRY_MS;
       },
     );
   }
   /** As many as there is room for; the rest is read again. */
-  private take(sub: Subscription, ends: readonly Ended[], to: number): void {
+  private take(
+    sub: Subscription,
+    ends: readonly FeedEntry[],
+    to: number,
+  ): void {
     for (const e of ends) {
-      if (this.fresh.length >= FRESH_MOST) return;
+      if (this.fresh.length >= MAX_FRESH) return;
       if (this.wants(sub, e.end)) this.fresh.push(e);
-      this.pos = e.at;
+      this.position = e.at;
     }
-    this.pos = later(this.pos, { version: to, id: LAST_ID });
+    this.position = later(this.position, { version: to, id: LAST_ID });
   }
 
   /**
@@ -329,49 +348,55 @@
   private startListing(): void {
     this.host.log("webhook fell behind, reading all final records", {
       webhook: this.name,
-      sinceRevision: this.pos.version,
+      sinceRevision: this.position.version,
     });
     this.reading = true;
-    this.host.state({ op: "list", prefix: PAST, after: `${PAST}~` }, (r) => {
-      this.reading = false;
-      if (this.stopped || r.is !== "items" || this.busy) return;
-      // What is fresh is later than the cursor too, and found again.
-      this.fresh = [];
-      this.pos = this.rec.cursor ?? NONE;
-      this.commit(
-        { ...this.rec, listing: { to: r.epoch, after: "" } },
-        this.window,
-        [],
-        [],
-        () => {},
-      );
-    });
+    this.host.state(
+      { op: "list", prefix: FINAL_PREFIX, after: `${FINAL_PREFIX}~` },
+      (r) => {
+        this.reading = false;
+        if (this.stopped || r.is !== "items" || this.busy) return;
+        // What is fresh is later than the cursor too, and found again.
+        this.fresh = [];
+        this.position = this.record.cursor ?? NONE;
+        this.commit(
+          { ...this.record, listing: { to: r.epoch, after: "" } },
+          this.window,
+          [],
+          [],
+          () => {},
+        );
+      },
+    );
   }
   private list(sub: Subscription): void {
-    const at = this.rec.listing!;
+    const at = this.record.listing!;
     if (this.page) return;
     this.reading = true;
-    this.host.state({ op: "list", prefix: PAST, after: at.after }, (r) => {
-      this.reading = false;
-      if (this.stopped || r.is !== "items") return;
-      const found = r.items
-        .map((i: Item) => endingOf(i))
-        .filter((e) => e !== null);
-      const cursor = this.rec.cursor ?? NONE;
-      const items = found.filter(
-        (e) =>
-          after(e.at, cursor) &&
-          e.at.version <= at.to &&
-          this.wants(sub, e.end),
-      );
-      const last = r.items.at(-1);
-      this.page = { items, after: last?.key ?? at.after, last: !r.more };
-    });
+    this.host.state(
+      { op: "list", prefix: FINAL_PREFIX, after: at.after },
+      (r) => {
+        this.reading = false;
+        if (this.stopped || r.is !== "items") return;
+        const found = r.items
+          .map((i: Item) => jobEndOf(i))
+          .filter((e) => e !== null);
+        const cursor = this.record.cursor ?? NONE;
+        const items = found.filter(
+          (e) =>
+            after(e.at, cursor) &&
+            e.at.version <= at.to &&
+            this.wants(sub, e.end),
+        );
+        const last = r.items.at(-1);
+        this.page = { items, after: last?.key ?? at.after, last: !r.more };
+      },
+    );
   }
   /** Puts what a page of final records has into the spool, with how far the reading has come. */
   private spoolPage(): boolean {
     const page = this.page!;
-    const at = this.rec.listing!;
+    const at = this.record.listing!;
     const batch = this.packer(BATCH_HEAD);
     let n = 0;
     while (
@@ -383,21 +408,21 @@
     const done = rest.length === 0;
     if (n === 0 && !page.last) {
       // Nothing to write down: what was read is read again if this owner goes.
-      this.rec.listing = { to: at.to, after: page.after };
+      this.record.listing = { to: at.to, after: page.after };
       this.page = null;
       return false;
     }
     if (!this.host.mayWrite(n > 0 ? 2 : 1)) return false;
     const over = done && page.last;
-    const { spool } = this.rec;
+    const { spool } = this.record;
     const next = {
-      ...this.rec,
+      ...this.record,
       spool: { ...spool, next: spool.next + (n > 0 ? 1 : 0) },
       listing: over
         ? null
         : {
             to: at.to,
-            after: done ? page.after : PAST + page.items[n - 1]!.end.id,
+            after: done ? page.after : FINAL_PREFIX + page.items[n - 1]!.end.id,
           },
     };
     if (over) next.cursor = { version: at.to, id: LAST_ID };
@@ -408,7 +433,8 @@
       n > 0 ? [{ key, version: 0 }] : [],
       n > 0 ? [{ op: "put", key, value: writeBatch(batch, null) }] : [],
       () => {
-        if (over) this.pos = later(this.pos, { version: at.to, id: LAST_ID });
+        if (over)
+          this.position = later(this.position, { version: at.to, id: LAST_ID });
         if (done) this.page = null;
         else page.items = rest;
       },
@@ -423,7 +449,7 @@
   }
 
   private readFront(): void {
-    const { first } = this.rec.spool;
+    const { first } = this.record.spool;
     if (this.reading) return;
     this.reading = true;
     this.host.state({ op: "get", key: spoolKey(this.name, first) }, (r) => {
@@ -435,7 +461,7 @@
           webhook: this.name,
           batch: first,
         });
-      if (this.rec.spool.first === first)
+      if (this.record.spool.first === first)
         this.front = { n: first, entries: b?.entries ?? [] };
     });
   }
@@ -451,13 +477,13 @@
   }
 
   private write(sub: Subscription, active: boolean): void {
-    if (sub.redrives > this.rec.redrives && active) return this.redrive(sub);
+    if (sub.redrives > this.record.redrives && active) return this.redrive(sub);
     const { nowMs } = this.host;
-    const { spool } = this.rec;
+    const { spool } = this.record;
     const waiting = spool.first < spool.next;
     if (waiting && this.front?.n !== spool.first) this.readFront();
     if (
-      this.rec.listing &&
+      this.record.listing &&
       this.page &&
       spool.next - spool.first < this.host.limits.spoolBatches &&
       this.spoolPage()
@@ -466,29 +492,29 @@
 
     const open = active && this.host.breaker(sub.url).allows(nowMs);
     const kept = this.window.filter((e) => e.over === null);
-    const testing = active && sub.tests > this.rec.tests;
+    const testing = active && sub.tests > this.record.tests;
     const more =
       testing ||
       (waiting
         ? this.front?.n === spool.first
-        : this.fresh.length > 0 && !this.rec.listing);
+        : this.fresh.length > 0 && !this.record.listing);
     const reserve =
       open &&
       kept.some(
         (e) =>
           e.flying === null &&
           e.attempts >= e.reserved &&
-          e.notBeforeMs <= nowMs + TIDY_MS / 2,
+          e.notBeforeMs <= nowMs + CLEANUP_INTERVAL_MS / 2,
       );
-    const pull = open && more && kept.length < WINDOW_MOST;
+    const pull = open && more && kept.length < MAX_WINDOW;
     const tidy =
       this.tidySinceMs !== null &&
-      (nowMs - this.tidySinceMs >= TIDY_MS || kept.length === 0);
+      (nowMs - this.tidySinceMs >= CLEANUP_INTERVAL_MS || kept.length === 0);
     if ((reserve || pull || tidy) && this.writeWindow(kept, pull, testing))
       return;
     // A full batch can't go into the window: it goes into the spool, in a change of its own.
     if (
-      !this.rec.listing &&
+      !this.record.listing &&
       spool.next - spool.first < this.host.limits.spoolBatches &&
       (waiting || !pull)
     )
@@ -518,9 +544,9 @@
       packer.add({ end: e.end, attempts: next });
     }
     const fresh: Entry[] = [];
-    const add = (o: Owed): boolean => {
+    const add = (o: PendingDelivery): boolean => {
       if (
-        kept.length + fresh.length >= WINDOW_MOST ||
+        kept.length + fresh.length >= MAX_WINDOW ||
         !packer.add({ end: o.end, attempts: o.attempts + 1 })
       )
         return false;
@@ -537,15 +563,15 @@
       return true;
     };
     const next = {
-      ...this.rec,
-      spool: { ...this.rec.spool },
-      dead: { ...this.rec.dead },
+      ...this.record,
+      spool: { ...this.record.spool },
+      dead: { ...this.record.dead },
     };
     const writes: Write[] = [];
     let taken = 0;
-    let cursor = this.rec.cursor;
+    let cursor = this.record.cursor;
     if (pull) {
-      const test = this.rec.tests + 1;
+      const test = this.record.tests + 1;
       if (
         testing &&
         add({
@@ -583,14 +609,14 @@
             };
           }
         }
-      } else if (!this.rec.listing) {
+      } else if (!this.record.listing) {
         while (
           taken < this.fresh.length &&
           add({ end: this.fresh[taken]!.end, attempts: 0 })
         )
           cursor = this.fresh[taken++]!.at;
         if (taken === this.fresh.length)
-          cursor = later(cursor ?? NONE, this.pos);
+          cursor = later(cursor ?? NONE, this.position);
       }
     }
     next.cursor = cursor;
@@ -641,26 +667,26 @@
     // Fewer than fill it wait for more, unless they keep the lane from saying how far it is settled.
     const old =
       this.fresh.length > 0 &&
-      this.host.tail.end - this.fresh[0]!.at.version >
+      this.host.feed.end - this.fresh[0]!.at.version >
         this.host.limits.settleEvery;
     if (
       n === 0 ||
-      (n === this.fresh.length && n < FRESH_MOST && !old) ||
+      (n === this.fresh.length && n < MAX_FRESH && !old) ||
       !this.host.mayWrite(1)
     )
       return;
     const to = this.fresh[n - 1]!.at;
-    const key = spoolKey(this.name, this.rec.spool.next);
+    const key = spoolKey(this.name, this.record.spool.next);
     const done = (): void => {
       this.fresh.splice(0, n);
-      this.rec.spool.next++;
-      this.rec.cursor = to;
+      this.record.spool.next++;
+      this.record.cursor = to;
     };
     // On the record's condition, for taking from the batch changes it: a copy of this commit that is carried out later, when the batch
     // is gone again, would leave it behind for ever. Without a change of the record: whoever comes next finds the batches beyond those that the record names, and each says how far it goes.
     const conditions = [
       this.owner,
-      { key: atKey(this.name), version: this.version },
+      { key: progressKey(this.name), version: this.version },
       { key, version: 0 },
     ];
     this.perform(
@@ -677,11 +703,11 @@
 
   /** Dead letters go to the end of the spool, a batch at a time, with their horizon anew. */
   private redrive(sub: Subscription): void {
-    const { dead, spool } = this.rec;
+    const { dead, spool } = this.record;
     if (dead.first >= dead.next) {
       if (this.host.mayWrite(1))
         this.commit(
-          { ...this.rec, redrives: sub.redrives },
+          { ...this.record, redrives: sub.redrives },
           this.window,
           [],
           [],
@@ -710,7 +736,7 @@
         });
       const key = spoolKey(this.name, spool.next);
       const next = {
-        ...this.rec,
+        ...this.record,
         dead: { ...dead, first: dead.first + 1 },
         spool: { ...spool, next: spool.next + 1 },
       };
@@ -739,18 +765,18 @@
           { op: "list", prefix: deadPrefix(this.name), after: "" },
           (b) => {
             this.reading = false;
-            this.againMs = this.host.nowMs + AGAIN_MS;
+            this.againMs = this.host.nowMs + RETRY_MS;
             if (
               this.stopped ||
               a.is !== "items" ||
               b.is !== "items" ||
-              this.sub()
+              this.subscription()
             )
               return;
             const keys = [...a.items, ...b.items].map((i) => i.key);
             const some =
               keys.length === 0
-                ? [atKey(this.name)]
+                ? [progressKey(this.name)]
                 : keys.slice(0, this.host.limits.txnOps);
             if (!this.host.mayWrite(some.length)) return;
             this.host.state(
@@ -758,7 +784,7 @@
                 op: "commit",
                 conditions: [
                   this.owner,
-                  { key: atKey(this.name), version: this.version },
+                  { key: progressKey(this.name), version: this.version },
                 ],
                 writes: some.map((key) => ({ op: "delete", key })),
               },
@@ -771,7 +797,7 @@
 
   /** Writes the record, and what goes with it; again until it is known to be carried out. */
   private commit(
-    next: Omit<AtRecord, "window">,
+    next: Omit<ProgressRecord, "window">,
     window: Packer | readonly Entry[],
     conditions: Condition[],
     writes: Write[],
@@ -783,25 +809,28 @@
       packed = this.packer(AT_HEAD);
       for (const e of window) packed.add({ end: e.end, attempts: e.reserved });
     }
-    const key = atKey(this.name);
+    const key = progressKey(this.name);
     const rec = {
       ...next,
-      seq: this.rec.token === this.token ? this.rec.seq + 1 : 1,
+      seq: this.record.token === this.token ? this.record.seq + 1 : 1,
       token: this.token,
     };
     const call: StateCall = {
       op: "commit",
       // Invariant (one sender): conditional on the lane's token, as every commit of a master is on its group's.
       conditions: [this.owner, { key, version: this.version }, ...conditions],
-      writes: [{ op: "put", key, value: writeAt(rec, packed) }, ...writes],
+      writes: [
+        { op: "put", key, value: writeProgress(rec, packed) },
+        ...writes,
+      ],
     };
     const done = (version: number): void => {
       this.version = version;
-      this.rec = rec;
+      this.record = rec;
       ok();
     };
     const mine = (item: Item | null): boolean => {
-      const at = item && readAt(item.value);
+      const at = item && readProgress(item.value);
       return at?.seq === rec.seq && at.token === rec.token;
     };
     this.perform(call, key, mine, done);
@@ -828,7 +857,7 @@
     send();
   }
   private again(send: () => void): void {
-    const untilMs = this.host.nowMs + AGAIN_MS;
+    const untilMs = this.host.nowMs + RETRY_MS;
     this.retry = { untilMs, send };
   }
   private retry: { untilMs: number; send: () => void } | null = null;
@@ -906,9 +935,9 @@
   }
 
   /** An attempt is over. */
-  attempted(attempt: number, r: Attempted): void {
+  attempted(attempt: number, r: AttemptResult): void {
     const e = this.window.find((x) => x.flying === attempt);
-    const sub = this.sub();
+    const sub = this.subscription();
     if (!e) return;
     e.flying = null;
     if (!sub || this.stopped) return;
--- a/src/hooks/http.ts
+++ b/src/hooks/http.ts
@@ -1,17 +1,20 @@
 import { Hono, type MiddlewareHandler } from "hono";
-import { json } from "../transport/client.js";
-import type { HookRequest } from "./requests.js";
+import { parseJson } from "../transport/client.js";
+import type { WebhookRequest } from "./requests.js";
 
-type AskHooks = (
-  request: HookRequest,
+type AskWebhooks = (
+  request: WebhookRequest,
 ) => Promise<{ status: number; body: object }>;
 
 const ACTS = ["pause", "resume", "test", "redrive"] as const;
 
 /** `/v1/hooks`. A body that is no JSON is refused before anything is read. */
-export function hookRoutes(ask: AskHooks, limit: MiddlewareHandler): Hono {
+export function webhookRoutes(
+  ask: AskWebhooks,
+  limit: MiddlewareHandler,
+): Hono {
   const app = new Hono();
-  const answer = async (request: HookRequest): Promise<Response> => {
+  const answer = async (request: WebhookRequest): Promise<Response> => {
     const r = await ask(request);
     return Response.json(r.body, {
       status: r.status,
@@ -20,9 +23,9 @@
   };
   const withBody = async (
     text: string,
-    make: (body: unknown) => HookRequest,
+    make: (body: unknown) => WebhookRequest,
   ): Promise<Response> => {
-    const body = json(text);
+    const body = parseJson(text);
     return body === undefined
       ? Response.json({ error: "body: not JSON" }, { status: 400 })
       : answer(make(body));
--- a/src/hooks/index.ts
+++ b/src/hooks/index.ts
@@ -7,19 +7,19 @@
 import type { Effect } from "../coordination/effects.js";
 import type { LogEntry } from "../logging/events.js";
 import type { StateCall, StateReply } from "../protocol/state.js";
-import { HookCore, type HookEffect, type HookInput } from "./core.js";
-import { hookRoutes } from "./http.js";
-import { Sender } from "./sender.js";
-import { hookLimits, senderSettings } from "./settings.js";
-import type { HookRequest } from "./requests.js";
+import { WebhookCore, type WebhookEffect, type WebhookInput } from "./core.js";
+import { webhookRoutes } from "./http.js";
+import { WebhookSender } from "./sender.js";
+import { webhookLimits, senderSettings } from "./settings.js";
+import type { WebhookRequest } from "./requests.js";
 
-export { checkHooks } from "./settings.js";
+export { checkWebhookSettings } from "./settings.js";
 
 /** What hooks need of the process that they run in. */
-interface HookHost {
+interface WebhookHost {
   /** A call to the state service, within this controller's limits. */
   state(call: StateCall, urgent: number): Promise<StateReply>;
-  permit(): { hold: number | null; untilMs: number };
+  leadershipLease(): { hold: number | null; untilMs: number };
   log(entry: LogEntry): void;
   /** For metrics. */
   settled(outcome: "delivered" | "dead", tookMs: number): void;
@@ -29,9 +29,9 @@
 const ASKED_MS = 5_000;
 
 /** Runs the core of hooks: its calls, attempts and questions. */
-export class Hooks {
-  private readonly core: HookCore;
-  private readonly sender: Sender;
+export class Webhooks {
+  private readonly core: WebhookCore;
+  private readonly sender: WebhookSender;
   private readonly asked = new Map<
     number,
     (r: { status: number; body: object }) => void
@@ -44,14 +44,14 @@
     platform: Settings,
     file: string,
     agent: string,
-    private readonly host: HookHost,
+    private readonly host: WebhookHost,
   ) {
     const sending = senderSettings(settings, file, agent);
-    this.sender = new Sender(sending);
+    this.sender = new WebhookSender(sending);
     const rng = xoroshiro128plus((Date.now() ^ (process.pid << 16)) | 0);
-    this.core = new HookCore(
+    this.core = new WebhookCore(
       platform.label,
-      hookLimits(settings, platform),
+      webhookLimits(settings, platform),
       () => uniformFloat64(rng),
       new Set(sending.keys.keys()),
       (url) => this.sender.refuses(url),
@@ -59,20 +59,27 @@
   }
 
   /** What the scheduler's core read of the state service. */
-  seen(e: Extract<Effect, { do: "seen" }>): void {
-    this.feed({ is: "seen", from: e.from, to: e.to, changes: e.changes });
+  onStoreChanges(e: Extract<Effect, { type: "storeChanges" }>): void {
+    this.feed({
+      type: "storeChanges",
+      from: e.from,
+      to: e.to,
+      changes: e.changes,
+    });
   }
   tick(): void {
-    this.feed({ is: "permit", ...this.host.permit() });
+    this.feed({ type: "permit", ...this.host.leadershipLease() });
   }
   routes(limit: MiddlewareHandler): Hono {
-    return hookRoutes((r) => this.ask(r), limit);
+    return webhookRoutes((r) => this.ask(r), limit);
   }
-  get figures(): HookCore["figures"] {
+  get figures(): WebhookCore["figures"] {
     return this.core.figures;
   }
 
-  private ask(request: HookRequest): Promise<{ status: number; body: object }> {
+  private ask(
+    request: WebhookRequest,
+  ): Promise<{ status: number; body: object }> {
     return new Promise((resolve) => {
       const req = ++this.requests;
       const end = (r: { status: number; body: object }): void => {
@@ -89,34 +96,36 @@
         ASKED_MS,
       );
       this.asked.set(req, end);
-      this.feed({ is: "request", req, request });
+      this.feed({ type: "request", req, request });
     });
   }
 
-  private feed(input: HookInput): void {
+  private feed(input: WebhookInput): void {
     for (const e of this.core.step(input, performance.now(), Date.now()))
       this.carryOut(e);
   }
-  private carryOut(e: HookEffect): void {
-    switch (e.do) {
+  private carryOut(e: WebhookEffect): void {
+    switch (e.type) {
       case "state":
         void this.host
           .state(e.call, e.urgent)
-          .then((reply) => this.feed({ is: "state", op: e.op, reply }));
+          .then((reply) => this.feed({ type: "state", op: e.op, reply }));
         break;
       case "attempt": {
         const sentMs = performance.now();
-        void this.sender.attempt(e.attempt, e.hook, e.launch).then((result) => {
-          this.host.attempted(
-            result.is === "failed"
-              ? result.why
-              : result.is === "answered"
-                ? `${Math.floor(result.status / 100)}xx`
-                : result.is,
-            performance.now() - sentMs,
-          );
-          this.feed({ is: "attempted", attempt: e.attempt, result });
-        });
+        void this.sender
+          .attempt(e.attempt, e.webhook, e.launch)
+          .then((result) => {
+            this.host.attempted(
+              result.is === "failed"
+                ? result.why
+                : result.is === "answered"
+                  ? `${Math.floor(result.status / 100)}xx`
+                  : result.is,
+              performance.now() - sentMs,
+            );
+            this.feed({ type: "attempted", attempt: e.attempt, result });
+          });
         break;
       }
       case "abort":
--- a/src/hooks/lanes.ts
+++ b/src/hooks/lanes.ts
@@ -1,6 +1,6 @@
 import { sha256 } from "@noble/hashes/sha2.js";
 import { utf8ToBytes } from "@noble/hashes/utils.js";
-import { LANES } from "./records.js";
+import { LANE_COUNT } from "./records.js";
 
 const number = (text: string): number => {
   const d = sha256(utf8ToBytes(text));
@@ -8,7 +8,8 @@
 };
 
 /** The lane of a subscription. */
-export const laneOf = (name: string): number => number(`sub ${name}`) % LANES;
+export const laneOf = (name: string): number =>
+  number(`sub ${name}`) % LANE_COUNT;
 
 const weights = new Map<string, number>();
 function weight(lane: number, label: string): number {
@@ -18,7 +19,7 @@
   return w;
 }
 /** Rendezvous hashing: whose the lane is among those present. When one goes, only its own lanes move. */
-export function chosen(
+export function chosenController(
   lane: number,
   present: readonly string[],
 ): string | null {
--- a/src/hooks/networks.ts
+++ b/src/hooks/networks.ts
@@ -21,7 +21,7 @@
  * Where hooks may connect. Public unicast addresses are allowed unless only listed ones are; loopback, link-local, private, and
  * whatever else is special (also where an IPv4 address is hidden in an IPv6 one) only if listed.
  */
-export class Networks {
+export class AllowedNetworks {
   private readonly listed: Network[];
 
   constructor(
@@ -60,7 +60,7 @@
         );
         if (good.length === 0)
           return callback(
-            new Blocked(
+            new BlockedAddressError(
               `${host} resolves to ${found.map((f) => f.address).join(", ") || "nothing"}`,
             ),
             "",
@@ -77,6 +77,6 @@
 }
 
 /** Not a network that hooks may connect to. */
-export class Blocked extends Error {
+export class BlockedAddressError extends Error {
   readonly code = "BLOCKED";
 }
--- a/src/hooks/records.ts
+++ b/src/hooks/records.ts
@@ -11,14 +11,16 @@
  * - `now/upto`      by lane: up to this revision nothing is owed that the other records don't name
  * - `spool/NAME/N`  batches of notifications that wait, `dead/NAME/N` of those given up
  */
-export const HOOKS = "lc/hook/";
-export const HOOKS_NOW = "lc/hook/now/";
-export const SUBS = "lc/hook/now/sub/";
-export const UPTO_KEY = "lc/hook/now/upto";
-export const subKey = (name: string): string => `${SUBS}${name}`;
-export const atKey = (name: string): string => `lc/hook/now/at/${name}`;
-export const ownKey = (lane: number): string => `lc/hook/now/own/${lane}`;
-export const hereKey = (label: string): string => `lc/hook/now/here/${label}`;
+export const WEBHOOKS_PREFIX = "lc/hook/";
+export const WEBHOOKS_LIVE_PREFIX = "lc/hook/now/";
+export const SUBSCRIPTIONS_PREFIX = "lc/hook/now/sub/";
+export const SETTLED_UP_TO_KEY = "lc/hook/now/upto";
+export const subscriptionKey = (name: string): string =>
+  `${SUBSCRIPTIONS_PREFIX}${name}`;
+export const progressKey = (name: string): string => `lc/hook/now/at/${name}`;
+export const laneOwnerKey = (lane: number): string => `lc/hook/now/own/${lane}`;
+export const presenceKey = (label: string): string =>
+  `lc/hook/now/here/${label}`;
 export const spoolPrefix = (name: string): string => `lc/hook/spool/${name}/`;
 export const deadPrefix = (name: string): string => `lc/hook/dead/${name}/`;
 /** Batches sort by their number. */
@@ -31,13 +33,13 @@
   Number(key.slice(key.lastIndexOf("/") + 1));
 
 /** The number of lanes: a subscription's name decides its lane, the same on every controller and for ever. */
-export const LANES = 16;
+export const LANE_COUNT = 16;
 
 export const OUTCOMES = ["done", "cancelled"] as const;
 export type Outcome = (typeof OUTCOMES)[number];
 
 /** One end of a job, as its final record tells it; `test`: asked for by an operator, no job. */
-export interface Ending {
+export interface JobEnd {
   id: string;
   outcome: Outcome | "test";
   tasks: number;
@@ -61,7 +63,7 @@
   a.version > b.version || (a.version === b.version && a.id > b.id);
 export const later = (a: Cursor, b: Cursor): Cursor => (after(a, b) ? a : b);
 
-export type SubState = "active" | "paused" | "ended";
+export type SubscriptionState = "active" | "paused" | "ended";
 export interface Subscription {
   url: string;
   /** null: every one. */
@@ -74,7 +76,7 @@
   ordered: boolean;
   /** Ask the receiver before a repeat that it may have received. */
   ask: boolean;
-  state: SubState;
+  state: SubscriptionState;
   /** How often dead letters were asked to be sent again, and test notifications asked for. */
   redrives: number;
   tests: number;
@@ -128,18 +130,18 @@
 const Upto = v.record(v.string(), v.number());
 
 /** An end with the number of attempts that may have been made. */
-export interface Owed {
-  end: Ending;
+export interface PendingDelivery {
+  end: JobEnd;
   attempts: number;
 }
-export interface AtRecord {
+export interface ProgressRecord {
   /** Counts the writes of this record under one token: so a write without an answer is known again. */
   seq: number;
   token: number;
   /** Everything up to here is in the window, in the spool, or settled; null: up to this record's own revision. */
   cursor: Cursor | null;
   /** What may have been sent and is not known to have arrived. */
-  window: Owed[];
+  window: PendingDelivery[];
   /** First batch of the spool, how many of its entries were taken, and the number of the next one (or a later one). */
   spool: { first: number; taken: number; next: number };
   /** First batch of dead letters and the number of the next one. */
@@ -151,10 +153,10 @@
 }
 export interface Batch {
   to: Cursor | null;
-  entries: Owed[];
+  entries: PendingDelivery[];
 }
 
-export function readSub(value: unknown): Subscription | null {
+export function readSubscription(value: unknown): Subscription | null {
   const o = read(Sub, value);
   return (
     o && {
@@ -171,7 +173,7 @@
     }
   );
 }
-export const writeSub = (s: Subscription): object => ({
+export const writeSubscription = (s: Subscription): object => ({
   u: s.url,
   t: s.teams,
   c: s.classes,
@@ -216,7 +218,7 @@
     return this.names.length - 1;
   }
   /** False: it does not fit, nothing changed. */
-  add(o: Owed): boolean {
+  add(o: PendingDelivery): boolean {
     const before = this.names.length;
     const e = o.end;
     const packed: PackedEntry = [
@@ -248,7 +250,7 @@
     return true;
   }
 }
-const unpack = (nm: readonly string[], e: PackedEntry): Owed => ({
+const unpack = (nm: readonly string[], e: PackedEntry): PendingDelivery => ({
   end: {
     id: e[0],
     outcome: CODES[e[1]],
@@ -266,7 +268,7 @@
 export const AT_HEAD = 420;
 export const BATCH_HEAD = 120;
 
-export function readAt(value: unknown): AtRecord | null {
+export function readProgress(value: unknown): ProgressRecord | null {
   const o = read(At, value);
   return (
     o && {
@@ -283,8 +285,8 @@
   );
 }
 /** `window` holds the record's window already packed. */
-export const writeAt = (
-  a: Omit<AtRecord, "window">,
+export const writeProgress = (
+  a: Omit<ProgressRecord, "window">,
   window: Packer,
 ): object => ({
   q: a.seq,
@@ -299,8 +301,8 @@
   ...(a.listing ? { ls: [a.listing.to, a.listing.after] } : {}),
 });
 /** The state of a subscription that was just made. */
-export const newAt = (): object =>
-  writeAt(
+export const newProgress = (): object =>
+  writeProgress(
     {
       seq: 0,
       token: 0,
@@ -329,10 +331,10 @@
   e: p.entries,
 });
 
-export const readOwn = (
+export const readLaneOwner = (
   value: unknown,
 ): { owner: string; hold: number } | null => read(Own, value);
-export const readHere = (value: unknown): { hold: number } | null =>
+export const readPresence = (value: unknown): { hold: number } | null =>
   read(Here, value);
-export const readUpto = (value: unknown): Record<string, number> =>
+export const readSettledUpTo = (value: unknown): Record<string, number> =>
   read(Upto, value) ?? {};
--- a/src/hooks/requests.ts
+++ b/src/hooks/requests.ts
@@ -2,20 +2,20 @@
 import { firstIssue } from "../protocol/jobs.js";
 import type { StateCall, StateReply } from "../protocol/state.js";
 import {
-  atKey,
+  progressKey,
   deadPrefix,
-  newAt,
+  newProgress,
   OUTCOMES,
   readBatch,
-  readSub,
-  subKey,
-  SUBS,
+  readSubscription,
+  subscriptionKey,
+  SUBSCRIPTIONS_PREFIX,
   type Subscription,
-  writeSub,
+  writeSubscription,
 } from "./records.js";
 
 /** What users ask of hooks, over HTTP or the command line. */
-export type HookRequest =
+export type WebhookRequest =
   | { is: "list" }
   | { is: "show"; name: string }
   | { is: "add"; body: unknown }
@@ -24,7 +24,7 @@
   | { is: "remove"; name: string }
   | { is: "dead"; name: string; after: string };
 
-const HOOK_NAME = /^[a-z0-9][a-z0-9-]{0,39}$/;
+const WEBHOOK_NAME = /^[a-z0-9][a-z0-9-]{0,39}$/;
 const TRIES = 4;
 /** A record of a subscription stays within the smallest values. */
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
@@ -50,7 +50,7 @@
 const Add = v.strictObject({
   name: v.pipe(
     v.string(),
-    v.regex(HOOK_NAME, "small letters, digits and dashes, at most 40"),
+    v.regex(WEBHOOK_NAME, "small letters, digits and dashes, at most 40"),
   ),
   ...fields,
   crews: v.optional(fields.crews, null),
@@ -76,7 +76,7 @@
 const busy = { error: "state service does not answer" };
 
 /** Each is one or a few reads and one conditional commit; what can't be done changes nothing. */
-export class Requests {
+export class SubscriptionRequests {
   constructor(
     private readonly state: (
       call: StateCall,
@@ -93,7 +93,7 @@
     private readonly most: number,
   ) {}
 
-  take(req: number, r: HookRequest): void {
+  take(req: number, r: WebhookRequest): void {
     const reply: Reply = (status, body) => this.answer(req, status, body);
     switch (r.is) {
       case "list":
@@ -151,11 +151,11 @@
     after = "",
     so: Map<string, Subscription> = new Map(),
   ): void {
-    this.state({ op: "list", prefix: SUBS, after }, (r) => {
+    this.state({ op: "list", prefix: SUBSCRIPTIONS_PREFIX, after }, (r) => {
       if (r.is !== "items") return done(null);
       for (const i of r.items) {
-        const s = readSub(i.value);
-        if (s) so.set(i.key.slice(SUBS.length), s);
+        const s = readSubscription(i.value);
+        if (s) so.set(i.key.slice(SUBSCRIPTIONS_PREFIX.length), s);
       }
       const last = r.items.at(-1);
       if (r.more && last) this.list(done, last.key, so);
@@ -167,9 +167,9 @@
     reply: Reply,
     then: (s: Subscription, version: number) => void,
   ): void {
-    this.state({ op: "get", key: subKey(name) }, (r) => {
+    this.state({ op: "get", key: subscriptionKey(name) }, (r) => {
       if (r.is !== "item") return reply(503, busy);
-      const s = r.item ? readSub(r.item.value) : null;
+      const s = r.item ? readSubscription(r.item.value) : null;
       if (!s || !r.item) return reply(404, { error: "no such hook" });
       then(s, r.item.version);
     });
@@ -212,14 +212,14 @@
         redrives: 0,
         tests: 0,
       };
-      const keys = [subKey(f.name), atKey(f.name)];
+      const keys = [subscriptionKey(f.name), progressKey(f.name)];
       this.state(
         {
           op: "commit",
           conditions: keys.map((key) => ({ key, version: 0 })),
           writes: [
-            { op: "put", key: keys[0]!, value: writeSub(sub) },
-            { op: "put", key: keys[1]!, value: newAt() },
+            { op: "put", key: keys[0]!, value: writeSubscription(sub) },
+            { op: "put", key: keys[1]!, value: newProgress() },
           ],
         },
         (r) => {
@@ -265,8 +265,14 @@
       this.state(
         {
           op: "commit",
-          conditions: [{ key: subKey(name), version }],
-          writes: [{ op: "put", key: subKey(name), value: writeSub(next) }],
+          conditions: [{ key: subscriptionKey(name), version }],
+          writes: [
+            {
+              op: "put",
+              key: subscriptionKey(name),
+              value: writeSubscription(next),
+            },
+          ],
         },
         (r) => {
           if (r.is === "committed") reply(200, shown(name, next));
@@ -283,8 +289,8 @@
       this.state(
         {
           op: "commit",
-          conditions: [{ key: subKey(name), version }],
-          writes: [{ op: "delete", key: subKey(name) }],
+          conditions: [{ key: subscriptionKey(name), version }],
+          writes: [{ op: "delete", key: subscriptionKey(name) }],
         },
         (r) => {
           if (r.is === "committed") reply(200, { name, removed: true });
--- a/src/hooks/sender.ts
+++ b/src/hooks/sender.ts
@@ -2,12 +2,12 @@
 import https from "node:https";
 import { isIP } from "node:net";
 import { rootCertificates } from "node:tls";
-import type { Attempted, Launch } from "./delivery.js";
-import { Blocked, type Networks } from "./networks.js";
+import type { AttemptResult, AttemptRequest } from "./delivery.js";
+import { BlockedAddressError, type AllowedNetworks } from "./networks.js";
 import { messageBody, signature, webhookId } from "./signing.js";
 
 export interface SenderSettings {
-  networks: Networks;
+  networks: AllowedNetworks;
   /** By id. */
   keys: ReadonlyMap<string, Uint8Array>;
   allowHttp: boolean;
@@ -33,9 +33,12 @@
     : null;
 }
 
-function whyNot(e: NodeJS.ErrnoException, connected: boolean): Attempted {
+function failureReason(
+  e: NodeJS.ErrnoException,
+  connected: boolean,
+): AttemptResult {
   const code = e.code ?? "";
-  if (e instanceof Blocked) return { is: "failed", why: "blocked" };
+  if (e instanceof BlockedAddressError) return { is: "failed", why: "blocked" };
   if (
     /CERT|SSL|TLS|ALTNAME|SELF_SIGNED|ERR_TLS|UNABLE_TO_(GET|VERIFY)/.test(code)
   )
@@ -46,7 +49,7 @@
 }
 
 /** Makes attempts: one HTTP request each, within bounds, to an address that was checked. */
-export class Sender {
+export class WebhookSender {
   private readonly plain: http.Agent;
   private readonly secure: https.Agent;
   private readonly flights = new Map<number, () => void>();
@@ -86,7 +89,11 @@
     return null;
   }
 
-  async attempt(attempt: number, hook: string, l: Launch): Promise<Attempted> {
+  async attempt(
+    attempt: number,
+    webhook: string,
+    l: AttemptRequest,
+  ): Promise<AttemptResult> {
     const why = this.refuses(l.sub.url);
     if (why !== null) return { is: "failed", why: "blocked" };
     const keys = l.sub.keys
@@ -99,7 +106,7 @@
         attempt,
         "GET",
         l.sub.url,
-        this.headers(hook, l, keys, ""),
+        this.headers(webhook, l, keys, ""),
         null,
         endsMs,
       );
@@ -114,7 +121,7 @@
       "POST",
       l.sub.url,
       {
-        ...this.headers(hook, l, keys, body),
+        ...this.headers(webhook, l, keys, body),
         "content-type": "application/json",
         "content-length": Buffer.byteLength(body),
       },
@@ -124,12 +131,12 @@
   }
 
   private headers(
-    hook: string,
-    l: Launch,
+    webhook: string,
+    l: AttemptRequest,
     keys: readonly Uint8Array[],
     body: string,
   ): http.OutgoingHttpHeaders {
-    const id = webhookId(hook, l.end);
+    const id = webhookId(webhook, l.end);
     const now = Math.floor(Date.now() / 1000);
     return {
       "user-agent": this.s.agent,
@@ -150,12 +157,12 @@
     headers: http.OutgoingHttpHeaders,
     body: string | null,
     endsMs: number,
-  ): Promise<Attempted> {
+  ): Promise<AttemptResult> {
     return new Promise((resolve) => {
       const secure = url.startsWith("https:");
       let connected = false;
       let over = false;
-      const end = (r: Attempted): void => {
+      const end = (r: AttemptResult): void => {
         if (over) return;
         over = true;
         clearTimeout(timer);
@@ -208,7 +215,7 @@
             end({ is: "failed", why: "blocked" });
         });
       });
-      req.on("error", (e) => end(whyNot(e, connected)));
+      req.on("error", (e) => end(failureReason(e, connected)));
       req.end(body ?? undefined);
     });
   }
--- a/src/hooks/settings.ts
+++ b/src/hooks/settings.ts
@@ -1,8 +1,8 @@
 import { readFileSync } from "node:fs";
 import type { HooksFile } from "../config/operator.js";
 import { type Settings, SettingsError } from "../config/settings.js";
-import type { HookLimits } from "./core.js";
-import { Networks, parseNetwork } from "./networks.js";
+import type { WebhookLimits } from "./core.js";
+import { AllowedNetworks, parseNetwork } from "./networks.js";
 import { parseSecret } from "./signing.js";
 import type { SenderSettings } from "./sender.js";
 
@@ -43,7 +43,7 @@
 }
 
 /** What can be said of the file without starting anything. */
-export function checkHooks(s: HooksFile, file: string): void {
+export function checkWebhookSettings(s: HooksFile, file: string): void {
   s.allow.forEach((text, i) => {
     try {
       parseNetwork(text);
@@ -57,7 +57,7 @@
 }
 
 /** A part of this controller's changes, for hooks to use up; users, holds and masters have the rest. */
-export function hookLimits(s: HooksFile, p: Settings): HookLimits {
+export function webhookLimits(s: HooksFile, p: Settings): WebhookLimits {
   const nodes = p.peers.length + 1;
   const changesPerS = (p.state.writeRps / nodes) * s.changesShare;
   return {
@@ -98,7 +98,7 @@
     }
   }
   return {
-    networks: new Networks(s.allow, s.onlyListed),
+    networks: new AllowedNetworks(s.allow, s.onlyListed),
     keys: readKeys(s, file),
     allowHttp: s.allowHttp,
     deadlineMs: s.deadlineS * 1000,
--- a/src/hooks/signing.ts
+++ b/src/hooks/signing.ts
@@ -1,7 +1,7 @@
 import { hmac } from "@noble/hashes/hmac.js";
 import { sha256 } from "@noble/hashes/sha2.js";
 import { utf8ToBytes } from "@noble/hashes/utils.js";
-import type { Ending } from "./records.js";
+import type { JobEnd } from "./records.js";
 
 /**
  * A secret in the form of Standard Webhooks: base64 of 24 to 64 bytes, `whsec_` before it or not. Throws a plain sentence that
@@ -26,11 +26,11 @@
   `v1,${Buffer.from(hmac(sha256, key, utf8ToBytes(`${id}.${timestampS}.${body}`))).toString("base64")}`;
 
 /** The same for all attempts, and for no other notification. */
-export const webhookId = (hook: string, end: Pick<Ending, "id">): string =>
-  `${hook}.${end.id}`;
+export const webhookId = (webhook: string, end: Pick<JobEnd, "id">): string =>
+  `${webhook}.${end.id}`;
 
 /** The body of a notification; the same for all attempts. */
-export function messageBody(end: Ending): string {
+export function messageBody(end: JobEnd): string {
   const timestamp = new Date(end.at).toISOString();
   if (end.outcome === "test")
     return JSON.stringify({ type: "hook.test", timestamp, data: {} });
--- a/src/hooks/tail.ts
+++ b/src/hooks/tail.ts
@@ -1,20 +1,20 @@
-import { readPast, PAST } from "../storage/records.js";
+import { readFinal, FINAL_PREFIX } from "../storage/records.js";
 import type { Change, Item } from "../protocol/state.js";
-import { after, type Cursor, type Ending } from "./records.js";
+import { after, type Cursor, type JobEnd } from "./records.js";
 
-export interface Ended {
+export interface FeedEntry {
   at: Cursor;
-  end: Ending;
+  end: JobEnd;
 }
 
 /** What a final record says; null if it is none, or was written by a controller without hooks, which does not say whose job it was. */
-export function endingOf(
+export function jobEndOf(
   item: Pick<Item, "key" | "value" | "version">,
-): Ended | null {
-  if (!item.key.startsWith(PAST)) return null;
-  const p = readPast(item.value);
+): FeedEntry | null {
+  if (!item.key.startsWith(FINAL_PREFIX)) return null;
+  const p = readFinal(item.value);
   if (!p?.end) return null;
-  const id = item.key.slice(PAST.length);
+  const id = item.key.slice(FINAL_PREFIX.length);
   return {
     at: { version: item.version, id },
     end: {
@@ -30,10 +30,10 @@
   };
 }
 /** The ends among changes, in their order. */
-export function endingsOf(changes: readonly Change[]): Ended[] {
-  const out: Ended[] = [];
+export function jobEndsOf(changes: readonly Change[]): FeedEntry[] {
+  const out: FeedEntry[] = [];
   for (const c of changes) {
-    const e = c.op === "put" ? endingOf(c) : null;
+    const e = c.op === "put" ? jobEndOf(c) : null;
     if (e) out.push(e);
   }
   return out.sort((a, b) => (after(a.at, b.at) ? 1 : -1));
@@ -43,11 +43,11 @@
  * The ends that this controller has read lately, without a gap between two revisions. Subscriptions that lag behind what is
  * kept here read the state service's log, or the final records themselves.
  */
-export class Tail {
+export class ChangeFeed {
   /** Ends later than this revision are all here, up to `end`. */
   start: number | null = null;
   end = 0;
-  private ends: Ended[] = [];
+  private ends: FeedEntry[] = [];
   /** Final records that do not say whose job it was: written by a controller without hooks. Nobody hears of these. */
   unnamed = 0;
 
@@ -64,12 +64,12 @@
       if (
         c.version > this.end &&
         c.op === "put" &&
-        c.key.startsWith(PAST) &&
-        !endingOf(c)
+        c.key.startsWith(FINAL_PREFIX) &&
+        !jobEndOf(c)
       )
         this.unnamed++;
     // Two reads may overlap.
-    const fresh = endingsOf(changes).filter((e) => e.at.version > this.end);
+    const fresh = jobEndsOf(changes).filter((e) => e.at.version > this.end);
     this.ends.push(...fresh);
     this.end = Math.max(this.end, to);
     if (this.ends.length <= this.most) return;
@@ -80,7 +80,7 @@
   }
 
   /** The ends after a place; null if some may be missing here. */
-  since(c: Cursor): readonly Ended[] | null {
+  since(c: Cursor): readonly FeedEntry[] | null {
     if (this.start === null || c.version < this.start) return null;
     let lo = 0;
     let hi = this.ends.length;
--- a/src/lab/limits-model.ts
+++ b/src/lab/limits-model.ts
@@ -1,15 +1,15 @@
 import type { Team } from "../config/settings.js";
 import {
-  type Demand,
-  planShares,
-  type Plan,
+  type PartitionDemand,
+  planQuotas,
+  type QuotaPlan,
 } from "../coordination/limits/plan.js";
 import {
-  CAPS,
+  CAPS_NAME,
   entryOf,
-  type LimitRecords,
+  type QuotaRecords,
   mayUse,
-  type Pair,
+  type ResourceAmounts,
 } from "../coordination/limits/shares.js";
 import { QUOTA_KEY, type Shares } from "../storage/records.js";
 import type { Model, Step } from "./explore.js";
@@ -19,7 +19,7 @@
  * of the record that may be old, commits are lost, late, doubled or not answered, groups get new masters, a controller comes
  * back with other settings. Tasks take one CPU.
  */
-export interface LimitsScope {
+export interface QuotaScope {
   groups: string[];
   teams: string[];
   /** The teams' limit, and what a controller that is restarted goes by. */
@@ -58,7 +58,7 @@
 interface Change {
   base: number;
   value: Shares;
-  reserved: Record<string, Pair>;
+  reserved: Record<string, ResourceAmounts>;
   /** It was not answered: it may have been carried out, or may yet be. */
   open: boolean;
 }
@@ -84,7 +84,7 @@
   /** It was delivered once already. */
   doubled: boolean;
 }
-interface LimitsState {
+interface QuotaModelState {
   record: { version: number; shares: Shares };
   groups: Group[];
   flights: Flight[];
@@ -95,10 +95,10 @@
   over: string | null;
 }
 
-export function limitsModel(
-  scope: LimitsScope,
+export function quotaModel(
+  scope: QuotaScope,
   off: ReadonlySet<Guard> = new Set(),
-): Model<LimitsState> {
+): Model<QuotaModelState> {
   const teamOf = (name: string, later: boolean): Team => ({
     name,
     cpus: 0,
@@ -111,11 +111,11 @@
   const all = { false: settings(false), true: settings(true) };
   const names = (g: Group): string[] =>
     g.later ? scope.laterGroups : scope.groups;
-  const records = (g: Group): LimitRecords =>
+  const records = (g: Group): QuotaRecords =>
     g.copy.version === 0
       ? new Map()
       : new Map([
-          [QUOTA_KEY, { shares: g.copy.shares, version: g.copy.version }],
+          [QUOTA_KEY, { shares: g.copy.shares, revision: g.copy.version }],
         ]);
 
   /** Up to how many CPUs the group may use, by its copy. */
@@ -134,16 +134,16 @@
     return cpus - (c.reserved[team]?.[0] ?? 0);
   };
 
-  const plan = (s: LimitsState, i: number): Plan | null => {
+  const plan = (s: QuotaModelState, i: number): QuotaPlan | null => {
     const g = s.groups[i]!;
-    const demand = (said: [number, number]): Demand => ({
+    const demand = (said: [number, number]): PartitionDemand => ({
       now: [said[0], 0],
       nowSince: [1, Infinity],
       soon: [0, 0],
       soonSince: [Infinity, Infinity],
       beyond: [said[1], 0],
     });
-    const others = new Map<string, Map<string, Demand>>();
+    const others = new Map<string, Map<string, PartitionDemand>>();
     s.groups.forEach((o, k) => {
       if (k !== i)
         others.set(
@@ -155,7 +155,7 @@
           ),
         );
     });
-    const mine = new Map<string, Demand>();
+    const mine = new Map<string, PartitionDemand>();
     scope.teams.forEach((team, t) => {
       const part = share(g, i, t);
       const lack = g.use[t]! + g.wait[t]! - part;
@@ -170,9 +170,9 @@
             s.groups[k]!.use.every((n) => n === 0)),
       ),
     );
-    return planShares({
-      group: scope.groups[i]!,
-      groups: names(g),
+    return planQuotas({
+      partition: scope.groups[i]!,
+      partitions: names(g),
       teams: all[g.later ? "true" : "false"],
       records: records(g),
       valueBytes: 8_000,
@@ -192,7 +192,7 @@
   };
 
   // What was written is never changed, only replaced.
-  const clone = (s: LimitsState): LimitsState => ({
+  const clone = (s: QuotaModelState): QuotaModelState => ({
     ...s,
     groups: s.groups.map((g) => ({
       ...g,
@@ -203,10 +203,10 @@
     })),
     flights: s.flights.map((f) => ({ ...f })),
   });
-  const inUse = (s: LimitsState, t: number): number =>
+  const inUse = (s: QuotaModelState, t: number): number =>
     s.groups.reduce((n, g) => n + g.use[t]!, 0);
   /** The largest limit that anybody alive may still go by: who reads the record later goes by a smaller one then. */
-  const most = (s: LimitsState, t: number): number =>
+  const most = (s: QuotaModelState, t: number): number =>
     Math.max(
       ...s.groups
         .filter((g) => !g.gone)
@@ -219,7 +219,7 @@
               ),
         ),
     );
-  const initial: LimitsState = {
+  const initial: QuotaModelState = {
     record: { version: 0, shares: {} },
     groups: scope.groups.map((_, i) => ({
       token: i + 1,
@@ -238,11 +238,11 @@
     over: null,
   };
 
-  function* next(s: LimitsState): Generator<Step<LimitsState>> {
+  function* next(s: QuotaModelState): Generator<Step<QuotaModelState>> {
     const step = (
       label: string,
-      change: (to: LimitsState) => void,
-    ): Step<LimitsState> => {
+      change: (to: QuotaModelState) => void,
+    ): Step<QuotaModelState> => {
       const to = clone(s);
       change(to);
       return { label, state: to };
@@ -339,7 +339,7 @@
         (off.has("master's token") || f.token === s.groups[f.group]!.token);
       const arrive =
         (again: boolean) =>
-        (to: LimitsState): void => {
+        (to: QuotaModelState): void => {
           if (again) to.flights[k]!.doubled = true;
           else to.flights.splice(k, 1);
           if (holds)
@@ -358,7 +358,7 @@
     }
   }
 
-  const check = (s: LimitsState): string | null => {
+  const check = (s: QuotaModelState): string | null => {
     if (s.over !== null) return s.over;
     for (const [t, team] of scope.teams.entries()) {
       // A lowered limit kills nothing: what runs beyond it may, and then nobody may start anything.
@@ -373,7 +373,7 @@
     return null;
   };
 
-  const key = (s: LimitsState): string => {
+  const key = (s: QuotaModelState): string => {
     // Revisions and tokens only tell what is older from what is newer, or the same.
     const versions = [
       ...new Set([
@@ -388,7 +388,7 @@
     const v = (n: number): number => (n === 0 ? -1 : versions.indexOf(n));
     const shares = (x: Shares): unknown =>
       scope.teams.map((t) => [
-        x[CAPS]?.[t]?.[0],
+        x[CAPS_NAME]?.[t]?.[0],
         scope.groups.map((g) => x[t]?.[g]?.[0]),
       ]);
     return JSON.stringify([
--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -2,8 +2,8 @@
 import { type LogEvent, metricLabel } from "../logging/events.js";
 import { Hono } from "hono";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
-import type { Controller, TeamFigures } from "../coordination/controller.js";
-import type { HookCore } from "../hooks/core.js";
+import type { Controller, TeamStatistics } from "../coordination/controller.js";
+import type { WebhookCore } from "../hooks/core.js";
 
 const CALL_BUCKETS_S = [
   0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5,
@@ -52,7 +52,7 @@
     buckets: CALL_BUCKETS_S.concat([5, 10]),
     registers: [this.registry],
   });
-  private readonly settledHooks = new Counter({
+  private readonly settledWebhooks = new Counter({
     name: "linencove_hook_notifications_total",
     help: "Notifications that were delivered, or given up",
     labelNames: ["outcome"],
@@ -66,7 +66,7 @@
   });
 
   constructor(
-    figures: () => Controller["figures"],
+    figures: () => Controller["statistics"],
     /** What is left of the permit, in ms. */
     permitMs: () => number,
   ) {
@@ -79,7 +79,7 @@
     gauge(
       "groups",
       "Groups whose master this controller is",
-      () => figures().groups,
+      () => figures().partitions,
     );
     gauge("machines", "Machines of these groups", () => figures().machines);
     gauge("machines_idle", "Those without a task", () => figures().idle);
@@ -97,17 +97,17 @@
     gauge(
       "machines_deaf",
       "Machines whose reports arrive, and which get neither answers nor commands",
-      () => figures().deaf,
+      () => figures().unreachableMachines,
     );
     gauge(
       "reports_late",
       "Reports that were no newer than what was known, since the groups were taken",
-      () => figures().late,
+      () => figures().staleHeartbeats,
     );
     gauge(
       "jobs_suspect",
       "Jobs that fail wherever they run",
-      () => figures().suspects,
+      () => figures().quarantinedJobs,
     );
     gauge(
       "gang_wait_longest_seconds",
@@ -156,10 +156,10 @@
   }
 
   /** By team, group and kind of resource; read whenever it is asked for. */
-  watchTeams(figures: () => TeamFigures[]): void {
+  watchTeams(figures: () => TeamStatistics[]): void {
     const labelNames = ["team", "group", "resource"];
     const helps: [
-      keyof TeamFigures &
+      keyof TeamStatistics &
         (
           | "limit"
           | "guarantee"
@@ -212,18 +212,18 @@
             ).entries())
               if (Number.isFinite(f[field][i]!))
                 this.set(
-                  { team: f.team, group: f.group, resource },
+                  { team: f.team, group: f.partition, resource },
                   f[field][i]!,
                 );
         },
       });
   }
 
-  watchHooks(figures: () => HookCore["figures"]): void {
+  watchWebhooks(figures: () => WebhookCore["figures"]): void {
     const gauge = (
       name: string,
       help: string,
-      value: (f: HookCore["figures"]) => number,
+      value: (f: WebhookCore["figures"]) => number,
     ): void => this.gauge(`hook_${name}`, help, () => value(figures()));
     gauge("owned", "Hooks that this controller sends for", (f) => f.owned);
     gauge("in_flight", "Attempts in flight", (f) => f.inFlight);
@@ -271,11 +271,11 @@
     if (op !== "changes") this.callTimes.observe({ service }, tookMs / 1000);
     if (service === "state") this.waits.observe(waitedMs / 1000);
   }
-  hookSettled(outcome: "delivered" | "dead", tookMs: number): void {
-    this.settledHooks.inc({ outcome });
+  webhookSettled(outcome: "delivered" | "dead", tookMs: number): void {
+    this.settledWebhooks.inc({ outcome });
     if (outcome === "delivered") this.delays.observe(tookMs / 1000);
   }
-  hookAttempted(outcome: string, tookMs: number): void {
+  webhookAttempted(outcome: string, tookMs: number): void {
     this.attempts.inc({ outcome });
     this.attemptTimes.observe(tookMs / 1000);
   }
--- a/src/protocol/frames.ts
+++ b/src/protocol/frames.ts
@@ -12,9 +12,9 @@
   Ping: 1,
   Pong: 2,
   /** A worker's report that came to the wrong node: payload is its JSON body. */
-  Report: 3,
+  Heartbeat: 3,
   /** A call to the state service, for a controller that it refuses. */
-  State: 4,
+  StoreCall: 4,
   /** Reply to either: status (u16), then the body. */
   Reply: 5,
 } as const;
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import type { JobSpec } from "../coordination/model.js";
+import type { JobKind, JobSpec } from "../coordination/model.js";
 
 /** Users' interface: wire names stop in this folder. */
 
@@ -10,6 +10,12 @@
 /** Strings and lists in a job are bounded so that its record always fits a value of the state service. */
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e12));
+/** The wire's words for the kinds of jobs. */
+const JOB_KINDS = {
+  batch: "array",
+  ensemble: "gang",
+  daemon: "service",
+} as const satisfies Record<string, JobKind>;
 const flag = v.optional(v.nullable(v.boolean()), false);
 
 const Job = v.object({
@@ -69,10 +75,10 @@
   return { ok: true, value: raw };
 }
 
-/** `awaits`: the jobs that have to be done before this one starts. */
+/** `dependsOn`: the jobs that have to be done before this one starts. */
 export function parseJob(
   body: string,
-): Parsed<{ spec: JobSpec; awaits: string[] }> {
+): Parsed<{ spec: JobSpec; dependsOn: string[] }> {
   const raw = parseObject(body);
   if (!raw.ok) return raw;
   const got = v.safeParse(Job, raw.value);
@@ -81,20 +87,20 @@
   return {
     ok: true,
     value: {
-      awaits: j.awaits ?? [],
+      dependsOn: j.awaits ?? [],
       spec: {
         id: j.id,
-        class: j.jobclass,
+        jobClass: j.jobclass,
         team: j.crew,
-        shape: j.shape,
-        urgency: j.urgency,
+        kind: JOB_KINDS[j.shape],
+        priority: j.urgency,
         tasks: j.shards,
         cpus: j.cores,
         gpus: j.accelerators ?? 0,
         memGb: j.memoryGb,
         image: j.bundle ?? "",
         imageGb: j.sizeGb ?? 0,
-        types: j.hulls,
+        machineTypes: j.hulls,
         zone: j.yard,
         samePlace: j.samePlace ?? false,
         spread: j.spread ?? false,
@@ -114,7 +120,12 @@
   id: string,
   status: JobStatus,
   counts?: { done: number; running: number },
-  awaits: readonly string[] = [],
+  dependsOn: readonly string[] = [],
 ): object {
-  return { id, status, ...counts, ...(awaits.length > 0 ? { awaits } : {}) };
+  return {
+    id,
+    status,
+    ...counts,
+    ...(dependsOn.length > 0 ? { awaits: dependsOn } : {}),
+  };
 }
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,12 +1,16 @@
 import * as v from "valibot";
-import type { Order, Report, ReportedTask } from "../coordination/model.js";
+import type {
+  Command,
+  Heartbeat,
+  ReportedTask,
+} from "../coordination/model.js";
 import { firstIssue, MAX_TASKS, type Parsed, parseObject } from "./jobs.js";
 
 /** Workers' interface: reports, answers to them, and orders sent straight to a worker. */
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
-const MAX_REPORTED = 5_000;
+const MAX_REPORTED_TASKS = 5_000;
 
 const Task = v.object({
   shard: v.pipe(
@@ -47,7 +51,7 @@
   baton: v.optional(v.nullable(count), 0),
   recallS: v.optional(v.nullable(v.pipe(v.number(), v.finite())), null),
   shards: v.optional(
-    v.nullable(v.pipe(v.array(Task), v.maxLength(MAX_REPORTED))),
+    v.nullable(v.pipe(v.array(Task), v.maxLength(MAX_REPORTED_TASKS))),
     [],
   ),
 });
@@ -60,10 +64,10 @@
 }
 
 /** The longest that a worker in touch is silent: a report comes every `report_s`, give or take a quarter, and is given up after 4 s. */
-export const reportGapMs = (reportS: number): number =>
+export const heartbeatGapMs = (reportS: number): number =>
   (reportS * 1.25 + 4) * 1000;
 
-export function parseReport(body: string): Parsed<Report> {
+export function parseHeartbeat(body: string): Parsed<Heartbeat> {
   const raw = parseObject(body);
   if (!raw.ok) return raw;
   const got = v.safeParse(Hello, raw.value);
@@ -88,7 +92,7 @@
       attempt: t.try,
       state: t.status,
       cause: t.cause,
-      saved: t.kept ?? false,
+      checkpointed: t.kept ?? false,
     });
   }
   return {
@@ -99,8 +103,8 @@
       type: r.hull,
       zone: r.yard,
       spot: r.loaners ?? false,
-      session: r.watch,
-      tally: r.tally,
+      incarnation: r.watch,
+      sequence: r.tally,
       token: r.baton ?? 0,
       noticeS: r.recallS,
       tasks,
@@ -108,7 +112,7 @@
   };
 }
 
-function wireOrder(o: Order): object {
+function wireCommand(o: Command): object {
   const shard = `${o.job}/${o.index}`;
   switch (o.op) {
     case "start":
@@ -121,25 +125,25 @@
 }
 
 /** At most this many orders in one message: keeps every line far below 64 KiB; the rest follows with the next. */
-const MAX_ORDERS = 200;
+const MAX_COMMANDS = 200;
 
-export const answerBody = (
+export const heartbeatAnswerBody = (
   token: number,
-  orders: readonly Order[],
+  commands: readonly Command[],
 ): object => ({
   baton: token,
-  orders: orders.slice(0, MAX_ORDERS).map(wireOrder),
+  orders: commands.slice(0, MAX_COMMANDS).map(wireCommand),
 });
 
 export const commandBody = (
   token: number,
-  session: number,
-  orders: readonly Order[],
+  incarnation: number,
+  commands: readonly Command[],
 ): object => ({
   baton: token,
-  watch: session,
-  orders: orders.slice(0, MAX_ORDERS).map(wireOrder),
+  watch: incarnation,
+  orders: commands.slice(0, MAX_COMMANDS).map(wireCommand),
 });
 
-export const redirectBody = (master: string | null): object =>
-  master === null ? {} : { harbormaster: master };
+export const redirectBody = (leader: string | null): object =>
+  leader === null ? {} : { harbormaster: leader };
--- a/src/storage/client.ts
+++ b/src/storage/client.ts
@@ -7,21 +7,21 @@
 } from "../protocol/state.js";
 import * as v from "valibot";
 import { Frame } from "../protocol/frames.js";
-import { Client, json } from "../transport/client.js";
-import { Limiter } from "../transport/limiter.js";
+import { HttpClient, parseJson } from "../transport/client.js";
+import { RateLimiter } from "../transport/limiter.js";
 
 /** Our own requests must have failed for this long before a peer is asked. */
-const FAILING_MS = 1_200;
+const UNAVAILABLE_AFTER_MS = 1_200;
 
 /** Users and holds take what there is; masters leave them a quarter of a burst, written room and moves half of it. */
 const KEPT = [0, 0, 0.25, 0.5];
 
 /** A way to the state service through another controller. */
-interface Through {
+interface PeerChannel {
   withState(): string | null;
   call(
     label: string,
-    type: typeof Frame.State,
+    type: typeof Frame.StoreCall,
     body: string,
     timeoutMs: number,
   ): Promise<{ status: number; body: string } | null>;
@@ -47,18 +47,18 @@
  * refuses while it serves a peer asks that peer to carry them: the answers mean the same, and what is counted
  * from their sending is counted from here.
  */
-export class StateClient {
-  private readonly client = new Client(24, 8);
-  private readonly limiter: Limiter;
+export class StoreClient {
+  private readonly client = new HttpClient(24, 8);
+  private readonly limiter: RateLimiter;
   /** Since when our own requests have failed; null: the last one was answered. */
   private failingMs: number | null = null;
   private probeMs = 0;
-  through: Through | null = null;
+  peers: PeerChannel | null = null;
 
   constructor(private readonly settings: Settings) {
     const nodes = settings.peers.length + 1;
     const rates = [settings.state.rps / nodes, settings.state.writeRps / nodes];
-    this.limiter = new Limiter(
+    this.limiter = new RateLimiter(
       rates,
       rates.map((r) => Math.max(1, r)),
       500,
@@ -95,7 +95,7 @@
     return new Promise((resolve) => {
       const writes = call.op === "commit" ? call.writes.length : 0;
       this.limiter.add({
-        urgent,
+        priority: urgent,
         cost: [1, writes],
         deadlineMs: performance.now() + 1_500,
         refuse: () =>
@@ -114,8 +114,8 @@
   private route(call: StateCall): Promise<StateReply> {
     const now = performance.now();
     const peer =
-      this.failingMs !== null && now - this.failingMs > FAILING_MS
-        ? (this.through?.withState() ?? null)
+      this.failingMs !== null && now - this.failingMs > UNAVAILABLE_AFTER_MS
+        ? (this.peers?.withState() ?? null)
         : null;
     if (peer === null) return this.direct(call);
     // One request in a while goes the straight way, to see whether it is open again.
@@ -123,13 +123,14 @@
       this.probeMs = now + 1_000;
       return this.direct(call);
     }
-    return this.through!.call(
+    return this.peers!.call(
       peer,
-      Frame.State,
+      Frame.StoreCall,
       JSON.stringify(call),
-      StateClient.timeoutMs(call),
+      StoreClient.timeoutMs(call),
     ).then((r) => {
-      const got = r?.status === 200 ? v.safeParse(Reply, json(r.body)) : null;
+      const got =
+        r?.status === 200 ? v.safeParse(Reply, parseJson(r.body)) : null;
       return got?.success
         ? (got.output as unknown as StateReply)
         : { is: "unknown", why: "peer did not answer" };
@@ -145,13 +146,13 @@
       method,
       path,
       body,
-      StateClient.timeoutMs(call),
+      StoreClient.timeoutMs(call),
     );
-    if (f.is !== "answered" || f.status === 503)
+    if (f.kind !== "answered" || f.status === 503)
       this.failingMs ??= performance.now();
     else this.failingMs = null;
-    return f.is === "answered"
-      ? stateReply(call, f.status, json(f.body))
-      : { is: f.is, why: f.why };
+    return f.kind === "answered"
+      ? stateReply(call, f.status, parseJson(f.body))
+      : { is: f.kind, why: f.why };
   }
 }
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -1,5 +1,9 @@
 import * as v from "valibot";
-import { type JobSpec, URGENCIES } from "../coordination/model.js";
+import {
+  type JobKind,
+  type JobSpec,
+  PRIORITIES,
+} from "../coordination/model.js";
 import { RangeSet } from "../coordination/ranges.js";
 import type { Write } from "../protocol/state.js";
 
@@ -10,46 +14,47 @@
  * only that; finished jobs move to `lc/past/`, are kept for ever and read one by one. One watch on `lc/`
  * shows both.
  */
-export const ROOT = "lc/";
-export const NOW = "lc/now/";
+export const ROOT_PREFIX = "lc/";
+export const LIVE_PREFIX = "lc/now/";
 
-export const groupKey = (g: string): string => `lc/now/group/${g}`;
-export const claimKey = (g: string): string => `lc/now/claim/${g}`;
+export const partitionKey = (g: string): string => `lc/now/group/${g}`;
+export const leadershipBidKey = (g: string): string => `lc/now/claim/${g}`;
 export const jobKey = (id: string): string => `lc/now/job/${id}`;
 /** Final records: kept for ever. */
-export const PAST = "lc/past/";
-export const pastKey = (id: string): string => `${PAST}${id}`;
-export const finKey = (id: string, g: string, block: number): string =>
+export const FINAL_PREFIX = "lc/past/";
+export const finalKey = (id: string): string => `${FINAL_PREFIX}${id}`;
+export const completionKey = (id: string, g: string, block: number): string =>
   `lc/now/fin/${id}/${g}/${block}`;
 /** The attempt under which the parts of a gang start, and which group is ready for the next one. */
 export const gangKey = (id: string): string => `lc/now/gang/${id}`;
 export const readyKey = (id: string, g: string): string =>
   `lc/now/ready/${id}/${g}`;
-export const rosterKey = (g: string, chunk: number): string =>
+export const registryKey = (g: string, chunk: number): string =>
   `lc/now/roster/${g}/${chunk}`;
-export const roomKey = (g: string): string => `lc/now/room/${g}`;
+export const capacityKey = (g: string): string => `lc/now/room/${g}`;
 /**
  * Parts of the teams' limits. The first record is the one that the version before knows; it reads any key below it as
  * the same record, so teams that it has no room for are elsewhere.
  */
 export const QUOTA_KEY = "lc/now/quota";
-export const limitKey = (n: number): string => `lc/now/limit/${n}`;
+export const quotaKey = (n: number): string => `lc/now/limit/${n}`;
 /** Which limits a live controller goes by; ends with its hold. */
-export const beliefKey = (label: string): string => `lc/now/belief/${label}`;
+export const observedLimitsKey = (label: string): string =>
+  `lc/now/belief/${label}`;
 /** What controllers stop of teams that are beyond their guarantee, for teams that are not. */
 export const RECLAIM_KEY = "lc/now/reclaim";
 
-export type Key =
-  | { kind: "group" | "claim" | "room"; group: string }
+export type StoreKey =
+  | { kind: "group" | "claim" | "room"; partition: string }
   | { kind: "job" | "past"; id: string }
-  | { kind: "fin"; id: string; group: string; chunk: number }
-  | { kind: "roster"; group: string; chunk: number }
+  | { kind: "fin"; id: string; partition: string; chunk: number }
+  | { kind: "roster"; partition: string; chunk: number }
   | { kind: "gang"; id: string }
-  | { kind: "ready"; id: string; group: string }
+  | { kind: "ready"; id: string; partition: string }
   | { kind: "limits" | "reclaim" }
   | { kind: "belief"; label: string };
 
-export function parseKey(key: string): Key | null {
+export function parseKey(key: string): StoreKey | null {
   const p = key.split("/");
   if (p[0] !== "lc") return null;
   if (p[1] === "past" && p.length === 3) return { kind: "past", id: p[2]! };
@@ -58,21 +63,23 @@
     case "group":
     case "claim":
     case "room":
-      return p.length === 4 ? { kind: p[2], group: p[3]! } : null;
+      return p.length === 4 ? { kind: p[2], partition: p[3]! } : null;
     case "job":
       return p.length === 4 ? { kind: "job", id: p[3]! } : null;
     case "fin":
       return p.length === 6
-        ? { kind: "fin", id: p[3]!, group: p[4]!, chunk: Number(p[5]) }
+        ? { kind: "fin", id: p[3]!, partition: p[4]!, chunk: Number(p[5]) }
         : null;
     case "roster":
       return p.length === 5
-        ? { kind: "roster", group: p[3]!, chunk: Number(p[4]) }
+        ? { kind: "roster", partition: p[3]!, chunk: Number(p[4]) }
         : null;
     case "gang":
       return p.length === 4 ? { kind: "gang", id: p[3]! } : null;
     case "ready":
-      return p.length === 5 ? { kind: "ready", id: p[3]!, group: p[4]! } : null;
+      return p.length === 5
+        ? { kind: "ready", id: p[3]!, partition: p[4]! }
+        : null;
     case "quota":
       return p.length === 3 ? { kind: "limits" } : null;
     case "limit":
@@ -86,11 +93,11 @@
   }
 }
 
-export interface GroupRecord {
+export interface PartitionRecord {
   owner: string;
   hold: number;
 }
-export interface ClaimRecord {
+export interface LeadershipBidRecord {
   by: string;
   /** Token that the claim speaks against, so that an old claim says nothing of a later owner. */
   token: number;
@@ -100,13 +107,13 @@
   /** Time of day of acceptance, in ms since the epoch. */
   acceptedAt: number;
   /** Which group runs which tasks. Empty while the job waits for others: then no controller has anything to start. */
-  split: Map<string, RangeSet>;
+  assignment: Map<string, RangeSet>;
   /** Jobs that were not done yet when it was accepted; empty once it was released. */
-  awaits: readonly string[];
+  dependsOn: readonly string[];
   /** Time of day when the last of them was found done; null: it never waited, or an earlier version wrote this. */
   releasedAt: number | null;
 }
-export interface PastRecord {
+export interface FinalRecord {
   status: "done" | "cancelled";
   tasks: number;
   done: number;
@@ -118,7 +125,7 @@
   };
 }
 /** One row of a group's written room: what is free on its machines of one type, zone and kind. */
-export interface RoomRow {
+export interface CapacityRow {
   type: string;
   zone: string;
   spot: boolean;
@@ -128,10 +135,10 @@
   /** The same of the machines that serve short tasks only. */
   reserved: FreeKind[];
   /** What is free, or would be once tasks that must give way to such urgency were stopped; only of machines where that is more. */
-  yields?: YieldKind[];
+  reclaimable?: ReclaimableKind[];
 }
 /** `from`, `to`: the least and the highest urgency that it is meant for, as their places in `URGENCIES`. */
-export type YieldKind = [
+export type ReclaimableKind = [
   cpus: number,
   gpus: number,
   memGb: number,
@@ -145,7 +152,7 @@
   memGb: number,
   machines: number,
 ];
-export interface Want {
+export interface QuotaWant {
   cpus: number;
   gpus: number;
   /** Time of day since which the oldest such job waits. */
@@ -169,8 +176,8 @@
   /** Waiting tasks within the group's part that have a place once others make it, in all. */
   waits: [number, number];
 }
-export interface RoomRecord {
-  rows: RoomRow[];
+export interface CapacityRecord {
+  rows: CapacityRow[];
   /** Tasks waiting, by whether they need accelerators: these compete for different machines. */
   queue: { plain: number; accelerated: number };
   /** The same for each urgency, with all above it: [plain, accelerated]; absent: an earlier version wrote it. */
@@ -182,38 +189,49 @@
   /** By offer, where it is known: how many more machines the cloud seems to have for the group. */
   left: Map<string, number>;
   /** By team: more of its limit that the group could use. */
-  wants: Map<string, Want>;
+  wants: Map<string, QuotaWant>;
   /** By team; null: an earlier version wrote it. */
   teams: Map<string, TeamRow> | null;
   /** Not all teams found room in the record. */
   cut: boolean;
 }
 /** One of the records that list the machines of a group. */
-export interface RosterRecord {
-  machines: Map<string, RosterEntry>;
+export interface RegistryRecord {
+  machines: Map<string, RegistryEntry>;
   /**
    * The record was written by a commit that is conditional on the record that it replaces, so it lacks no machine that was
    * added before. The version in production writes records without this condition, and leaves the mark out.
    */
   complete: boolean;
 }
-export interface RosterEntry {
+export interface RegistryEntry {
   /** Marked for return: never used again. */
-  going: boolean;
+  isReturning: boolean;
   type: string;
 }
 
 const pairs = v.array(v.tuple([v.number(), v.number()]));
 const many = (n: number): v.NumberSchema<undefined>[] =>
   Array.from({ length: n }, () => v.number());
-const Group = v.object({ owner: v.string(), hold: v.number() });
+const Partition = v.object({ owner: v.string(), hold: v.number() });
 const Claim = v.object({ by: v.string(), token: v.number() });
+/** Stored names of the kinds of jobs. */
+const STORED_KINDS = {
+  array: "batch",
+  gang: "ensemble",
+  service: "daemon",
+} as const satisfies Record<JobKind, string>;
+const KINDS = {
+  batch: "array",
+  ensemble: "gang",
+  daemon: "service",
+} as const satisfies Record<string, JobKind>;
 const Spec = v.object({
   id: v.string(),
   class: v.string(),
   team: v.string(),
   shape: v.picklist(["batch", "ensemble", "daemon"]),
-  urgency: v.picklist(URGENCIES),
+  urgency: v.picklist(PRIORITIES),
   tasks: v.number(),
   cpus: v.number(),
   gpus: v.number(),
@@ -277,7 +295,7 @@
   ),
   q: v.tuple([v.number(), v.number()]),
   // Not known to the version before, which does not mind it.
-  qu: v.optional(v.pipe(pairs, v.length(URGENCIES.length))),
+  qu: v.optional(v.pipe(pairs, v.length(PRIORITIES.length))),
   run: v.array(v.tuple([v.string(), v.number()])),
   out: v.array(v.string()),
   left: v.optional(v.array(v.tuple([v.string(), v.number()]))),
@@ -289,7 +307,7 @@
   cut: v.optional(v.boolean(), false),
 });
 /** Types are written once, machines refer to them by place. */
-const Roster = v.object({
+const Registry = v.object({
   t: v.array(v.string()),
   m: v.array(v.tuple([v.string(), v.number(), v.number()])),
   // Not known to the version before, which neither minds nor keeps it.
@@ -309,44 +327,83 @@
   return got.success ? got.output : null;
 }
 
-export const readGroup = (value: unknown): GroupRecord | null =>
-  read(Group, value);
-export const readClaim = (value: unknown): ClaimRecord | null =>
+export const readPartition = (value: unknown): PartitionRecord | null =>
+  read(Partition, value);
+export const readLeadershipBid = (value: unknown): LeadershipBidRecord | null =>
   read(Claim, value);
+/** A job's description under the names that its record has for it. */
+function storedSpec(spec: JobSpec): v.InferOutput<typeof Spec> {
+  const { id, jobClass, team, kind, priority, tasks, cpus, gpus, memGb } = spec;
+  const { image, imageGb, machineTypes, ...rest } = spec;
+  return {
+    id,
+    class: jobClass,
+    team,
+    shape: STORED_KINDS[kind],
+    urgency: priority,
+    tasks,
+    cpus,
+    gpus,
+    memGb,
+    image,
+    imageGb,
+    types: machineTypes,
+    zone: rest.zone,
+    samePlace: rest.samePlace,
+    spread: rest.spread,
+    spot: rest.spot,
+    estimateS: rest.estimateS,
+    checkpointS: rest.checkpointS,
+    saveS: rest.saveS,
+    deadlineS: rest.deadlineS,
+  };
+}
+
+function readSpec(stored: v.InferOutput<typeof Spec>): JobSpec {
+  const { class: jobClass, shape, urgency, types, ...rest } = stored;
+  return {
+    ...rest,
+    jobClass,
+    kind: KINDS[shape],
+    priority: urgency,
+    machineTypes: types,
+  };
+}
+
 export function readJob(value: unknown): JobRecord | null {
   const o = read(Job, value);
   return (
     o && {
-      spec: o.spec,
+      spec: readSpec(o.spec),
       acceptedAt: o.at,
-      split: new Map(o.split.map(([g, r]) => [g, RangeSet.of(r)])),
-      awaits: o.needs,
+      assignment: new Map(o.split.map(([g, r]) => [g, RangeSet.of(r)])),
+      dependsOn: o.needs,
       releasedAt: o.rel,
     }
   );
 }
 export const writeJob = (j: JobRecord): object => ({
-  spec: j.spec,
+  spec: storedSpec(j.spec),
   at: j.acceptedAt,
-  split: [...j.split]
+  split: [...j.assignment]
     .filter(([, r]) => !r.isEmpty)
     .map(([g, r]) => [g, r.pairs()]),
-  ...(j.awaits.length > 0 ? { needs: j.awaits } : {}),
+  ...(j.dependsOn.length > 0 ? { needs: j.dependsOn } : {}),
   ...(j.releasedAt === null ? {} : { rel: j.releasedAt }),
 });
 /** A job's end, in one transaction: its final record in place of the live one, and of records `beside` it as many as are named. */
 export const endWrites = (
   id: string,
-  past: PastRecord,
+  past: FinalRecord,
   beside: readonly string[] = [],
 ): Write[] => [
-  { op: "put", key: pastKey(id), value: writePast(past) },
+  { op: "put", key: finalKey(id), value: writeFinal(past) },
   ...[jobKey(id), ...beside].map((key): Write => ({ op: "delete", key })),
 ];
 /** Bytes that a record takes at the state service. */
 export const bytesOf = (value: object): number =>
   Buffer.byteLength(JSON.stringify(value));
-export function readPast(value: unknown): PastRecord | null {
+export function readFinal(value: unknown): FinalRecord | null {
   const o = read(Past, value);
   return (
     o && {
@@ -357,7 +414,7 @@
     }
   );
 }
-export const writePast = (p: PastRecord): object => ({
+export const writeFinal = (p: FinalRecord): object => ({
   s: p.status,
   n: p.tasks,
   d: p.done,
@@ -369,27 +426,28 @@
  * fits the smallest values. The earlier version kept blocks of 16,384, some as bitmaps, and writes its whole block anew
  * under its number: these numbers begin where its end, and ranges mean the same to it under any number.
  */
-export const FIN_BLOCK = 128;
-const FIN_FIRST = 1_000;
-const OLD_FIN_BLOCK = 16_384;
+export const COMPLETION_BLOCK = 128;
+const FIRST_COMPLETION_BLOCK = 1_000;
+const FORMER_COMPLETION_BLOCK = 16_384;
 
-export const finBlock = (task: number): number =>
-  FIN_FIRST + Math.floor(task / FIN_BLOCK);
+export const completionBlock = (task: number): number =>
+  FIRST_COMPLETION_BLOCK + Math.floor(task / COMPLETION_BLOCK);
 /** The members of a set that belong into a block. */
 export const inBlock = (set: RangeSet, block: number): RangeSet =>
   set.slice(
-    (block - FIN_FIRST) * FIN_BLOCK,
-    (block - FIN_FIRST + 1) * FIN_BLOCK - 1,
+    (block - FIRST_COMPLETION_BLOCK) * COMPLETION_BLOCK,
+    (block - FIRST_COMPLETION_BLOCK + 1) * COMPLETION_BLOCK - 1,
   );
-export const writeFin = (set: RangeSet): object => ({ r: set.pairs() });
-export function readFin(value: unknown, block: number): RangeSet | null {
+export const writeCompletion = (set: RangeSet): object => ({ r: set.pairs() });
+export function readCompletion(value: unknown, block: number): RangeSet | null {
   const o = read(Fin, value);
   if (!o) return null;
   if (o.r) return RangeSet.of(o.r);
   const bits = Buffer.from(o.b ?? "", "base64");
   const set = RangeSet.empty();
-  for (let i = 0; i < Math.min(bits.length * 8, OLD_FIN_BLOCK); i++)
-    if (bits[i >> 3]! & (1 << (i & 7))) set.add(block * OLD_FIN_BLOCK + i);
+  for (let i = 0; i < Math.min(bits.length * 8, FORMER_COMPLETION_BLOCK); i++)
+    if (bits[i >> 3]! & (1 << (i & 7)))
+      set.add(block * FORMER_COMPLETION_BLOCK + i);
   return set;
 }
 
@@ -399,7 +457,7 @@
 
 const counted = (f: v.InferOutput<typeof frees>): FreeKind[] =>
   f.map(([c, g, m, n]) => [c, g, m, n ?? 1]);
-export function readRoom(value: unknown): RoomRecord | null {
+export function readCapacity(value: unknown): CapacityRecord | null {
   const o = read(Room, value);
   return (
     o && {
@@ -410,7 +468,7 @@
         machines: r.n,
         free: counted(r.f),
         reserved: counted(r.r),
-        ...(r.y ? { yields: r.y } : {}),
+        ...(r.y ? { reclaimable: r.y } : {}),
       })),
       queue: { plain: o.q[0], accelerated: o.q[1] },
       ...(o.qu ? { queueFrom: o.qu } : {}),
@@ -469,7 +527,7 @@
 };
 /** Room is written in tenths, rounded down. */
 export const tenth = (x: number): number => Math.floor(x * 10 + 1e-6) / 10;
-export const writeRoom = (r: RoomRecord): object => ({
+export const writeCapacity = (r: CapacityRecord): object => ({
   rows: r.rows.map((x) => ({
     t: x.type,
     z: x.zone,
@@ -477,7 +535,7 @@
     n: x.machines,
     f: x.free,
     r: x.reserved,
-    ...(x.yields?.length ? { y: x.yields } : {}),
+    ...(x.reclaimable?.length ? { y: x.reclaimable } : {}),
   })),
   q: [r.queue.plain, r.queue.accelerated],
   ...(r.queueFrom?.some(([plain, accelerated]) => plain + accelerated > 0)
@@ -493,25 +551,25 @@
   ...(r.cut ? { cut: true } : {}),
 });
 
-export function readRoster(value: unknown): RosterRecord | null {
-  const record = read(Roster, value);
+export function readRegistry(value: unknown): RegistryRecord | null {
+  const record = read(Registry, value);
   if (!record) return null;
   const machines = new Map(
     record.m.map(([id, type, going]) => [
       id,
-      { going: going === 1, type: record.t[type] ?? "" },
+      { isReturning: going === 1, type: record.t[type] ?? "" },
     ]),
   );
   return { machines, complete: record.c === 1 };
 }
-export function writeRoster({ machines, complete }: RosterRecord): object {
+export function writeRegistry({ machines, complete }: RegistryRecord): object {
   const types = [...new Set([...machines.values()].map((e) => e.type))];
   return {
     t: types,
     m: [...machines].map(([id, e]) => [
       id,
       types.indexOf(e.type),
-      e.going ? 1 : 0,
+      e.isReturning ? 1 : 0,
     ]),
     ...(complete ? { c: 1 } : {}),
   };
@@ -522,7 +580,7 @@
 export const readQuota = (value: unknown): Shares | null => read(Quota, value);
 
 const Belief = v.object({ limits: v.string() });
-export const readBelief = (value: unknown): string | null =>
+export const readObservedLimits = (value: unknown): string | null =>
   read(Belief, value)?.limits ?? null;
 
 /** What one master has stopped, or is about to stop, so that a team gets its guarantee. */
