--- a/src/transport/client.ts
+++ b/src/transport/client.ts
@@ -2,10 +2,10 @@
 import type { Duplex } from "node:stream";
 
 /** `refused`: nothing reached the other side, now or later. `unknown`: it may have, or may yet. */
-export type Fetched =
-  | { is: "answered"; status: number; body: string }
-  | { is: "refused"; why: string }
-  | { is: "unknown"; why: string };
+export type HttpOutcome =
+  | { kind: "answered"; status: number; body: string }
+  | { kind: "refused"; why: string }
+  | { kind: "unknown"; why: string };
 
 export type Method = "GET" | "POST" | "PATCH" | "DELETE";
 
@@ -19,6 +19,8 @@
 class PoolingAgent extends http.Agent {
   /** Connections kept for reuse, those that have been idle for longest first. */
   private readonly idle = new Set<Duplex>();
+  /** Connections that leave `idle` by themselves once they are closed. */
+  private readonly watched = new WeakSet<Duplex>();
 
   constructor(
     maxSockets: number,
@@ -39,7 +41,7 @@
     const keeps = super.keepSocketAlive(socket) as unknown as boolean;
     if (!keeps) return false;
     this.idle.add(socket);
-    socket.once("close", () => this.idle.delete(socket));
+    this.forgetOnClose(socket);
     if (this.idle.size > this.maxIdle) this.closeOldest();
     return true;
   }
@@ -49,6 +51,13 @@
     super.reuseSocket(socket, request);
   }
 
+  /** One listener for each connection, however often it is reused. */
+  private forgetOnClose(socket: Duplex): void {
+    if (this.watched.has(socket)) return;
+    this.watched.add(socket);
+    socket.once("close", () => this.idle.delete(socket));
+  }
+
   private hasWaiting(): boolean {
     for (const host in this.requests)
       if (this.requests[host]!.length > 0) return true;
@@ -63,7 +72,7 @@
 }
 
 /** A keep-alive HTTP client for one service or for many workers. Every request ends: answered or given up. */
-export class Client {
+export class HttpClient {
   private readonly agent: http.Agent;
 
   /** `maxIdle`: connections kept for reuse, of all hosts together; below `maxSockets` if there is more than one host. */
@@ -78,19 +87,19 @@
     path: string,
     body: string | undefined,
     timeoutMs: number,
-  ): Promise<Fetched> {
+  ): Promise<HttpOutcome> {
     return new Promise((resolve) => {
       let sent = false;
       let over = false;
-      const end = (f: Fetched): void => {
+      const end = (f: HttpOutcome): void => {
         if (over) return;
         over = true;
         clearTimeout(timer);
         resolve(f);
-        if (f.is !== "answered") req.destroy();
+        if (f.kind !== "answered") req.destroy();
       };
       const fail = (why: string): void =>
-        end(sent ? { is: "unknown", why } : { is: "refused", why });
+        end(sent ? { kind: "unknown", why } : { kind: "refused", why });
       const timer = setTimeout(() => fail("timeout"), timeoutMs);
       const headers: http.OutgoingHttpHeaders =
         body === undefined
@@ -111,7 +120,7 @@
           });
           res.on("end", () =>
             end({
-              is: "answered",
+              kind: "answered",
               status: res.statusCode ?? 0,
               body: Buffer.concat(parts).toString("utf8"),
             }),
@@ -133,7 +142,7 @@
   }
 }
 
-export function json(body: string): unknown {
+export function parseJson(body: string): unknown {
   try {
     return JSON.parse(body);
   } catch {
--- a/src/transport/cloud.ts
+++ b/src/transport/cloud.ts
@@ -12,8 +12,8 @@
   rentBody,
   returnBody,
 } from "../protocol/cloud.js";
-import { Client, json } from "./client.js";
-import { Limiter } from "./limiter.js";
+import { HttpClient, parseJson } from "./client.js";
+import { RateLimiter } from "./limiter.js";
 
 function toRequest(call: CloudCall): {
   method: "GET" | "POST";
@@ -43,50 +43,50 @@
 }
 
 function toReply(call: CloudCall, status: number, raw: unknown): CloudReply {
-  const failed: CloudReply = { is: "failed", why: String(status) };
+  const failed: CloudReply = { kind: "failed", why: String(status) };
   if (
     call.op === "rent" &&
     status === 503 &&
     (raw as { error?: unknown } | undefined)?.error === "no capacity"
   )
-    return { is: "noCapacity" };
-  if (call.op === "rent" && status === 400) return { is: "noCapacity" };
+    return { kind: "noCapacity" };
+  if (call.op === "rent" && status === 400) return { kind: "noCapacity" };
   if (status !== 200) return failed;
   switch (call.op) {
     case "catalog": {
       const types = parseCatalog(raw);
-      return types ? { is: "catalog", types } : failed;
+      return types ? { kind: "catalog", types } : failed;
     }
     case "list": {
       const l = parseList(raw);
-      return l ? { is: "list", ...l } : failed;
+      return l ? { kind: "list", ...l } : failed;
     }
     case "rent": {
       const machines = parseRented(raw);
-      return machines ? { is: "rented", machines } : failed;
+      return machines ? { kind: "rented", machines } : failed;
     }
     case "return":
-      return { is: "returned" };
+      return { kind: "returned" };
   }
 }
 
 /** Calls to the cloud, within this controller's part of its limit (bursts worth two seconds are allowed). */
 export class CloudClient {
-  private readonly client = new Client(4, 2);
-  private readonly limiter: Limiter;
+  private readonly client = new HttpClient(4, 2);
+  private readonly limiter: RateLimiter;
 
   constructor(private readonly settings: Settings) {
     const rate = settings.cloud.rps / (settings.peers.length + 1);
-    this.limiter = new Limiter([rate], [Math.max(1, rate * 2)], 50);
+    this.limiter = new RateLimiter([rate], [Math.max(1, rate * 2)], 50);
   }
 
   call(call: CloudCall, urgent: number): Promise<CloudReply> {
     return new Promise((resolve) => {
       this.limiter.add({
-        urgent,
+        priority: urgent,
         cost: [1],
         deadlineMs: performance.now() + 10_000,
-        refuse: () => resolve({ is: "failed", why: OWN_LIMIT }),
+        refuse: () => resolve({ kind: "failed", why: OWN_LIMIT }),
         run: () => {
           const { method, path, body } = toRequest(call);
           const { host, port } = this.settings.cloud;
@@ -94,9 +94,9 @@
             .fetch(host, port, method, path, body, 4_000)
             .then((f) =>
               resolve(
-                f.is === "answered"
-                  ? toReply(call, f.status, json(f.body))
-                  : { is: "failed", why: f.why },
+                f.kind === "answered"
+                  ? toReply(call, f.status, parseJson(f.body))
+                  : { kind: "failed", why: f.why },
               ),
             );
         },
--- a/src/transport/connections.ts
+++ b/src/transport/connections.ts
@@ -1,9 +1,9 @@
 /** Who is at the other end, by what was asked last; `fresh`: nothing yet. */
-export const KINDS = ["fresh", "probe", "user", "worker"] as const;
-export type Kind = (typeof KINDS)[number];
+export const CONNECTION_KINDS = ["fresh", "probe", "user", "worker"] as const;
+export type ConnectionKind = (typeof CONNECTION_KINDS)[number];
 
 /** Of all connections, what each kind may have while another kind wants more. */
-const SHARE: Record<Kind, number> = {
+const SHARE: Record<ConnectionKind, number> = {
   fresh: 0.1,
   probe: 0.05,
   user: 0.25,
@@ -18,16 +18,16 @@
  *
  * Times are steady time in ms.
  */
-export class Connections<S> {
-  private readonly all = new Map<S, { kind: Kind; busy: number }>();
+export class ConnectionTable<S> {
+  private readonly all = new Map<S, { kind: ConnectionKind; busy: number }>();
   /** By kind: idle connections, those that have been so for longest first. */
-  private readonly idle: Record<Kind, Map<S, number>> = {
+  private readonly idle: Record<ConnectionKind, Map<S, number>> = {
     fresh: new Map(),
     probe: new Map(),
     user: new Map(),
     worker: new Map(),
   };
-  private readonly sizes: Record<Kind, number> = {
+  private readonly sizes: Record<ConnectionKind, number> = {
     fresh: 0,
     probe: 0,
     user: 0,
@@ -37,7 +37,7 @@
   constructor(
     private readonly most: number,
     /** By kind: how long one may be idle. */
-    private readonly silentMs: Readonly<Record<Kind, number>>,
+    private readonly silentMs: Readonly<Record<ConnectionKind, number>>,
   ) {}
 
   get size(): number {
@@ -50,8 +50,8 @@
     this.sizes.fresh++;
     this.idle.fresh.set(s, nowMs);
     if (this.all.size <= this.most) return null;
-    let from: Kind | null = null;
-    for (const kind of KINDS) {
+    let from: ConnectionKind | null = null;
+    for (const kind of CONNECTION_KINDS) {
       const others = this.idle[kind].size - (kind === "fresh" ? 1 : 0);
       if (
         others > 0 &&
@@ -66,7 +66,7 @@
   }
 
   /** A request begins. */
-  asked(s: S, kind: Kind): void {
+  asked(s: S, kind: ConnectionKind): void {
     const c = this.all.get(s);
     if (!c) return;
     this.idle[c.kind].delete(s);
@@ -92,7 +92,7 @@
   /** Those that have been silent for too long; they count as closed. */
   silent(nowMs: number): S[] {
     const out: S[] = [];
-    for (const kind of KINDS)
+    for (const kind of CONNECTION_KINDS)
       for (const [s, sinceMs] of this.idle[kind]) {
         if (nowMs - sinceMs <= this.silentMs[kind]) break;
         out.push(s);
--- a/src/transport/limiter.ts
+++ b/src/transport/limiter.ts
@@ -2,8 +2,8 @@
  * One controller's part of a service's rate limit: a bucket that holds one burst's worth. Calls that must wait
  * are ordered by urgency, then by age; their number and their waiting time are bounded.
  */
-interface Job {
-  urgent: number;
+interface LimitedCall {
+  priority: number;
   /** What it costs of each bucket. */
   cost: readonly number[];
   deadlineMs: number;
@@ -11,10 +11,10 @@
   refuse: () => void;
 }
 
-export class Limiter {
+export class RateLimiter {
   private readonly level: number[];
   private lastMs: number;
-  private queue: Job[] = [];
+  private queue: LimitedCall[] = [];
   private timer: NodeJS.Timeout | null = null;
 
   constructor(
@@ -28,10 +28,10 @@
     this.lastMs = performance.now();
   }
 
-  add(job: Job): void {
+  add(job: LimitedCall): void {
     if (this.queue.length >= this.maxQueue) return job.refuse();
     let at = this.queue.length;
-    while (at > 0 && this.queue[at - 1]!.urgent > job.urgent) at--;
+    while (at > 0 && this.queue[at - 1]!.priority > job.priority) at--;
     this.queue.splice(at, 0, job);
     this.drain();
   }
@@ -41,13 +41,13 @@
    * (with 5 changes a second, users waited 200 ms for each that went before). A cost above a whole burst would wait for
    * ever: it goes when the bucket is full.
    */
-  private needs(j: Job, i: number): number {
+  private needs(j: LimitedCall, i: number): number {
     const cost = j.cost[i]!;
     return cost === 0
       ? 0
       : Math.min(
           this.bursts[i]!,
-          cost + this.bursts[i]! * (this.kept[j.urgent] ?? 0),
+          cost + this.bursts[i]! * (this.kept[j.priority] ?? 0),
         );
   }
 
--- a/src/transport/mesh.ts
+++ b/src/transport/mesh.ts
@@ -45,7 +45,7 @@
 interface MeshHandlers {
   /** Carries out what a peer asks for. */
   serve(
-    type: typeof Frame.Report | typeof Frame.State,
+    type: typeof Frame.Heartbeat | typeof Frame.StoreCall,
     body: string,
   ): Promise<{ status: number; body: string }>;
   /** Whether this controller's own calls to the state service are answered. */
@@ -66,7 +66,7 @@
 }
 
 /** Connections to the other controllers: one for our requests to each, and those that they open to us. */
-export class Mesh {
+export class PeerMesh {
   private readonly peers: Peer[];
   private ids = 0;
   private readonly server: net.Server;
@@ -135,7 +135,7 @@
   /** null: no answer. The request may have arrived all the same. */
   call(
     label: string,
-    type: typeof Frame.Report | typeof Frame.State,
+    type: typeof Frame.Heartbeat | typeof Frame.StoreCall,
     body: string,
     timeoutMs: number,
   ): Promise<{ status: number; body: string } | null> {
@@ -237,7 +237,7 @@
               Buffer.from([this.handlers.stateOk() ? 1 : 0]),
             ),
           );
-        else if (f.type === Frame.Report || f.type === Frame.State) {
+        else if (f.type === Frame.Heartbeat || f.type === Frame.StoreCall) {
           // Nobody reads the answers: more of them would only take memory.
           if (socket.writableLength > this.maxBacklogBytes) {
             socket.destroy();
--- a/src/transport/server.ts
+++ b/src/transport/server.ts
@@ -6,23 +6,23 @@
 import type { Answer, Input } from "../coordination/effects.js";
 import { jobBody, JOB_ID, parseJob } from "../protocol/jobs.js";
 import {
-  answerBody,
-  parseReport,
+  heartbeatAnswerBody,
+  parseHeartbeat,
   redirectBody,
-  reportGapMs,
+  heartbeatGapMs,
 } from "../protocol/workers.js";
 import type { Settings } from "../config/settings.js";
-import { Connections, type Kind } from "./connections.js";
+import { ConnectionTable, type ConnectionKind } from "./connections.js";
 
 const MAX_BODY = 64 * 1024;
 
 /** What the HTTP side needs of the core: one answer for each question, at once or soon. */
-export interface Asked {
+export interface RequestHandler {
   ask(input: (req: number) => Input): Promise<Answer>;
   ready(): boolean;
   /** Passes a report on to its master; null: that can't be reached. */
   relay(
-    master: string,
+    leader: string,
     zone: string,
     body: string,
   ): Promise<{ status: number; body: string } | null>;
@@ -36,7 +36,7 @@
   Response.json({ error }, { status: 400 });
 
 export function toHttp(a: Answer): Response {
-  switch (a.is) {
+  switch (a.kind) {
     case "job":
       return Response.json(
         jobBody(
@@ -45,25 +45,25 @@
           a.done === undefined
             ? undefined
             : { done: a.done, running: a.running ?? 0 },
-          a.awaits,
+          a.dependsOn,
         ),
         { status: a.status },
       );
-    case "tooLong":
+    case "recordTooLarge":
       return bad(a.error);
-    case "never":
+    case "cannotRun":
       return Response.json({ error: a.error }, { status: 422 });
     case "unknownJob":
       return Response.json({ error: "no such job" }, { status: 404 });
-    case "later":
+    case "retryLater":
       return Response.json(
         { error: a.why },
         { status: 503, headers: { "retry-after": String(a.afterS) } },
       );
-    case "orders":
-      return Response.json(answerBody(a.token, a.orders));
-    case "elsewhere":
-      return Response.json(redirectBody(a.master), { status: 421 });
+    case "commands":
+      return Response.json(heartbeatAnswerBody(a.token, a.commands));
+    case "redirect":
+      return Response.json(redirectBody(a.leader), { status: 421 });
     case "relay":
       return Response.json(redirectBody(null), { status: 421 });
   }
@@ -87,7 +87,7 @@
 
 /** Users', workers' and health-check requests. */
 export function api(
-  core: Asked,
+  core: RequestHandler,
   more: readonly ((limit: MiddlewareHandler) => Hono)[] = [],
 ): Hono {
   const app = new Hono();
@@ -102,38 +102,38 @@
   app.post("/v1/jobs", limit, async (c) => {
     const job = parseJob(await c.req.text());
     return job.ok
-      ? toHttp(await core.ask((req) => ({ is: "submit", req, ...job.value })))
+      ? toHttp(await core.ask((req) => ({ type: "submit", req, ...job.value })))
       : bad(job.error);
   });
   app.get("/v1/jobs/:id", async (c) => {
     const id = c.req.param("id");
     return JOB_ID.test(id)
-      ? toHttp(await core.ask((req) => ({ is: "status", req, id })))
-      : toHttp({ is: "unknownJob" });
+      ? toHttp(await core.ask((req) => ({ type: "status", req, id })))
+      : toHttp({ kind: "unknownJob" });
   });
   app.post("/v1/jobs/:id/withdraw", limit, async (c) => {
     const id = c.req.param("id");
     return JOB_ID.test(id)
-      ? toHttp(await core.ask((req) => ({ is: "withdraw", req, id })))
-      : toHttp({ is: "unknownJob" });
+      ? toHttp(await core.ask((req) => ({ type: "cancel", req, id })))
+      : toHttp({ kind: "unknownJob" });
   });
   app.post("/hello", limit, async (c) => {
     const text = await c.req.text();
-    const r = parseReport(text);
+    const r = parseHeartbeat(text);
     if (!r.ok) {
       core.malformed(r.error);
       return bad(r.error);
     }
     const answer = await core.ask((req) => ({
-      is: "report",
+      type: "heartbeat",
       req,
-      report: r.value,
+      heartbeat: r.value,
       relayed: false,
     }));
-    if (answer.is !== "relay") return toHttp(answer);
-    const relayed = await core.relay(answer.master, r.value.zone, text);
+    if (answer.kind !== "relay") return toHttp(answer);
+    const relayed = await core.relay(answer.leader, r.value.zone, text);
     if (!relayed || relayed.status !== 200)
-      return toHttp({ is: "elsewhere", master: null });
+      return toHttp({ kind: "redirect", leader: null });
     return new Response(relayed.body, {
       status: 200,
       headers: { "content-type": "application/json" },
@@ -167,7 +167,7 @@
 /** Between closing a connection and its socket being free again. */
 const CLOSING = 16;
 
-const kindOf = (path: string | undefined): Kind =>
+const kindOf = (path: string | undefined): ConnectionKind =>
   path === "/hello" ? "worker" : path === "/ready" ? "probe" : "user";
 
 export function listen(app: Hono, settings: Settings): Promise<Server> {
@@ -185,8 +185,8 @@
     // Room is left for the state service, the cloud, the workers and the other controllers.
     const most = Math.max(8, Math.floor(settings.maxSockets * 0.65));
     server.maxConnections = most;
-    const workerMs = reportGapMs(settings.reportS) + SWEEP_MS;
-    const open = new Connections<Socket>(Math.max(4, most - CLOSING), {
+    const workerMs = heartbeatGapMs(settings.reportS) + SWEEP_MS;
+    const open = new ConnectionTable<Socket>(Math.max(4, most - CLOSING), {
       fresh: 10_000,
       probe: 10_000,
       user: KEEP_ALIVE_MS,
--- a/src/transport/workers.ts
+++ b/src/transport/workers.ts
@@ -1,7 +1,7 @@
 import type { CommandReply } from "../coordination/effects.js";
-import type { Order, Report } from "../coordination/model.js";
-import { commandBody, parseReport } from "../protocol/workers.js";
-import { Client, type Fetched, type Method } from "./client.js";
+import type { Command, Heartbeat } from "../coordination/model.js";
+import { commandBody, parseHeartbeat } from "../protocol/workers.js";
+import { HttpClient, type HttpOutcome, type Method } from "./client.js";
 
 /** Of all connections of the process, what those to workers may take; requests beyond it wait for one. */
 const SOCKETS_SHARE = 0.25;
@@ -13,30 +13,30 @@
 
 /** Orders sent straight to workers. */
 export class WorkerClient {
-  private readonly client: Client;
+  private readonly client: HttpClient;
 
   constructor(maxSockets: number) {
     const sockets = Math.max(
       MIN_SOCKETS,
       Math.floor(maxSockets * SOCKETS_SHARE),
     );
-    this.client = new Client(sockets, Math.floor(sockets * IDLE_SHARE));
+    this.client = new HttpClient(sockets, Math.floor(sockets * IDLE_SHARE));
   }
 
   async command(
     address: string,
     token: number,
-    session: number,
-    orders: readonly Order[],
+    incarnation: number,
+    commands: readonly Command[],
   ): Promise<CommandReply> {
     const f = await this.fetch(
       address,
       "POST",
       "/commands",
-      JSON.stringify(commandBody(token, session, orders)),
+      JSON.stringify(commandBody(token, incarnation, commands)),
     );
-    if (f.is === "answered") return { is: "answered", status: f.status };
-    return { is: f.is };
+    if (f.kind === "answered") return { kind: "answered", status: f.status };
+    return { kind: f.kind };
   }
 
   private fetch(
@@ -44,7 +44,7 @@
     method: Method,
     path: string,
     body?: string,
-  ): Promise<Fetched> {
+  ): Promise<HttpOutcome> {
     const at = address.lastIndexOf(":");
     return this.client.fetch(
       address.slice(0, at),
@@ -57,10 +57,10 @@
   }
 
   /** The machine's report of a moment after this question; null: no answer, or none that can be read. */
-  async inspect(address: string): Promise<Report | null> {
+  async inspect(address: string): Promise<Heartbeat | null> {
     const f = await this.fetch(address, "GET", "/inspect");
-    if (f.is !== "answered" || f.status !== 200) return null;
-    const r = parseReport(f.body);
+    if (f.kind !== "answered" || f.status !== 200) return null;
+    const r = parseHeartbeat(f.body);
     return r.ok ? r.value : null;
   }
 }
--- a/test/awaiting.test.ts
+++ b/test/awaiting.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Answer } from "../src/coordination/effects.js";
-import { Awaiting } from "../src/coordination/awaiting.js";
+import { DependencyTracker } from "../src/coordination/awaiting.js";
 import type { Context } from "../src/coordination/context.js";
-import { Mirror } from "../src/coordination/mirror.js";
+import { StoreCache } from "../src/coordination/mirror.js";
 import type { JobSpec } from "../src/coordination/model.js";
 import { RangeSet } from "../src/coordination/ranges.js";
-import { jobKey, pastKey, writeJob } from "../src/storage/records.js";
+import { jobKey, finalKey, writeJob } from "../src/storage/records.js";
 import { pipelines, randomJob } from "./sim/days.js";
 import { World } from "./sim/world.js";
 
@@ -27,18 +27,18 @@
   const spec = {
     ...randomJob(w, n),
     team: "blue",
-    shape: "batch" as const,
+    kind: "array" as const,
     tasks: 2,
     cpus: 1,
     gpus: 0,
-    types: null,
+    machineTypes: null,
     zone: null,
     samePlace: false,
     spread: false,
     ...over,
   };
   w.specs.set(spec.id, spec);
-  w.awaits.set(
+  w.dependsOn.set(
     spec.id,
     awaits.map((k) => randomJob(w, k).id),
   );
@@ -53,35 +53,40 @@
   const askedMs = w.now;
   w.ask(
     node,
-    (req) => ({ is: "submit", req, spec, awaits: w.awaits.get(spec.id) }),
+    (req) => ({
+      type: "submit",
+      req,
+      spec,
+      dependsOn: w.dependsOn.get(spec.id),
+    }),
     (a) => {
       got.answer = a;
-      if (a?.is === "job") w.checker.answered(spec.id, a.state, askedMs);
+      if (a?.kind === "job") w.checker.answered(spec.id, a.state, askedMs);
     },
   );
   return got;
 }
 function ask(
   w: World,
-  is: "status" | "withdraw",
+  type: "status" | "cancel",
   id: string,
   node: string,
 ): { answer: Answer | null } {
   const got: { answer: Answer | null } = { answer: null };
   const askedMs = w.now;
-  if (is === "withdraw") w.checker.asked.add(id);
+  if (type === "cancel") w.checker.asked.add(id);
   w.ask(
     node,
-    (req) => ({ is, req, id }),
+    (req) => ({ type, req, id }),
     (a) => {
       got.answer = a;
-      if (a?.is === "job") w.checker.answered(id, a.state, askedMs);
+      if (a?.kind === "job") w.checker.answered(id, a.state, askedMs);
     },
   );
   return got;
 }
 const stateOf = (a: Answer | null): string =>
-  a?.is === "job" ? a.state : String(a?.is);
+  a?.kind === "job" ? a.state : String(a?.kind);
 const after = (w: World, ms: number): void => w.run(w.now + ms);
 const kept = (w: World): void =>
   assert.deepEqual(w.checker.broken, [], w.logs.slice(-20).join("\n"));
@@ -95,18 +100,18 @@
   const last = job(w, 3, [1, 2]);
   const sent = submit(w, last);
   after(w, 100);
-  assert.ok(sent.answer?.is === "job" && sent.answer.status === 201);
+  assert.ok(sent.answer?.kind === "job" && sent.answer.status === 201);
   const told = ask(w, "status", last.id, "node-c");
   after(w, 100);
-  assert.ok(told.answer?.is === "job" && told.answer.state === "queued");
-  assert.deepEqual([...told.answer.awaits!].sort(), [
+  assert.ok(told.answer?.kind === "job" && told.answer.state === "queued");
+  assert.deepEqual([...told.answer.dependsOn!].sort(), [
     "req-000001",
     "req-000002",
   ]);
   // While it waits no master has anything of it: no queue, no share of a limit.
   for (const n of w.nodes.values())
-    for (const m of n!.core.masters.values())
-      assert.ok(!m.own.jobs.has(last.id));
+    for (const m of n!.core.leaders.values())
+      assert.ok(!m.state.jobs.has(last.id));
   after(w, 60_000);
   const end = ask(w, "status", last.id, "node-a");
   after(w, 100);
@@ -118,9 +123,9 @@
   const w = world(2);
   after(w, 5_000);
   submit(w, job(w, 1, []));
-  submit(w, job(w, 2, [], { shape: "daemon", tasks: 1 }));
+  submit(w, job(w, 2, [], { kind: "service", tasks: 1 }));
   after(w, 30_000);
-  const stopped = ask(w, "withdraw", "req-000002", "node-a");
+  const stopped = ask(w, "cancel", "req-000002", "node-a");
   after(w, 20_000);
   assert.equal(stateOf(stopped.answer), "cancelled");
   // Nobody remembers what ended long ago.
@@ -130,9 +135,9 @@
   }
   after(w, 8_000);
   const cases: [number[], string][] = [
-    [[9], "never"],
-    [[1, 9], "never"],
-    [[2, 9], "never"],
+    [[9], "cannotRun"],
+    [[1, 9], "cannotRun"],
+    [[2, 9], "cannotRun"],
     [[1], "queued"],
     [[1, 2], "cancelled"],
     [[2], "cancelled"],
@@ -141,23 +146,23 @@
     const got = submit(w, job(w, 10 + i, awaits), w.names[i % 3]);
     after(w, 300);
     assert.equal(stateOf(got.answer), want, awaits.join());
-    if (got.answer?.is === "job") assert.equal(got.answer.status, 201);
+    if (got.answer?.kind === "job") assert.equal(got.answer.status, 201);
   });
   const self = submit(w, job(w, 30, [30]));
   // It needs a cancelled job, and one that needs it does as well.
   const third = submit(w, job(w, 31, [14]));
   after(w, 300);
-  assert.equal(stateOf(self.answer), "never");
+  assert.equal(stateOf(self.answer), "cannotRun");
   assert.equal(stateOf(third.answer), "cancelled");
   // A retry of an accepted job is answered with its state, whatever it names.
-  w.awaits.set("req-000013", ["req-000099"]);
+  w.dependsOn.set("req-000013", ["req-000099"]);
   const again = submit(w, w.specs.get("req-000013")!, "node-c");
   after(w, 100);
   assert.ok(
-    again.answer?.is === "job" && again.answer.status === 200,
+    again.answer?.kind === "job" && again.answer.status === 200,
     JSON.stringify(again.answer),
   );
-  w.awaits.set("req-000013", ["req-000001"]);
+  w.dependsOn.set("req-000013", ["req-000001"]);
   after(w, 30_000);
   kept(w);
 });
@@ -176,7 +181,7 @@
   const spec = job(w, 2, [1]);
   const down = submit(w, spec);
   after(w, 3_000);
-  assert.equal(stateOf(down.answer), "later");
+  assert.equal(stateOf(down.answer), "retryLater");
   w.stateDown = false;
   w.state.restart();
   after(w, 2_000);
@@ -193,7 +198,7 @@
   for (const seed of [4, 5, 6]) {
     const w = world(seed);
     after(w, 5_000);
-    submit(w, job(w, 1, [], { shape: "daemon", tasks: 1 }));
+    submit(w, job(w, 1, [], { kind: "service", tasks: 1 }));
     after(w, 100);
     for (let n = 2; n <= 120; n++) {
       const spec = job(w, n, [n <= 40 ? 1 : n - 39]);
@@ -211,7 +216,7 @@
     after(w, 500);
     w.boot("node-c");
     after(w, 4_000);
-    const cancelled = ask(w, "withdraw", "req-000001", "node-a");
+    const cancelled = ask(w, "cancel", "req-000001", "node-a");
     after(w, 60);
     assert.equal(stateOf(cancelled.answer), "cancelled");
     for (const n of [2, 41, 80, 119, 120])
@@ -234,7 +239,7 @@
     for (let n = 1; n <= 120; n++) {
       const id = `req-${String(n).padStart(6, "0")}`;
       assert.ok(
-        !w.state.data.has(jobKey(id)) && w.state.data.has(pastKey(id)),
+        !w.state.data.has(jobKey(id)) && w.state.data.has(finalKey(id)),
         `seed ${seed}: ${id} is written`,
       );
     }
@@ -253,7 +258,7 @@
     // At the very step at which the first is over, everything ends.
     let over = 0;
     w.afterStep = () => {
-      if (over > 0 || !w.state.data.has(pastKey("req-000001"))) return;
+      if (over > 0 || !w.state.data.has(finalKey("req-000001"))) return;
       over = w.now;
       for (const n of w.names) w.at(0, () => w.crash(n));
       w.names.forEach((n, i) => w.at(3_000 + 1_000 * i, () => w.boot(n)));
@@ -270,7 +275,7 @@
 test("production's controllers start nothing of a job that waits, whoever holds the groups, and can cancel it", () => {
   const w = world(10, ["node-a", "node-b"]);
   after(w, 5_000);
-  const long = job(w, 1, [], { shape: "daemon", tasks: 1, cpus: 1 });
+  const long = job(w, 1, [], { kind: "service", tasks: 1, cpus: 1 });
   submit(w, long, "node-c");
   after(w, 100);
   const [waiting, cancelled] = [job(w, 2, [1]), job(w, 3, [1])];
@@ -280,13 +285,13 @@
   w.crash("node-c");
   after(w, 40_000);
   const owners = [...w.nodes].flatMap(([name, n]) =>
-    n ? [...n.core.masters.keys()].map((g) => `${g} by ${name}`) : [],
+    n ? [...n.core.leaders.keys()].map((g) => `${g} by ${name}`) : [],
   );
   assert.ok(
     owners.some((o) => /^node-c by node-[ab]$/.test(o)),
     owners.join(),
   );
-  const gone = ask(w, "withdraw", cancelled.id, "node-a");
+  const gone = ask(w, "cancel", cancelled.id, "node-a");
   const still = ask(w, "status", waiting.id, "node-b");
   after(w, 100);
   assert.equal(stateOf(gone.answer), "cancelled");
@@ -298,12 +303,17 @@
   const w = world(11);
   after(w, 5_000);
   const name = "x".repeat(200);
-  const long = { ...job(w, 1, []), class: name, image: name, types: null };
+  const long = {
+    ...job(w, 1, []),
+    class: name,
+    image: name,
+    machineTypes: null,
+  };
   const fits = submit(w, long);
   const all = submit(w, {
     ...long,
     id: "req-000002",
-    types: [
+    machineTypes: [
       "small",
       ...Array.from({ length: 15 }, (_, i) => `${i}${name.slice(3)}`),
     ],
@@ -311,7 +321,7 @@
   after(w, 200);
   assert.equal(stateOf(fits.answer), "queued");
   assert.ok(
-    all.answer?.is === "tooLong" &&
+    all.answer?.kind === "recordTooLarge" &&
       all.answer.error.includes("at most 2048 fit"),
     JSON.stringify(all.answer),
   );
@@ -322,29 +332,29 @@
   const w = world(12);
   let looked = 0;
   w.afterStep = (core) => {
-    const { jobs } = core.mirror;
+    const { jobs } = core.cache;
     for (const view of jobs.values()) {
-      if (core.awaiting.isDoomed(view.id)) continue;
-      let { urgency } = view.spec;
+      if (core.dependencies.isCancelledByDependency(view.id)) continue;
+      let { priority } = view.spec;
       let dueAt =
         view.spec.deadlineS === null
           ? Infinity
           : view.acceptedAt + view.spec.deadlineS * 1000;
       for (const o of jobs.values()) {
         if (
-          !core.awaiting.waitsFor(o.id).includes(view.id) ||
-          core.awaiting.isDoomed(o.id)
+          !core.dependencies.unfinishedDependencies(o.id).includes(view.id) ||
+          core.dependencies.isCancelledByDependency(o.id)
         )
           continue;
         looked++;
         const rank = ["best_effort", "normal", "high", "prod"] as const;
-        if (rank.indexOf(o.urgency) > rank.indexOf(urgency))
-          urgency = o.urgency;
+        if (rank.indexOf(o.priority) > rank.indexOf(priority))
+          priority = o.priority;
         dueAt = Math.min(dueAt, o.dueAt - o.spec.estimateS * 1000);
       }
       assert.deepEqual(
-        [view.urgency, view.dueAt],
-        [urgency, dueAt],
+        [view.priority, view.dueAt],
+        [priority, dueAt],
         `${view.id} at ${w.now}`,
       );
     }
@@ -373,30 +383,30 @@
 
 test("the checker catches jobs that are released too early", () => {
   mustCatch(/too_early/, () => {
-    const proto = Awaiting.prototype as unknown as {
-      seen: (view: { awaits: readonly string[] }) => void;
+    const proto = DependencyTracker.prototype as unknown as {
+      onJob: (view: { dependsOn: readonly string[] }) => void;
     };
-    const { seen } = proto;
-    proto.seen = function (view) {
-      seen.call(
+    const { onJob } = proto;
+    proto.onJob = function (view) {
+      onJob.call(
         this,
-        view.awaits.length > 1
-          ? { ...view, awaits: view.awaits.slice(0, 1) }
+        view.dependsOn.length > 1
+          ? { ...view, dependsOn: view.dependsOn.slice(0, 1) }
           : view,
       );
     };
-    return () => (proto.seen = seen);
+    return () => (proto.onJob = onJob);
   });
 });
 
 test("the checker catches jobs that go on being called queued after one that they need is cancelled", () => {
   mustCatch(/orphaned/, () => {
-    const proto = Awaiting.prototype as unknown as {
-      doom: (e: object) => void;
+    const proto = DependencyTracker.prototype as unknown as {
+      cancelWithDependency: (e: object) => void;
     };
-    const { doom } = proto;
-    proto.doom = () => {};
-    return () => (proto.doom = doom);
+    const { cancelWithDependency } = proto;
+    proto.cancelWithDependency = () => {};
+    return () => (proto.cancelWithDependency = cancelWithDependency);
   });
 });
 
@@ -411,9 +421,14 @@
     const asking = (): void =>
       w.ask(
         w.names[n % 3]!,
-        (req) => ({ is: "submit", req, spec, awaits: w.awaits.get(spec.id) }),
+        (req) => ({
+          type: "submit",
+          req,
+          spec,
+          dependsOn: w.dependsOn.get(spec.id),
+        }),
         (a) => {
-          if (a?.is !== "job") return w.at(100, asking);
+          if (a?.kind !== "job") return w.at(100, asking);
           tookMs.push(w.now - askedMs);
           // The next is submitted elsewhere as soon as this is accepted, over and over.
           if (n < 60) line([n]);
@@ -447,7 +462,7 @@
   after(w, 150_000);
   const open = [...w.specs.keys()].filter(
     (id) =>
-      w.awaits.get(id)!.length > 0 &&
+      w.dependsOn.get(id)!.length > 0 &&
       w.state.data.has(jobKey(id)) &&
       (w.state.data.get(jobKey(id))!.value as { needs?: string[] }).needs !==
         undefined,
@@ -469,12 +484,12 @@
     submit(w, spec, "node-c");
     let asked: { answer: Answer | null } | null = null;
     w.afterStep = () => {
-      if (asked || !w.state.data.has(pastKey("req-000001"))) return;
+      if (asked || !w.state.data.has(finalKey("req-000001"))) return;
       asked = { answer: null };
       const withdraw = (): void => {
-        asked = ask(w, "withdraw", spec.id, w.rng.pick(w.names));
+        asked = ask(w, "cancel", spec.id, w.rng.pick(w.names));
         // Its watch may have fallen too far behind at this very moment: users ask again.
-        w.at(1_000, () => asked?.answer?.is === "later" && withdraw());
+        w.at(1_000, () => asked?.answer?.kind === "retryLater" && withdraw());
       };
       w.at(w.rng.real(0, 40), withdraw);
     };
@@ -498,7 +513,7 @@
       assert.equal(stateOf(told.answer), "cancelled");
     }
     assert.ok(
-      w.state.data.has(pastKey(spec.id)) && !w.state.data.has(jobKey(spec.id)),
+      w.state.data.has(finalKey(spec.id)) && !w.state.data.has(jobKey(spec.id)),
     );
     kept(w);
   }
@@ -508,9 +523,9 @@
 test("a line of thousands of jobs, each waiting for the one before, overflows nothing", () => {
   // Once a controller's stack overflowed at 5,000, as would every controller's that reads such records.
   const n = 6_000;
-  const mirror = new Mirror();
-  const core = new Awaiting(
-    { nowMs: 0, wallMs: 0, mirror } as unknown as Context,
+  const cache = new StoreCache();
+  const core = new DependencyTracker(
+    { nowMs: 0, wallMs: 0, cache } as unknown as Context,
     () => null,
     () => {},
   );
@@ -519,18 +534,18 @@
   for (let i = 1; i <= n; i++) {
     const spec = {
       ...randomJob(w, i),
-      urgency: i === n ? ("high" as const) : ("normal" as const),
+      priority: i === n ? ("high" as const) : ("normal" as const),
       deadlineS: i === n ? 60 : null,
       estimateS: 1,
     };
     const value = writeJob({
       spec,
       acceptedAt: 0,
-      split: new Map(i === 1 ? [["g", RangeSet.upTo(1)]] : []),
-      awaits: i === 1 ? [] : [id(i - 1)],
+      assignment: new Map(i === 1 ? [["g", RangeSet.upTo(1)]] : []),
+      dependsOn: i === 1 ? [] : [id(i - 1)],
       releasedAt: null,
     });
-    for (const s of mirror.apply(
+    for (const s of cache.apply(
       [
         {
           op: "put",
@@ -541,14 +556,14 @@
       ],
       i,
     ))
-      if (s.kind === "job") core.seen(s.job);
+      if (s.kind === "job") core.onJob(s.job);
   }
-  const first = mirror.jobs.get(id(1))!;
+  const first = cache.jobs.get(id(1))!;
   assert.deepEqual(
-    [first.urgency, first.dueAt],
+    [first.priority, first.dueAt],
     ["high", 60_000 - (n - 1) * 1_000],
   );
-  assert.equal(core.unsure(id(n)), null);
-  core.settle(id(1), { status: "cancelled", tasks: 1, done: 0 });
-  assert.ok(core.isDoomed(id(n)));
+  assert.equal(core.unresolvedDependency(id(n)), null);
+  core.onFinalRecord(id(1), { status: "cancelled", tasks: 1, done: 0 });
+  assert.ok(core.isCancelledByDependency(id(n)));
 });
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Master } from "../src/coordination/master.js";
-import { Placing } from "../src/coordination/placing.js";
-import { StateReader } from "../src/coordination/state-reader.js";
-import { Users } from "../src/coordination/users.js";
+import { PartitionLeader } from "../src/coordination/master.js";
+import { Scheduler } from "../src/coordination/placing.js";
+import { StoreWatcher } from "../src/coordination/state-reader.js";
+import { JobRequests } from "../src/coordination/users.js";
 import {
   plainJob,
   runToEnd,
   stage,
   tasksOnMachines,
 } from "./scenarios/stage.js";
-import { cancel, odd, users } from "./sim/days.js";
+import { cancel, oddRequest, submitWorkload } from "./sim/days.js";
 import type { World } from "./sim/world.js";
 
 /** Each of these checks of the simulation is seen to fail once what it watches is switched off. */
@@ -21,7 +21,7 @@
 function quietDay(prepare: (world: World) => void = () => {}): World {
   const world = stage(4, { controllers: 2, runFactor: 8 });
   prepare(world);
-  users(world, LAST_JOB_MS, plainJob);
+  submitWorkload(world, LAST_JOB_MS, plainJob);
   runToEnd(world, LAST_JOB_MS + 10_000);
   return world;
 }
@@ -50,24 +50,25 @@
   );
 
 test("a quiet day passes every check", () => {
-  const world = quietDay((w) => w.every(1_000, () => odd(w, w.starts)));
+  const world = quietDay((w) => w.every(1_000, () => oddRequest(w, w.starts)));
   assert.deepEqual(world.checker.broken, []);
 });
 
 test("seen to fail: a job is accepted that can't run", () => {
   const day = (): World =>
     quietDay((w) => {
-      for (let n = 0; n < 10; n++) w.at(2_000 + n * 500, () => odd(w, n));
+      for (let n = 0; n < 10; n++)
+        w.at(2_000 + n * 500, () => oddRequest(w, n));
     });
   breaks(
-    without(Users.prototype, "cannotRun", () => null, day),
+    without(JobRequests.prototype, "reasonItCannotRun", () => null, day),
     "accepted_unfit",
   );
 });
 
 test("seen to fail: a job waits beside a machine with room", () => {
   breaks(
-    without(Placing.prototype, "place", () => {}, quietDay),
+    without(Scheduler.prototype, "runRound", () => {}, quietDay),
     "left_waiting",
   );
 });
@@ -80,7 +81,7 @@
     this.refuse(req, "never");
   };
   breaks(
-    without(StateReader.prototype, "afterRead", silent, () => quietDay()),
+    without(StoreWatcher.prototype, "afterRead", silent, () => quietDay()),
     "forgotten",
   );
 });
@@ -102,13 +103,13 @@
 
 test("seen to fail: a cancelled task goes on after its machine hung", () => {
   assert.deepEqual(hangDay().checker.broken, []);
-  type WithOrders = { ordersFor(worker: unknown): { op: string }[] };
-  const { ordersFor } = Master.prototype as unknown as WithOrders;
+  type WithCommands = { commandsFor(worker: unknown): { op: string }[] };
+  const { commandsFor } = PartitionLeader.prototype as unknown as WithCommands;
   const noStops = function (this: unknown, worker: never): unknown {
-    return ordersFor.call(this, worker).filter((o) => o.op !== "stop");
+    return commandsFor.call(this, worker).filter((o) => o.op !== "stop");
   };
   breaks(
-    without(Master.prototype, "ordersFor", noStops, hangDay),
+    without(PartitionLeader.prototype, "commandsFor", noStops, hangDay),
     "ran_cancelled",
   );
 });
@@ -123,6 +124,8 @@
       };
     });
   const few = startsAfter(day());
-  const many = startsAfter(without(Master.prototype, "jobGone", () => {}, day));
+  const many = startsAfter(
+    without(PartitionLeader.prototype, "removeJob", () => {}, day),
+  );
   assert.ok(many > few, `${many} with the guard off, ${few} with it`);
 });
--- a/test/contradictions.test.ts
+++ b/test/contradictions.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { parseReport } from "../src/protocol/workers.js";
-import { describeDay } from "./sim/guards.js";
+import { parseHeartbeat } from "../src/protocol/workers.js";
+import { describeWorkload } from "./sim/guards.js";
 import { World } from "./sim/world.js";
 
 /** What contradicts itself or what is known changes nothing, and is told of in the log once a minute at most. */
@@ -35,17 +35,17 @@
         });
     };
     const core = w.nodes.get("node-a")!.core;
-    const had = core.mirror.epoch;
+    const had = core.cache.revision;
     w.run(30_000);
     assert.ok(
-      core.permit.untilMs <= w.clockOf("node-a"),
-      `${wrong}: a permit without any read\n${describeDay(w)}`,
+      core.leadershipLease.untilMs <= w.clockOf("node-a"),
+      `${wrong}: a permit without any read\n${describeWorkload(w)}`,
     );
-    assert.equal(core.mirror.epoch, had);
+    assert.equal(core.cache.revision, had);
     assert.equal(
       lines(w, "inconsistent store response").length,
       1,
-      describeDay(w),
+      describeWorkload(w),
     );
     w.run(75_000);
     assert.equal(
@@ -56,7 +56,7 @@
     w.state.handle = handle;
     w.run(80_000);
     assert.ok(
-      core.permit.untilMs > w.clockOf("node-a"),
+      core.leadershipLease.untilMs > w.clockOf("node-a"),
       "and it goes on once replies make sense again",
     );
   }
@@ -80,9 +80,9 @@
     () => {},
   );
   w.run(12_000);
-  const { mirror } = w.nodes.get("node-a")!.core;
-  assert.equal(mirror.rooms.has("node-z"), false);
-  assert.equal(mirror.claims.get("node-z")?.by, "node-b");
+  const { cache } = w.nodes.get("node-a")!.core;
+  assert.equal(cache.capacities.has("node-z"), false);
+  assert.equal(cache.leadershipBids.get("node-z")?.by, "node-b");
   assert.equal(lines(w, "unreadable record").length, 1);
   assert.match(lines(w, "unreadable record")[0]!, /lc\/now\/room\/node-z/);
 });
@@ -91,23 +91,23 @@
   const w = quiet(3);
   const m = w.workers[0]!;
   const known = [
-    ...w.nodes.get("node-a")!.core.masters.values(),
-  ][0]!.own.workers.get(m.id)!;
-  const before = [known.tally, known.zone, known.typeName];
+    ...w.nodes.get("node-a")!.core.leaders.values(),
+  ][0]!.state.workers.get(m.id)!;
+  const before = [known.sequence, known.zone, known.typeName];
   for (let k = 0; k < 5; k++)
-    w.report(
+    w.heartbeat(
       "node-a",
-      { ...m.snapshot(), tally: 90_000 + k, type: "big" },
-      (a) => assert.equal(a?.is, "later"),
+      { ...m.snapshot(), sequence: 90_000 + k, type: "big" },
+      (a) => assert.equal(a?.kind, "retryLater"),
     );
   w.run(8_100);
   assert.deepEqual(
-    [known.tally >= 90_000, known.zone, known.typeName],
+    [known.sequence >= 90_000, known.zone, known.typeName],
     [false, before[1], before[2]],
   );
   assert.equal(lines(w, "heartbeat contradicts").length, 1);
   w.run(20_000);
-  assert.equal(known.lost, false, "its own reports count on");
+  assert.equal(known.leaseExpired, false, "its own reports count on");
 });
 
 test("a report that names an attempt of a task twice in different states is refused, whole", () => {
@@ -128,18 +128,18 @@
     status: "exited",
     cause: "done",
   };
-  const r = parseReport(hello([running, done]));
+  const r = parseHeartbeat(hello([running, done]));
   assert.deepEqual(r, {
     ok: false,
     error: "shards: req-000001/2: attempt 4 is running and exited",
   });
   assert.equal(
-    parseReport(hello([running, { ...done, try: 5 }])).ok,
+    parseHeartbeat(hello([running, { ...done, try: 5 }])).ok,
     true,
     "another attempt is another task",
   );
   assert.equal(
-    parseReport(hello([running, running])).ok,
+    parseHeartbeat(hello([running, running])).ok,
     true,
     "the same twice contradicts nothing",
   );
--- a/test/daemon.test.ts
+++ b/test/daemon.test.ts
@@ -223,7 +223,7 @@
 
 /** One report of the stand-in worker; the orders it got. */
 async function hello(
-  tally: number,
+  sequence: number,
   baton: number,
   shards: object[],
 ): Promise<{
@@ -237,7 +237,7 @@
     yard: "east",
     loaners: false,
     watch: 1,
-    tally,
+    tally: sequence,
     baton,
     recallS: null,
     shards,
@@ -264,14 +264,14 @@
     (await call("POST", "/v1/jobs", JSON.stringify(JOB))).status,
     200,
   );
-  let tally = 0;
+  let sequence = 0;
   let baton = 0;
   const held = new Map<
     string,
     { shard: string; try: number; status: string; cause?: string }
   >();
   await until("both tasks started and cleared", async () => {
-    const a = await hello(++tally, baton, [...held.values()]);
+    const a = await hello(++sequence, baton, [...held.values()]);
     baton = a.baton;
     for (const o of a.orders) {
       if (o.verb === "start")
--- a/test/golden.test.ts
+++ b/test/golden.test.ts
@@ -6,7 +6,7 @@
   TRACE_DAYS,
 } from "./golden/core-trace.js";
 import { expectText } from "./golden/expect.js";
-import { recordHooksTrace } from "./golden/hooks-trace.js";
+import { recordWebhooksTrace } from "./golden/hooks-trace.js";
 import "./golden/metrics.js";
 import "./golden/protocol.js";
 import "./golden/records.js";
@@ -99,8 +99,8 @@
 });
 
 test("golden: a recorded day of hooks", () => {
-  const hash = recordHooksTrace(21);
-  assert.equal(recordHooksTrace(21), hash);
+  const hash = recordWebhooksTrace(21);
+  assert.equal(recordWebhooksTrace(21), hash);
   expectText(
     hash,
     "ee91693abe6c606806f61156f8d1f1722befbc2b3767fbf3af09d4efb1bb967f",
--- a/test/golden/core-trace.ts
+++ b/test/golden/core-trace.ts
@@ -9,7 +9,11 @@
   Effect,
   Input,
 } from "../../src/coordination/effects.js";
-import type { JobSpec, Report, Tuning } from "../../src/coordination/model.js";
+import type {
+  JobSpec,
+  Heartbeat,
+  Tuning,
+} from "../../src/coordination/model.js";
 import { listPath, rentBody, returnBody } from "../../src/protocol/cloud.js";
 import { jobBody } from "../../src/protocol/jobs.js";
 import {
@@ -18,7 +22,7 @@
   stateRequest,
 } from "../../src/protocol/state.js";
 import {
-  answerBody,
+  heartbeatAnswerBody,
   commandBody,
   redirectBody,
 } from "../../src/protocol/workers.js";
@@ -26,8 +30,8 @@
   largeJob,
   pipelines,
   randomJob,
-  troubles,
-  users,
+  injectFaults,
+  submitWorkload,
 } from "../sim/days.js";
 import { World } from "../sim/world.js";
 
@@ -60,7 +64,7 @@
 }
 
 const DAY_MS = 55_000;
-const TROUBLES_UNTIL_MS = 50_000;
+const FAULTS_UNTIL_MS = 50_000;
 const SILENT_RETURN_S = 20;
 
 /** What a recorded run leaves. */
@@ -75,19 +79,26 @@
 /** One recorded line: plain values in a fixed order. */
 type Line = readonly unknown[];
 
+/** The wire's words for the kinds of jobs. */
+const WIRE_KINDS: Record<JobSpec["kind"], string> = {
+  array: "batch",
+  gang: "ensemble",
+  service: "daemon",
+};
+
 const jobLine = (spec: JobSpec): Line => [
   spec.id,
-  spec.class,
+  spec.jobClass,
   spec.team,
-  spec.shape,
-  spec.urgency,
+  WIRE_KINDS[spec.kind],
+  spec.priority,
   spec.tasks,
   spec.cpus,
   spec.gpus,
   spec.memGb,
   spec.image,
   spec.imageGb,
-  spec.types,
+  spec.machineTypes,
   spec.zone,
   spec.samePlace,
   spec.spread,
@@ -98,14 +109,14 @@
   spec.deadlineS,
 ];
 
-const reportLine = (report: Report): Line => [
+const reportLine = (report: Heartbeat): Line => [
   report.worker,
   report.address,
   report.type,
   report.zone,
   report.spot,
-  report.session,
-  report.tally,
+  report.incarnation,
+  report.sequence,
   report.token,
   report.noticeS,
   report.tasks.map((task) => [
@@ -114,7 +125,7 @@
     task.attempt,
     task.state,
     task.cause,
-    task.saved,
+    task.checkpointed,
   ]),
 ];
 
@@ -161,7 +172,7 @@
 }
 
 function cloudReplyLine(reply: CloudReply): Line {
-  switch (reply.is) {
+  switch (reply.kind) {
     case "catalog":
       return [
         "catalog",
@@ -204,7 +215,7 @@
 }
 
 function commandReplyLine(reply: CommandReply): Line {
-  switch (reply.is) {
+  switch (reply.kind) {
     case "answered":
       return ["answered", reply.status];
     case "refused":
@@ -215,16 +226,16 @@
 }
 
 function inputLine(input: Input): Line {
-  switch (input.is) {
+  switch (input.type) {
     case "submit":
-      return ["submit", input.req, jobLine(input.spec), input.awaits ?? []];
+      return ["submit", input.req, jobLine(input.spec), input.dependsOn ?? []];
     case "status":
       return ["status", input.req, input.id];
-    case "withdraw":
+    case "cancel":
       return ["withdraw", input.req, input.id];
-    case "report":
-      return ["report", input.req, input.relayed, reportLine(input.report)];
-    case "unserved":
+    case "heartbeat":
+      return ["report", input.req, input.relayed, reportLine(input.heartbeat)];
+    case "leaderUnreachable":
       return ["not relayed", input.zone];
     case "peers":
       return ["peers", input.up];
@@ -234,8 +245,12 @@
       return ["cloud", input.op, cloudReplyLine(input.reply)];
     case "command":
       return ["command", input.op, commandReplyLine(input.reply)];
-    case "inspected":
-      return ["inspected", input.op, input.report && reportLine(input.report)];
+    case "inspectReply":
+      return [
+        "inspected",
+        input.op,
+        input.heartbeat && reportLine(input.heartbeat),
+      ];
     case "memory":
       return ["memory", input.short];
     case "tick":
@@ -246,29 +261,29 @@
 }
 
 function answerLine(answer: Answer): Line {
-  switch (answer.is) {
+  switch (answer.kind) {
     case "job": {
       const counts =
         answer.done === undefined
           ? undefined
           : { done: answer.done, running: answer.running ?? 0 };
-      const body = jobBody(answer.id, answer.state, counts, answer.awaits);
+      const body = jobBody(answer.id, answer.state, counts, answer.dependsOn);
       return [answer.status, body];
     }
-    case "never":
+    case "cannotRun":
       return [422, answer.error];
-    case "tooLong":
+    case "recordTooLarge":
       return [400, answer.error];
     case "unknownJob":
       return [404];
-    case "later":
+    case "retryLater":
       return [503, answer.afterS, answer.why];
-    case "orders":
-      return [200, answerBody(answer.token, answer.orders)];
-    case "elsewhere":
-      return [421, redirectBody(answer.master)];
+    case "commands":
+      return [200, heartbeatAnswerBody(answer.token, answer.commands)];
+    case "redirect":
+      return [421, redirectBody(answer.leader)];
     case "relay":
-      return ["relay", answer.master];
+      return ["relay", answer.leader];
   }
 }
 
@@ -295,23 +310,23 @@
 
 /** null: not recorded. */
 function effectLine(effect: Effect): Line | null {
-  switch (effect.do) {
+  switch (effect.type) {
     case "answer":
       return ["answer", effect.req, answerLine(effect.answer)];
     case "state":
-      return ["state", effect.op, effect.urgent, stateCallLine(effect.call)];
+      return ["state", effect.op, effect.priority, stateCallLine(effect.call)];
     case "cloud":
-      return ["cloud", effect.op, effect.urgent, cloudCallLine(effect.call)];
+      return ["cloud", effect.op, effect.priority, cloudCallLine(effect.call)];
     case "command":
       return [
         "command",
         effect.op,
         effect.address,
-        commandBody(effect.token, effect.session, effect.orders),
+        commandBody(effect.token, effect.incarnation, effect.commands),
       ];
     case "inspect":
       return ["inspect", effect.op, effect.address];
-    case "seen":
+    case "storeChanges":
       return ["seen", effect.from, effect.to, effect.changes.length];
     case "wake":
       return ["wake", effect.afterMs];
@@ -348,12 +363,12 @@
     this.counts.set(what, (this.counts.get(what) ?? 0) + 1);
   }
   input(input: Input): void {
-    if (input.is === "withdraw") this.add("cancellations");
-    if (input.is === "submit" && (input.awaits ?? []).length > 0)
+    if (input.type === "cancel") this.add("cancellations");
+    if (input.type === "submit" && (input.dependsOn ?? []).length > 0)
       this.add("submissions that name other jobs");
   }
   effect(effect: Effect): void {
-    if (effect.do !== "state" || effect.call.op !== "commit") return;
+    if (effect.type !== "state" || effect.call.op !== "commit") return;
     this.add("commits");
     for (const write of effect.call.writes) {
       const kind = write.key.split("/").slice(0, 3).join("/");
@@ -400,9 +415,9 @@
   };
   for (const zone of world.zones)
     world.cloud.add(world.types[0]!, zone, false, 0);
-  users(world, TROUBLES_UNTIL_MS, day.draw);
-  pipelines(world, 5_000, TROUBLES_UNTIL_MS);
-  troubles(world, TROUBLES_UNTIL_MS);
+  submitWorkload(world, FAULTS_UNTIL_MS, day.draw);
+  pipelines(world, 5_000, FAULTS_UNTIL_MS);
+  injectFaults(world, FAULTS_UNTIL_MS);
   // Beside what the troubles bring: one failover at a fixed time.
   world.at(30_000, () => world.crash("node-a"));
   world.at(42_000, () => world.nodes.get("node-a") ?? world.boot("node-a"));
--- a/test/golden/hooks-trace.ts
+++ b/test/golden/hooks-trace.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 import { stateRequest } from "../../src/protocol/state.js";
-import { calm, HookWorld, LIMITS, troubles } from "../hooks/days.js";
+import { calm, WebhookWorld, LIMITS, faults } from "../hooks/days.js";
 
 const DAY_MS = 60_000;
 const REST_MS = 30_000;
@@ -9,9 +9,9 @@
  * A recorded day of the sending of hooks: all calls to the state service as they cross the wire, all calls that receivers got, and what
  * users were answered, as one hash.
  */
-export function recordHooksTrace(seed: number): string {
+export function recordWebhooksTrace(seed: number): string {
   const hash = createHash("sha256");
-  const world = new HookWorld(seed, LIMITS, 3, 15);
+  const world = new WebhookWorld(seed, LIMITS, 3, 15);
   const { store } = world;
   const handle = store.handle.bind(store);
   store.handle = (call, ...rest): void => {
@@ -23,7 +23,7 @@
   world.add("red-only", { crews: ["red"], ordered: true });
   world.add("asked", { ask: true });
   world.lossy = 0.02;
-  troubles(world, DAY_MS);
+  faults(world, DAY_MS);
   for (let place = 0; place < 150; place++)
     world.at(place * 400, () =>
       world.end(
@@ -51,7 +51,7 @@
   for (const receiver of world.receivers.values())
     for (const call of receiver.calls)
       hash.update(
-        `${JSON.stringify([call.hook, call.id, call.attempt, call.reason, call.node, call.atMs])}\n`,
+        `${JSON.stringify([call.webhook, call.id, call.attempt, call.reason, call.node, call.atMs])}\n`,
       );
   for (const [request, { status, body }] of world.replies)
     hash.update(`${request} ${status} ${JSON.stringify(body)}\n`);
--- a/test/golden/metrics.ts
+++ b/test/golden/metrics.ts
@@ -1,30 +1,30 @@
 import { test } from "node:test";
 import type {
   Controller,
-  TeamFigures,
+  TeamStatistics,
 } from "../../src/coordination/controller.js";
-import type { HookCore } from "../../src/hooks/core.js";
+import type { WebhookCore } from "../../src/hooks/core.js";
 import { Metrics } from "../../src/metrics/index.js";
 import { expectText } from "./expect.js";
 
-const FIGURES: Controller["figures"] = {
+const FIGURES: Controller["statistics"] = {
   unfinished: 1,
-  groups: 2,
+  partitions: 2,
   machines: 3,
   idle: 4,
   queuedPlain: 5,
   queuedAccelerated: 6,
   running: 7,
-  deaf: 8,
-  late: 9,
-  suspects: 10,
+  unreachableMachines: 8,
+  staleHeartbeats: 9,
+  quarantinedJobs: 10,
   longestGangS: 11,
   refused: 12,
   refusedForS: 13,
 };
-const TEAM: TeamFigures = {
+const TEAM: TeamStatistics = {
   team: "red",
-  group: "east",
+  partition: "east",
   limit: [1, Infinity],
   guarantee: [2, 3],
   share: [4, 5],
@@ -34,7 +34,7 @@
   inFlight: [12, 13],
   reclaimed: [14, 15],
 };
-const HOOK_FIGURES: HookCore["figures"] = {
+const WEBHOOK_FIGURES: WebhookCore["figures"] = {
   owned: 1,
   inFlight: 2,
   window: 3,
@@ -53,13 +53,13 @@
     () => 4_500,
   );
   metrics.watchTeams(() => [TEAM]);
-  metrics.watchHooks(() => HOOK_FIGURES);
+  metrics.watchWebhooks(() => WEBHOOK_FIGURES);
   metrics.logged("controller started");
   metrics.called("state", "commit", "committed", 20, 30);
   metrics.called("cloud", "rent", "noCapacity", 0, 300);
-  metrics.hookSettled("delivered", 700);
-  metrics.hookSettled("dead", 800);
-  metrics.hookAttempted("2xx", 40);
+  metrics.webhookSettled("delivered", 700);
+  metrics.webhookSettled("dead", 800);
+  metrics.webhookAttempted("2xx", 40);
   const response = await metrics.routes().request("/metrics");
   expectText(
     String(response.headers.get("content-type")),
--- a/test/golden/protocol.ts
+++ b/test/golden/protocol.ts
@@ -1,6 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { JobSpec, Order, Report } from "../../src/coordination/model.js";
+import type {
+  JobSpec,
+  Command,
+  Heartbeat,
+} from "../../src/coordination/model.js";
 import {
   listPath,
   parseCatalog,
@@ -26,9 +30,9 @@
   stateRequest,
 } from "../../src/protocol/state.js";
 import {
-  answerBody,
+  heartbeatAnswerBody,
   commandBody,
-  parseReport,
+  parseHeartbeat,
   redirectBody,
 } from "../../src/protocol/workers.js";
 import { expectJson, expectText } from "./expect.js";
@@ -36,17 +40,17 @@
 /** A job with a value of its own in every field. */
 export const JOB: JobSpec = {
   id: "req-000412",
-  class: "arrays",
+  jobClass: "arrays",
   team: "red",
-  shape: "ensemble",
-  urgency: "best_effort",
+  kind: "gang",
+  priority: "best_effort",
   tasks: 7,
   cpus: 2.5,
   gpus: 1,
   memGb: 16,
   image: "img-3",
   imageGb: 4,
-  types: ["small", "big"],
+  machineTypes: ["small", "big"],
   zone: "east",
   samePlace: true,
   spread: false,
@@ -64,14 +68,14 @@
 
 const REPORT_BODY =
   '{"berth":"n-17","address":"10.0.0.7:8001","hull":"small","yard":"east","loaners":true,"watch":3,"tally":41,"baton":9,"recallS":12.5,"shards":[{"shard":"req-000412/3","try":2,"status":"exited","cause":"no_room","kept":true},{"shard":"req-000413/0","try":5,"status":"fetching"},{"shard":"req-000413/1","try":5,"status":"waiting"},{"shard":"req-000413/2","try":5,"status":"running"},{"shard":"req-000413/3","try":5,"status":"saving"}]}';
-const REPORT: Report = {
+const REPORT: Heartbeat = {
   worker: "n-17",
   address: "10.0.0.7:8001",
   type: "small",
   zone: "east",
   spot: true,
-  session: 3,
-  tally: 41,
+  incarnation: 3,
+  sequence: 41,
   token: 9,
   noticeS: 12.5,
   tasks: [
@@ -81,7 +85,7 @@
       attempt: 2,
       state: "exited",
       cause: "no_room",
-      saved: true,
+      checkpointed: true,
     },
     ...(["fetching", "waiting", "running", "saving"] as const).map(
       (state, index) => ({
@@ -90,14 +94,14 @@
         attempt: 5,
         state,
         cause: null,
-        saved: false,
+        checkpointed: false,
       }),
     ),
   ],
 };
 
 /** One order of each kind. */
-export const ORDERS: readonly Order[] = [
+export const COMMANDS: readonly Command[] = [
   { op: "start", job: "req-000412", index: 3, attempt: 2 },
   { op: "stop", job: "req-000412", index: 4, attempt: 6, graceS: 1.5 },
   { op: "forget", job: "req-000412", index: 5, attempt: 7 },
@@ -106,24 +110,24 @@
 test("golden: bodies of users' requests", () => {
   assert.deepEqual(parseJob(JOB_BODY), {
     ok: true,
-    value: { awaits: ["req-1", "req-2"], spec: JOB },
+    value: { dependsOn: ["req-1", "req-2"], spec: JOB },
   });
   assert.deepEqual(parseJob(LEAST_JOB_BODY), {
     ok: true,
     value: {
-      awaits: [],
+      dependsOn: [],
       spec: {
         ...JOB,
         id: "req-1",
-        shape: "batch",
-        urgency: "prod",
+        kind: "array",
+        priority: "prod",
         tasks: 1,
         cpus: 1,
         gpus: 0,
         memGb: 2,
         image: "",
         imageGb: 0,
-        types: null,
+        machineTypes: null,
         zone: null,
         samePlace: false,
         spot: false,
@@ -159,10 +163,10 @@
 });
 
 test("golden: workers' reports, answers and commands", () => {
-  assert.deepEqual(parseReport(REPORT_BODY), { ok: true, value: REPORT });
+  assert.deepEqual(parseHeartbeat(REPORT_BODY), { ok: true, value: REPORT });
   const least =
     '{"berth":"n-17","address":"10.0.0.7:8001","hull":"small","yard":"east","watch":3,"tally":41}';
-  assert.deepEqual(parseReport(least), {
+  assert.deepEqual(parseHeartbeat(least), {
     ok: true,
     value: {
       ...REPORT,
@@ -170,26 +174,26 @@
       token: 0,
       noticeS: null,
       tasks: [],
-    } satisfies Report,
+    } satisfies Heartbeat,
   });
   expectJson(
-    parseReport("{}"),
+    parseHeartbeat("{}"),
     '{"ok":false,"error":"berth: Invalid key: Expected \\"berth\\" but received undefined"}',
   );
   expectJson(
-    parseReport(REPORT_BODY.replace("no_room", "lost")),
+    parseHeartbeat(REPORT_BODY.replace("no_room", "lost")),
     '{"ok":false,"error":"shards.0.cause: Invalid type: Expected (\\"done\\" | \\"stopped\\" | \\"peers\\" | \\"incomplete\\" | \\"error\\" | \\"no_room\\" | \\"busy\\" | \\"no_such\\") but received \\"lost\\""}',
   );
   expectJson(
-    parseReport(REPORT_BODY.replace("/3", "/999999")),
+    parseHeartbeat(REPORT_BODY.replace("/3", "/999999")),
     '{"ok":false,"error":"shards: req-000412/999999: no such task number"}',
   );
   expectJson(
-    answerBody(9, ORDERS),
+    heartbeatAnswerBody(9, COMMANDS),
     '{"baton":9,"orders":[{"verb":"start","shard":"req-000412/3","try":2},{"verb":"kill","shard":"req-000412/4","try":6,"leewayS":1.5},{"verb":"clear","shard":"req-000412/5","try":7}]}',
   );
   expectJson(
-    commandBody(9, 3, ORDERS),
+    commandBody(9, 3, COMMANDS),
     '{"baton":9,"watch":3,"orders":[{"verb":"start","shard":"req-000412/3","try":2},{"verb":"kill","shard":"req-000412/4","try":6,"leewayS":1.5},{"verb":"clear","shard":"req-000412/5","try":7}]}',
   );
   expectJson(redirectBody("node-b"), '{"harbormaster":"node-b"}');
@@ -400,11 +404,11 @@
     "0000000701020000000101",
   );
   expectText(
-    hex(encode(Frame.Report, 2, Buffer.from("{}"))),
+    hex(encode(Frame.Heartbeat, 2, Buffer.from("{}"))),
     "000000080103000000027b7d",
   );
   expectText(
-    hex(encode(Frame.State, 0xfffffffe, Buffer.from("[]"))),
+    hex(encode(Frame.StoreCall, 0xfffffffe, Buffer.from("[]"))),
     "000000080104fffffffe5b5d",
   );
   expectText(
@@ -417,7 +421,7 @@
   );
   const frames = new FrameReader().push(stream.subarray(0, 12));
   assert.deepEqual(frames, [
-    { type: Frame.State, id: 2, payload: Buffer.from("[]") },
+    { type: Frame.StoreCall, id: 2, payload: Buffer.from("[]") },
   ]);
   assert.deepEqual(decodeReply(Buffer.from("01a57b7d", "hex")), {
     status: 421,
--- a/test/golden/records.ts
+++ b/test/golden/records.ts
@@ -3,48 +3,51 @@
 import { RangeSet } from "../../src/coordination/ranges.js";
 import type { Item } from "../../src/protocol/state.js";
 import * as hooks from "../../src/hooks/records.js";
-import { endingOf } from "../../src/hooks/tail.js";
+import { jobEndOf } from "../../src/hooks/tail.js";
 import * as records from "../../src/storage/records.js";
 import { expectJson, expectStored, expectText } from "./expect.js";
 import { JOB } from "./protocol.js";
 
 test("golden: keys of records", () => {
   expectJson(
-    [records.ROOT, records.NOW, records.PAST],
+    [records.ROOT_PREFIX, records.LIVE_PREFIX, records.FINAL_PREFIX],
     '["lc/","lc/now/","lc/past/"]',
   );
-  expectText(records.groupKey("east"), "lc/now/group/east");
-  expectText(records.claimKey("east"), "lc/now/claim/east");
+  expectText(records.partitionKey("east"), "lc/now/group/east");
+  expectText(records.leadershipBidKey("east"), "lc/now/claim/east");
   expectText(records.jobKey("req-1"), "lc/now/job/req-1");
-  expectText(records.pastKey("req-1"), "lc/past/req-1");
+  expectText(records.finalKey("req-1"), "lc/past/req-1");
   expectText(
-    records.finKey("req-1", "east", 1003),
+    records.completionKey("req-1", "east", 1003),
     "lc/now/fin/req-1/east/1003",
   );
   expectText(records.gangKey("req-1"), "lc/now/gang/req-1");
   expectText(records.readyKey("req-1", "east"), "lc/now/ready/req-1/east");
-  expectText(records.rosterKey("east", 2), "lc/now/roster/east/2");
-  expectText(records.roomKey("east"), "lc/now/room/east");
+  expectText(records.registryKey("east", 2), "lc/now/roster/east/2");
+  expectText(records.capacityKey("east"), "lc/now/room/east");
   expectText(records.QUOTA_KEY, "lc/now/quota");
-  expectText(records.limitKey(3), "lc/now/limit/3");
-  expectText(records.beliefKey("node-a"), "lc/now/belief/node-a");
+  expectText(records.quotaKey(3), "lc/now/limit/3");
+  expectText(records.observedLimitsKey("node-a"), "lc/now/belief/node-a");
   expectText(records.RECLAIM_KEY, "lc/now/reclaim");
 });
 
 test("golden: keys are read as what they are", () => {
-  const readAs: readonly [string, records.Key | null][] = [
-    ["lc/now/group/east", { kind: "group", group: "east" }],
-    ["lc/now/claim/east", { kind: "claim", group: "east" }],
-    ["lc/now/room/east", { kind: "room", group: "east" }],
+  const readAs: readonly [string, records.StoreKey | null][] = [
+    ["lc/now/group/east", { kind: "group", partition: "east" }],
+    ["lc/now/claim/east", { kind: "claim", partition: "east" }],
+    ["lc/now/room/east", { kind: "room", partition: "east" }],
     ["lc/now/job/req-1", { kind: "job", id: "req-1" }],
     ["lc/past/req-1", { kind: "past", id: "req-1" }],
     [
       "lc/now/fin/req-1/east/1003",
-      { kind: "fin", id: "req-1", group: "east", chunk: 1003 },
+      { kind: "fin", id: "req-1", partition: "east", chunk: 1003 },
     ],
-    ["lc/now/roster/east/2", { kind: "roster", group: "east", chunk: 2 }],
+    ["lc/now/roster/east/2", { kind: "roster", partition: "east", chunk: 2 }],
     ["lc/now/gang/req-1", { kind: "gang", id: "req-1" }],
-    ["lc/now/ready/req-1/east", { kind: "ready", id: "req-1", group: "east" }],
+    [
+      "lc/now/ready/req-1/east",
+      { kind: "ready", id: "req-1", partition: "east" },
+    ],
     ["lc/now/quota", { kind: "limits" }],
     ["lc/now/limit/3", { kind: "limits" }],
     ["lc/now/reclaim", { kind: "reclaim" }],
@@ -64,8 +67,8 @@
   const live: records.JobRecord = {
     spec: JOB,
     acceptedAt: 1_700_000_000_123,
-    split: new Map([["east", ranges]]),
-    awaits: [],
+    assignment: new Map([["east", ranges]]),
+    dependsOn: [],
     releasedAt: null,
   };
   expectStored(
@@ -77,9 +80,9 @@
   expectStored(
     {
       ...live,
-      spec: { ...JOB, types: null, zone: null, deadlineS: null },
-      split: new Map(),
-      awaits: ["req-1", "req-2"],
+      spec: { ...JOB, machineTypes: null, zone: null, deadlineS: null },
+      assignment: new Map(),
+      dependsOn: ["req-1", "req-2"],
     },
     records.writeJob,
     records.readJob,
@@ -91,11 +94,11 @@
     records.readJob,
     '{"spec":{"id":"req-000412","class":"arrays","team":"red","shape":"ensemble","urgency":"best_effort","tasks":7,"cpus":2.5,"gpus":1,"memGb":16,"image":"img-3","imageGb":4,"types":["small","big"],"zone":"east","samePlace":true,"spread":false,"spot":true,"estimateS":120,"checkpointS":30,"saveS":5,"deadlineS":900},"at":1700000000123,"split":[["east",[[0,3],[5,6]]]],"rel":1700000000456}',
   );
-  const done: records.PastRecord = { status: "done", tasks: 7, done: 7 };
+  const done: records.FinalRecord = { status: "done", tasks: 7, done: 7 };
   expectStored(
     done,
-    records.writePast,
-    records.readPast,
+    records.writeFinal,
+    records.readFinal,
     '{"s":"done","n":7,"d":7}',
   );
   expectStored(
@@ -105,8 +108,8 @@
       done: 3,
       end: { team: "red", class: "arrays", at: 1_700_000_000_789 },
     },
-    records.writePast,
-    records.readPast,
+    records.writeFinal,
+    records.readFinal,
     '{"s":"cancelled","n":7,"d":3,"h":["red","arrays",1700000000789]}',
   );
   expectJson(
@@ -122,13 +125,16 @@
   ]);
   expectStored(
     ranges,
-    records.writeFin,
-    (stored) => records.readFin(stored, 1003),
+    records.writeCompletion,
+    (stored) => records.readCompletion(stored, 1003),
     '{"r":[[384,390],[400,400]]}',
   );
-  expectJson([records.FIN_BLOCK, records.finBlock(384)], "[128,1003]");
   expectJson(
-    records.readFin(JSON.parse('{"b":"BQ=="}'), 1)?.pairs(),
+    [records.COMPLETION_BLOCK, records.completionBlock(384)],
+    "[128,1003]",
+  );
+  expectJson(
+    records.readCompletion(JSON.parse('{"b":"BQ=="}'), 1)?.pairs(),
     "[[16384,16384],[16386,16386]]",
   );
   assert.equal(records.readAttempt(JSON.parse('{"attempt":4000001}')), 4000001);
@@ -136,24 +142,24 @@
     {
       complete: true,
       machines: new Map([
-        ["n-1", { going: false, type: "small" }],
-        ["n-2", { going: true, type: "big" }],
-        ["n-3", { going: false, type: "small" }],
+        ["n-1", { isReturning: false, type: "small" }],
+        ["n-2", { isReturning: true, type: "big" }],
+        ["n-3", { isReturning: false, type: "small" }],
       ]),
     },
-    records.writeRoster,
-    records.readRoster,
+    records.writeRegistry,
+    records.readRegistry,
     '{"t":["small","big"],"m":[["n-1",0,0],["n-2",1,1],["n-3",0,0]],"c":1}',
   );
   expectStored(
     { complete: false, machines: new Map() },
-    records.writeRoster,
-    records.readRoster,
+    records.writeRegistry,
+    records.readRegistry,
     '{"t":[],"m":[]}',
   );
 });
 
-const ROOM: records.RoomRecord = {
+const ROOM: records.CapacityRecord = {
   rows: [
     {
       type: "small",
@@ -162,7 +168,7 @@
       machines: 4,
       free: [[6, 0, 20.5, 2]],
       reserved: [[8, 0, 32, 1]],
-      yields: [[8, 0, 32, 1, 1, 3]],
+      reclaimable: [[8, 0, 32, 1, 1, 3]],
     },
     {
       type: "big",
@@ -218,8 +224,8 @@
 test("golden: a group's room", () => {
   expectStored(
     ROOM,
-    records.writeRoom,
-    records.readRoom,
+    records.writeCapacity,
+    records.readCapacity,
     '{"rows":[{"t":"small","z":"east","s":true,"n":4,"f":[[6,0,20.5,2]],"r":[[8,0,32,1]],"y":[[8,0,32,1,1,3]]},{"t":"big","z":"mid","s":false,"n":1,"f":[],"r":[]}],"q":[5,2],"qu":[[5,2],[4,1],[3,0],[1,0]],"run":[["req-000412",3]],"out":["small/east/true"],"left":[["big/mid/false",2]],"want":[["red",8,1,1700000000001]],"team":[["red",1,2,3,4,5,6,1700000000002,7,8,1700000000004,9,10,11,12.25,1700000000003,1700000000005],["blue",0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0]],"cut":true}',
   );
   const { queueFrom: _, ...empty } = ROOM;
@@ -234,21 +240,21 @@
       teams: null,
       cut: false,
     },
-    records.writeRoom,
-    records.readRoom,
+    records.writeCapacity,
+    records.readCapacity,
     '{"rows":[],"q":[5,2],"run":[],"out":[],"left":[],"want":[]}',
   );
 });
 
 test("golden: group, claim, limits, belief and reclaims", () => {
-  const group: records.GroupRecord = { owner: "node-a", hold: 77 };
+  const partition: records.PartitionRecord = { owner: "node-a", hold: 77 };
   assert.deepEqual(
-    records.readGroup(JSON.parse('{"owner":"node-a","hold":77}')),
-    group,
+    records.readPartition(JSON.parse('{"owner":"node-a","hold":77}')),
+    partition,
   );
-  const claim: records.ClaimRecord = { by: "node-b", token: 12 };
+  const claim: records.LeadershipBidRecord = { by: "node-b", token: 12 };
   assert.deepEqual(
-    records.readClaim(JSON.parse('{"by":"node-b","token":12}')),
+    records.readLeadershipBid(JSON.parse('{"by":"node-b","token":12}')),
     claim,
   );
   assert.deepEqual(
@@ -258,7 +264,7 @@
     { red: { east: [1, 2], "/cap": [3, 4] }, blue: {} },
   );
   assert.equal(
-    records.readBelief(JSON.parse('{"limits":"[\\"red\\",48]"}')),
+    records.readObservedLimits(JSON.parse('{"limits":"[\\"red\\",48]"}')),
     '["red",48]',
   );
   expectStored<Map<string, records.Reclaim[]>>(
@@ -284,19 +290,24 @@
 
 test("golden: keys of hooks", () => {
   expectJson(
-    [hooks.HOOKS, hooks.HOOKS_NOW, hooks.SUBS, hooks.UPTO_KEY],
+    [
+      hooks.WEBHOOKS_PREFIX,
+      hooks.WEBHOOKS_LIVE_PREFIX,
+      hooks.SUBSCRIPTIONS_PREFIX,
+      hooks.SETTLED_UP_TO_KEY,
+    ],
     '["lc/hook/","lc/hook/now/","lc/hook/now/sub/","lc/hook/now/upto"]',
   );
-  expectText(hooks.subKey("alerts"), "lc/hook/now/sub/alerts");
-  expectText(hooks.atKey("alerts"), "lc/hook/now/at/alerts");
-  expectText(hooks.ownKey(3), "lc/hook/now/own/3");
-  expectText(hooks.hereKey("node-a"), "lc/hook/now/here/node-a");
+  expectText(hooks.subscriptionKey("alerts"), "lc/hook/now/sub/alerts");
+  expectText(hooks.progressKey("alerts"), "lc/hook/now/at/alerts");
+  expectText(hooks.laneOwnerKey(3), "lc/hook/now/own/3");
+  expectText(hooks.presenceKey("node-a"), "lc/hook/now/here/node-a");
   expectText(hooks.spoolPrefix("alerts"), "lc/hook/spool/alerts/");
   expectText(hooks.deadPrefix("alerts"), "lc/hook/dead/alerts/");
   expectText(hooks.spoolKey("alerts", 12), "lc/hook/spool/alerts/0000000012");
   expectText(hooks.deadKey("alerts", 13), "lc/hook/dead/alerts/0000000013");
   assert.equal(hooks.batchNumber("lc/hook/spool/alerts/0000000012"), 12);
-  assert.equal(hooks.LANES, 16);
+  assert.equal(hooks.LANE_COUNT, 16);
 });
 
 const SUBSCRIPTION: hooks.Subscription = {
@@ -311,7 +322,7 @@
   redrives: 4,
   tests: 5,
 };
-const OWED: readonly hooks.Owed[] = (
+const OWED: readonly hooks.PendingDelivery[] = (
   ["done", "cancelled", "test"] as const
 ).map((outcome, place) => ({
   end: {
@@ -336,17 +347,17 @@
 test("golden: values of hooks", () => {
   expectStored(
     SUBSCRIPTION,
-    hooks.writeSub,
-    hooks.readSub,
+    hooks.writeSubscription,
+    hooks.readSubscription,
     '{"u":"https://example.org/in","t":["red"],"c":null,"o":["done","cancelled"],"k":["k2","k1"],"ord":true,"ask":false,"st":"paused","rd":4,"ts":5}',
   );
   expectStored(
     { ...SUBSCRIPTION, teams: null, classes: ["arrays"], state: "ended" },
-    hooks.writeSub,
-    hooks.readSub,
+    hooks.writeSubscription,
+    hooks.readSubscription,
     '{"u":"https://example.org/in","t":null,"c":["arrays"],"o":["done","cancelled"],"k":["k2","k1"],"ord":true,"ask":false,"st":"ended","rd":4,"ts":5}',
   );
-  const at: hooks.AtRecord = {
+  const at: hooks.ProgressRecord = {
     seq: 1,
     token: 2,
     cursor: { version: 3, id: "req-0" },
@@ -357,16 +368,16 @@
     tests: 10,
     listing: { to: 11, after: "lc/past/req-0" },
   };
-  const writeAt = (record: hooks.AtRecord): object =>
-    hooks.writeAt(record, packed());
+  const writeAt = (record: hooks.ProgressRecord): object =>
+    hooks.writeProgress(record, packed());
   expectStored(
     at,
     writeAt,
-    hooks.readAt,
+    hooks.readProgress,
     '{"q":1,"tk":2,"c":[3,"req-0"],"nm":["red","arrays"],"w":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]],"sp":[4,5,6],"dd":[7,8],"rd":9,"ts":10,"ls":[11,"lc/past/req-0"]}',
   );
   expectJson(
-    hooks.newAt(),
+    hooks.newProgress(),
     '{"q":0,"tk":0,"c":null,"nm":[],"w":[],"sp":[0,0,0],"dd":[0,0],"rd":0,"ts":0}',
   );
   const writeBatch = (batch: hooks.Batch): object =>
@@ -383,12 +394,15 @@
     hooks.readBatch,
     '{"to":null,"nm":["red","arrays"],"e":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]]}',
   );
-  assert.deepEqual(hooks.readOwn(JSON.parse('{"owner":"node-a","hold":77}')), {
-    owner: "node-a",
-    hold: 77,
-  });
-  assert.deepEqual(hooks.readHere(JSON.parse('{"hold":77}')), { hold: 77 });
-  assert.deepEqual(hooks.readUpto(JSON.parse('{"3":41}')), { 3: 41 });
+  assert.deepEqual(
+    hooks.readLaneOwner(JSON.parse('{"owner":"node-a","hold":77}')),
+    {
+      owner: "node-a",
+      hold: 77,
+    },
+  );
+  assert.deepEqual(hooks.readPresence(JSON.parse('{"hold":77}')), { hold: 77 });
+  assert.deepEqual(hooks.readSettledUpTo(JSON.parse('{"3":41}')), { 3: 41 });
 });
 
 test("golden: the end that a final record tells", () => {
@@ -399,7 +413,7 @@
     ) as unknown,
     version: 5,
   };
-  const end: hooks.Ending = {
+  const end: hooks.JobEnd = {
     id: "req-9",
     outcome: "cancelled",
     tasks: 7,
@@ -409,5 +423,5 @@
     at: 1_700_000_000_789,
     since: 1_700_000_000_789,
   };
-  assert.deepEqual(endingOf(change), { at: { version: 5, id: "req-9" }, end });
+  assert.deepEqual(jobEndOf(change), { at: { version: 5, id: "req-9" }, end });
 });
--- a/test/golden/transport.ts
+++ b/test/golden/transport.ts
@@ -8,21 +8,25 @@
   Input,
 } from "../../src/coordination/effects.js";
 import type { Settings } from "../../src/config/settings.js";
-import type { Launch } from "../../src/hooks/delivery.js";
-import { Networks } from "../../src/hooks/networks.js";
-import type { Ending, Subscription } from "../../src/hooks/records.js";
-import { HookCore, type HookInput } from "../../src/hooks/core.js";
-import { hookRoutes } from "../../src/hooks/http.js";
-import { Sender } from "../../src/hooks/sender.js";
+import type { AttemptRequest } from "../../src/hooks/delivery.js";
+import { AllowedNetworks } from "../../src/hooks/networks.js";
+import type { JobEnd, Subscription } from "../../src/hooks/records.js";
+import { WebhookCore, type WebhookInput } from "../../src/hooks/core.js";
+import { webhookRoutes } from "../../src/hooks/http.js";
+import { WebhookSender } from "../../src/hooks/sender.js";
 import { messageBody, signature, webhookId } from "../../src/hooks/signing.js";
 import { CloudClient } from "../../src/transport/cloud.js";
-import { api, type Asked, toHttp } from "../../src/transport/server.js";
+import {
+  api,
+  type RequestHandler,
+  toHttp,
+} from "../../src/transport/server.js";
 import { WorkerClient } from "../../src/transport/workers.js";
 import { LIMITS } from "../hooks/days.js";
 import { Store } from "../hooks/store.js";
 import { World } from "../sim/world.js";
 import { expectJson, expectText } from "./expect.js";
-import { ORDERS } from "./protocol.js";
+import { COMMANDS } from "./protocol.js";
 
 /** Status, headers that count and body of an answer, in one text. */
 async function inOneText(response: Response): Promise<string> {
@@ -34,12 +38,18 @@
 /** One answer of each kind. */
 const ANSWERS: readonly [Answer, string][] = [
   [
-    { is: "job", status: 201, id: "req-1", state: "queued", awaits: ["req-2"] },
+    {
+      kind: "job",
+      status: 201,
+      id: "req-1",
+      state: "queued",
+      dependsOn: ["req-2"],
+    },
     '201 application/json - {"id":"req-1","status":"queued","awaits":["req-2"]}',
   ],
   [
     {
-      is: "job",
+      kind: "job",
       status: 200,
       id: "req-1",
       state: "running",
@@ -49,36 +59,36 @@
     '200 application/json - {"id":"req-1","status":"running","done":3,"running":2}',
   ],
   [
-    { is: "job", status: 200, id: "req-1", state: "cancelled", done: 3 },
+    { kind: "job", status: 200, id: "req-1", state: "cancelled", done: 3 },
     '200 application/json - {"id":"req-1","status":"cancelled","done":3,"running":0}',
   ],
   [
-    { is: "job", status: 200, id: "req-1", state: "done" },
+    { kind: "job", status: 200, id: "req-1", state: "done" },
     '200 application/json - {"id":"req-1","status":"done"}',
   ],
   [
-    { is: "never", error: "no such crew" },
+    { kind: "cannotRun", error: "no such crew" },
     '422 application/json - {"error":"no such crew"}',
   ],
   [
-    { is: "tooLong", error: "too long" },
+    { kind: "recordTooLarge", error: "too long" },
     '400 application/json - {"error":"too long"}',
   ],
-  [{ is: "unknownJob" }, '404 application/json - {"error":"no such job"}'],
+  [{ kind: "unknownJob" }, '404 application/json - {"error":"no such job"}'],
   [
-    { is: "later", afterS: 3, why: "no permit" },
+    { kind: "retryLater", afterS: 3, why: "no permit" },
     '503 application/json 3 {"error":"no permit"}',
   ],
   [
-    { is: "orders", token: 9, orders: [...ORDERS] },
+    { kind: "commands", token: 9, commands: [...COMMANDS] },
     '200 application/json - {"baton":9,"orders":[{"verb":"start","shard":"req-000412/3","try":2},{"verb":"kill","shard":"req-000412/4","try":6,"leewayS":1.5},{"verb":"clear","shard":"req-000412/5","try":7}]}',
   ],
   [
-    { is: "elsewhere", master: "node-b" },
+    { kind: "redirect", leader: "node-b" },
     '421 application/json - {"harbormaster":"node-b"}',
   ],
-  [{ is: "elsewhere", master: null }, "421 application/json - {}"],
-  [{ is: "relay", master: "node-b" }, "421 application/json - {}"],
+  [{ kind: "redirect", leader: null }, "421 application/json - {}"],
+  [{ kind: "relay", leader: "node-b" }, "421 application/json - {}"],
 ];
 
 test("golden: status and body of each answer", async () => {
@@ -94,17 +104,17 @@
 test("golden: routes for users, workers and the platform", async () => {
   const inputs: Input[] = [];
   const relayed: string[] = [];
-  let answer: Answer = { is: "unknownJob" };
+  let answer: Answer = { kind: "unknownJob" };
   let relayAnswer: { status: number; body: string } | null = null;
-  const core: Asked = {
+  const core: RequestHandler = {
     ask: (input) => {
       inputs.push(input(1));
       if (inputs.length > 20) throw new Error("unexpected");
       return Promise.resolve(answer);
     },
     ready: () => true,
-    relay: (master, zone, body) => {
-      relayed.push(`${master} ${zone} ${body}`);
+    relay: (leader, zone, body) => {
+      relayed.push(`${leader} ${zone} ${body}`);
       return Promise.resolve(relayAnswer);
     },
     malformed: (error) => void relayed.push(`report ${error}`),
@@ -149,7 +159,7 @@
     await ask("POST", "/hello", "{}"),
     '400 application/json - {"error":"berth: Invalid key: Expected \\"berth\\" but received undefined"}',
   );
-  answer = { is: "relay", master: "node-b" };
+  answer = { kind: "relay", leader: "node-b" };
   expectText(
     await ask("POST", "/hello", LEAST_REPORT),
     "421 application/json - {}",
@@ -171,10 +181,10 @@
     await ask("GET", "/v2"),
     '404 application/json - {"error":"no such path"}',
   );
-  const kinds: Input["is"][] = ["submit", "status", "withdraw", "report"];
+  const kinds: Input["type"][] = ["submit", "status", "cancel", "heartbeat"];
   assert.deepEqual(
-    inputs.map((input) => input.is),
-    [...kinds, "report", "report"],
+    inputs.map((input) => input.type),
+    [...kinds, "heartbeat", "heartbeat"],
   );
   expectText(
     relayed.join("\n"),
@@ -261,7 +271,7 @@
   await recording(LEAST_REPORT, async (port, _, bodies) => {
     const client = new WorkerClient(100);
     const address = `127.0.0.1:${port}`;
-    await client.command(address, 9, 3, ORDERS);
+    await client.command(address, 9, 3, COMMANDS);
     const report = await client.inspect(address);
     expectText(
       bodies.join("\n"),
@@ -272,7 +282,7 @@
   });
 });
 
-const END: Ending = {
+const END: JobEnd = {
   id: "req-9",
   outcome: "cancelled",
   tasks: 7,
@@ -306,8 +316,8 @@
 
 test("golden: the requests that carry a notification", async () => {
   await recording("{}", async (port, requests, bodies) => {
-    const sender = new Sender({
-      networks: new Networks(["127.0.0.1"], true),
+    const sender = new WebhookSender({
+      networks: new AllowedNetworks(["127.0.0.1"], true),
       keys: new Map([["k1", KEY]]),
       allowHttp: true,
       deadlineMs: 5_000,
@@ -328,7 +338,7 @@
       redrives: 0,
       tests: 0,
     };
-    const launch: Launch = {
+    const launch: AttemptRequest = {
       end: END,
       attempt: 2,
       reason: "timeout",
@@ -376,9 +386,9 @@
 });
 
 /** Hooks' routes over a store, without a controller around them. */
-function hooksApp(): ReturnType<typeof hookRoutes> {
+function webhooksApp(): ReturnType<typeof webhookRoutes> {
   const store = new Store(() => 0);
-  const core = new HookCore(
+  const core = new WebhookCore(
     "node-a",
     LIMITS,
     () => 0.5,
@@ -386,20 +396,20 @@
     () => null,
   );
   const replies = new Map<number, { status: number; body: object }>();
-  const feed = (input: HookInput): void => {
+  const feed = (input: WebhookInput): void => {
     for (const effect of core.step(input, 1_000, 1_000)) {
-      if (effect.do === "reply") replies.set(effect.req, effect);
-      if (effect.do === "state")
+      if (effect.type === "reply") replies.set(effect.req, effect);
+      if (effect.type === "state")
         store.handle(effect.call, (reply) =>
-          feed({ is: "state", op: effect.op, reply }),
+          feed({ type: "state", op: effect.op, reply }),
         );
     }
   };
-  feed({ is: "permit", hold: 1, untilMs: 1e9 });
+  feed({ type: "permit", hold: 1, untilMs: 1e9 });
   let asked = 0;
-  return hookRoutes(
+  return webhookRoutes(
     (request) => {
-      feed({ is: "request", req: ++asked, request });
+      feed({ type: "request", req: ++asked, request });
       return Promise.resolve(replies.get(asked)!);
     },
     (_, next) => next(),
@@ -407,7 +417,7 @@
 }
 
 test("golden: routes of hooks", async () => {
-  const app = hooksApp();
+  const app = webhooksApp();
   const ask = async (
     method: string,
     path: string,
--- a/test/hooks-sending.test.ts
+++ b/test/hooks-sending.test.ts
@@ -6,14 +6,14 @@
 import { test, type TestContext } from "node:test";
 import { Webhook } from "standardwebhooks";
 import { Breaker } from "../src/hooks/breaker.js";
-import type { Launch } from "../src/hooks/delivery.js";
-import { chosen } from "../src/hooks/lanes.js";
-import { Networks, parseNetwork } from "../src/hooks/networks.js";
-import { LANES, Packer } from "../src/hooks/records.js";
-import { Sender } from "../src/hooks/sender.js";
+import type { AttemptRequest } from "../src/hooks/delivery.js";
+import { chosenController } from "../src/hooks/lanes.js";
+import { AllowedNetworks, parseNetwork } from "../src/hooks/networks.js";
+import { LANE_COUNT, Packer } from "../src/hooks/records.js";
+import { WebhookSender } from "../src/hooks/sender.js";
 import { messageBody, parseSecret, signature } from "../src/hooks/signing.js";
 import { certificate, Deployment, kills } from "./hooks/processes.js";
-import { HookWorld, LIMITS } from "./hooks/days.js";
+import { WebhookWorld, LIMITS } from "./hooks/days.js";
 import { Rng } from "./sim/rng.js";
 
 test("real processes: forced kills of one and of all controllers, a receiver in all moods; nothing lost, every repeat explained", async () => {
@@ -204,7 +204,10 @@
   at: 0,
   since: 0,
 };
-const launch = (url: string, more: Partial<Launch> = {}): Launch => ({
+const launch = (
+  url: string,
+  more: Partial<AttemptRequest> = {},
+): AttemptRequest => ({
   end: END,
   attempt: 1,
   reason: null,
@@ -225,9 +228,9 @@
 });
 /** Far more than any answer takes here, also while other tests take all processors: who waits for a deadline sets a short one. */
 const DEADLINE_MS = 60_000;
-const sender = (more: object = {}): Sender =>
-  new Sender({
-    networks: new Networks(["127.0.0.0/8"], false),
+const sender = (more: object = {}): WebhookSender =>
+  new WebhookSender({
+    networks: new AllowedNetworks(["127.0.0.0/8"], false),
     keys: new Map([["k", new Uint8Array(32)]]),
     allowHttp: true,
     deadlineMs: DEADLINE_MS,
@@ -248,7 +251,7 @@
 };
 
 test("where hooks may connect: the address that is connected to counts, however it is written or resolved", async () => {
-  const open = new Networks([], false);
+  const open = new AllowedNetworks([], false);
   for (const no of [
     "127.0.0.1",
     "10.1.2.3",
@@ -270,7 +273,7 @@
     assert.equal(open.allows(no), false, no);
   for (const yes of ["93.184.216.34", "2606:2800:220:1::1"])
     assert.equal(open.allows(yes), true, yes);
-  const listed = new Networks(["10.1.0.0/16", "2001:db8::/32"], true);
+  const listed = new AllowedNetworks(["10.1.0.0/16", "2001:db8::/32"], true);
   assert.deepEqual(
     [
       "10.1.2.3",
@@ -334,7 +337,7 @@
   const url = `http${await serve(t, s)}`;
   const to = (
     path: string,
-    more: Partial<Launch> = {},
+    more: Partial<AttemptRequest> = {},
     settings: object = {},
   ): Promise<unknown> =>
     sender(settings).attempt(1, "h", launch(url + path, more));
@@ -385,10 +388,13 @@
     ],
   );
   seen = [];
-  assert.deepEqual(await to("", {}, { networks: new Networks([], false) }), {
-    is: "failed",
-    why: "blocked",
-  });
+  assert.deepEqual(
+    await to("", {}, { networks: new AllowedNetworks([], false) }),
+    {
+      is: "failed",
+      why: "blocked",
+    },
+  );
   assert.equal(
     seen.length,
     0,
@@ -472,10 +478,12 @@
 
 test("lanes move only with their owner, and are spread", () => {
   const labels = ["n0", "n1", "n2", "n3", "n4"];
-  const before = Array.from({ length: LANES }, (_, l) => chosen(l, labels));
+  const before = Array.from({ length: LANE_COUNT }, (_, l) =>
+    chosenController(l, labels),
+  );
   assert.ok(new Set(before).size >= 4);
-  const after = Array.from({ length: LANES }, (_, l) =>
-    chosen(
+  const after = Array.from({ length: LANE_COUNT }, (_, l) =>
+    chosenController(
       l,
       labels.filter((x) => x !== "n2"),
     ),
@@ -533,7 +541,7 @@
 });
 
 test("one dead receiver costs the others nothing, and next to no changes while it waits", () => {
-  const w = new HookWorld(11, { ...LIMITS, valueBytes: 7_000 }, 3);
+  const w = new WebhookWorld(11, { ...LIMITS, valueBytes: 7_000 }, 3);
   w.run(3_000);
   const dead = w.add("dead");
   const well = w.add("well");
@@ -557,7 +565,7 @@
 });
 
 test("a receiver that is gone for good ends its hook; a resumed one goes on", () => {
-  const w = new HookWorld(12);
+  const w = new WebhookWorld(12);
   w.run(3_000);
   const r = w.add("gone");
   r.mood = "410";
--- a/test/hooks.test.ts
+++ b/test/hooks.test.ts
@@ -1,15 +1,24 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { DEFAULTS } from "../src/config/operator.js";
-import { PAST, readPast } from "../src/storage/records.js";
-import { pipelines, users } from "./sim/days.js";
+import { FINAL_PREFIX, readFinal } from "../src/storage/records.js";
+import { pipelines, submitWorkload } from "./sim/days.js";
 import { World } from "./sim/world.js";
-import { calm, HookWorld, LIMITS, troubles } from "./hooks/days.js";
+import { calm, WebhookWorld, LIMITS, faults } from "./hooks/days.js";
 
 /** One seeded day: three receivers, troubles of all kinds, a few hundred ends. */
-function day(seed: number, broken = false): { w: HookWorld; left: string[] } {
+function day(
+  seed: number,
+  broken = false,
+): { w: WebhookWorld; left: string[] } {
   // Every fourth day the log of changes is so short that subscriptions fall behind it.
-  const w = new HookWorld(seed, LIMITS, 3, 15, seed % 4 === 3 ? 120 : 10_000);
+  const w = new WebhookWorld(
+    seed,
+    LIMITS,
+    3,
+    15,
+    seed % 4 === 3 ? 120 : 10_000,
+  );
   w.run(3_000);
   const all = w.add("all");
   const red = w.add("red-only", {
@@ -20,7 +29,7 @@
   const asked = w.add("asked", { ask: true });
   const forMs = 180_000;
   w.lossy = 0.02;
-  troubles(w, forMs);
+  faults(w, forMs);
   let id = 0;
   for (let t = 0; t < forMs; t += w.rng.real(50, 1_200)) {
     const n = w.rng.chance(0.05) ? w.rng.int(5, 40) : 1;
@@ -77,7 +86,7 @@
         [...arrived].sort((a, b) => a - b),
         `seed ${seed}: out of order`,
       );
-    assert.equal(w.hookRecords(), 0, `seed ${seed}: batches left behind`);
+    assert.equal(w.webhookRecords(), 0, `seed ${seed}: batches left behind`);
   }
   assert.ok(
     sent > 3_000 && repeats > 100,
@@ -93,7 +102,7 @@
 
 test("in each of the ways a job ends, its final record names what hooks need, in the commit that ends it", () => {
   const w = new World(21, { ...DEFAULTS, tellEnds: true }, []);
-  users(w, 150_000);
+  submitWorkload(w, 150_000);
   pipelines(w, 5_000, 150_000);
   const ways = new Map<string, number>();
   // As the changes come: nothing may be put right later.
@@ -101,14 +110,14 @@
   for (let t = 0; t < 240_000; t += 500) {
     w.run(t);
     for (const [key, d] of w.state.data) {
-      if (!key.startsWith(PAST) || seen.has(key)) continue;
+      if (!key.startsWith(FINAL_PREFIX) || seen.has(key)) continue;
       seen.add(key);
-      const id = key.slice(PAST.length);
+      const id = key.slice(FINAL_PREFIX.length);
       const spec = w.specs.get(id)!;
-      const past = readPast(d.value)!;
+      const past = readFinal(d.value)!;
       assert.deepEqual(
         [past.end?.team, past.end?.class],
-        [spec.team, spec.class],
+        [spec.team, spec.jobClass],
         id,
       );
       const way =
@@ -116,7 +125,7 @@
           ? "done"
           : w.checker.asked.has(id)
             ? "withdrawn"
-            : (w.awaits.get(id)?.length ?? 0) > 0
+            : (w.dependsOn.get(id)?.length ?? 0) > 0
               ? "with one that it needs"
               : "other";
       ways.set(way, (ways.get(way) ?? 0) + 1);
--- a/test/hooks/days.ts
+++ b/test/hooks/days.ts
@@ -1,17 +1,20 @@
 import type { StateCall, StateReply, Write } from "../../src/protocol/state.js";
-import { pastKey, writePast } from "../../src/storage/records.js";
+import { finalKey, writeFinal } from "../../src/storage/records.js";
 import {
-  HookCore,
-  type HookEffect,
-  type HookInput,
-  type HookLimits,
+  WebhookCore,
+  type WebhookEffect,
+  type WebhookInput,
+  type WebhookLimits,
 } from "../../src/hooks/core.js";
-import type { Attempted, Launch } from "../../src/hooks/delivery.js";
-import { HOOKS } from "../../src/hooks/records.js";
+import type {
+  AttemptResult,
+  AttemptRequest,
+} from "../../src/hooks/delivery.js";
+import { WEBHOOKS_PREFIX } from "../../src/hooks/records.js";
 import { Rng } from "../sim/rng.js";
 import { Store } from "./store.js";
 
-export const LIMITS: HookLimits = {
+export const LIMITS: WebhookLimits = {
   valueBytes: 1_800,
   txnOps: 12,
   parallel: 4,
@@ -49,7 +52,7 @@
   /** When each came first, in simulated ms. */
   readonly firstMs = new Map<string, number>();
   readonly calls: {
-    hook: string;
+    webhook: string;
     id: string;
     attempt: number;
     reason: string | null;
@@ -59,7 +62,7 @@
   constructor(readonly rng: Rng) {}
 
   /** What the sender sees, and when; and whether the receiver has it. */
-  call(): { result: Attempted | null; afterMs: number; got: boolean } {
+  call(): { result: AttemptResult | null; afterMs: number; got: boolean } {
     const rtt = this.rng.real(5, 300);
     switch (this.mood) {
       case "well":
@@ -113,13 +116,13 @@
 }
 
 class Node {
-  core: HookCore | null = null;
+  core: WebhookCore | null = null;
   hold: number | null = null;
   epoch = -1;
   untilMs = -Infinity;
   /** Counts the starts: what was begun in an earlier life is not told to a later one. */
   life = 0;
-  flights = new Map<number, { hook: string; id: string }>();
+  flights = new Map<number, { webhook: string; id: string }>();
   /** Can't reach the state service. */
   cut = false;
   frozen = false;
@@ -128,7 +131,7 @@
 }
 
 /** Controllers with hooks, one state service, receivers: seeded, in simulated time, checked after each step. */
-export class HookWorld {
+export class WebhookWorld {
   now = 0;
   readonly rng: Rng;
   readonly store: Store;
@@ -157,7 +160,7 @@
 
   constructor(
     seed: number,
-    readonly limits: HookLimits = LIMITS,
+    readonly limits: WebhookLimits = LIMITS,
     nodes = 3,
     changesPerS = Infinity,
     keptChanges = 10_000,
@@ -201,7 +204,7 @@
 
   start(n: Node): void {
     const life = ++n.life;
-    n.core = new HookCore(
+    n.core = new WebhookCore(
       n.label,
       this.limits,
       () => this.rng.real(),
@@ -218,8 +221,8 @@
       else f();
     };
     const tick = (): void => {
-      this.feed(n, { is: "permit", hold: n.hold, untilMs: n.untilMs });
-      this.feed(n, { is: "tick" });
+      this.feed(n, { type: "permit", hold: n.hold, untilMs: n.untilMs });
+      this.feed(n, { type: "tick" });
       this.at(200, alive(tick));
     };
     const keep = (): void => {
@@ -254,7 +257,7 @@
           if (r.is === "changes") {
             n.epoch = r.epoch;
             this.feed(n, {
-              is: "seen",
+              type: "storeChanges",
               from: since,
               to: r.epoch,
               changes: r.changes,
@@ -322,20 +325,20 @@
     );
   }
 
-  feed(n: Node, input: HookInput): void {
+  feed(n: Node, input: WebhookInput): void {
     if (!n.core) return;
     const life = n.life;
     for (const e of n.core.step(input, this.now, this.now))
       this.carryOut(n, life, e);
   }
-  private carryOut(n: Node, life: number, e: HookEffect): void {
-    switch (e.do) {
+  private carryOut(n: Node, life: number, e: WebhookEffect): void {
+    switch (e.type) {
       case "state":
         return this.call(n, life, e.call, (reply) =>
-          this.feed(n, { is: "state", op: e.op, reply }),
+          this.feed(n, { type: "state", op: e.op, reply }),
         );
       case "attempt":
-        return this.attempt(n, life, e.attempt, e.hook, e.launch);
+        return this.attempt(n, life, e.attempt, e.webhook, e.launch);
       case "abort": {
         const f = n.flights.get(e.attempt);
         n.flights.delete(e.attempt);
@@ -345,7 +348,7 @@
             () =>
               n.life === life &&
               this.feed(n, {
-                is: "attempted",
+                type: "attempted",
                 attempt: e.attempt,
                 result: { is: "aborted" },
               }),
@@ -373,22 +376,22 @@
     n: Node,
     life: number,
     attempt: number,
-    hook: string,
-    l: Launch,
+    webhook: string,
+    l: AttemptRequest,
   ): void {
-    const key = `${hook} ${l.end.id}`;
+    const key = `${webhook} ${l.end.id}`;
     // Rules that hold at every attempt.
-    if (l.end.outcome !== "test" && !this.store.data.has(pastKey(l.end.id)))
+    if (l.end.outcome !== "test" && !this.store.data.has(finalKey(l.end.id)))
       this.fail(`${key}: sent before its end is final`);
     for (const o of this.nodes) {
       if (o.core && !o.frozen)
         for (const f of o.flights.values())
-          if (f.hook === hook && f.id === l.end.id)
+          if (f.webhook === webhook && f.id === l.end.id)
             this.fail(`${key}: in flight twice, on ${o.label} and ${n.label}`);
       if (o !== n && o.core && !o.frozen)
         for (const f of o.flights.values())
-          if (f.hook === hook)
-            this.fail(`${hook}: two senders, ${o.label} and ${n.label}`);
+          if (f.webhook === webhook)
+            this.fail(`${webhook}: two senders, ${o.label} and ${n.label}`);
     }
     const before = this.lastAttempt.get(key);
     if (before && l.attempt <= before.attempt)
@@ -409,21 +412,21 @@
       node: `${n.label}/${life}`,
     });
     const r = this.receivers.get(l.sub.url)!;
-    const end = (result: Attempted, afterMs: number): void =>
+    const end = (result: AttemptResult, afterMs: number): void =>
       this.at(afterMs, () => {
         if (n.life !== life || !n.flights.has(attempt)) return;
         const tell = (): void => {
           if (n.flights.delete(attempt))
-            this.feed(n, { is: "attempted", attempt, result });
+            this.feed(n, { type: "attempted", attempt, result });
         };
         if (n.frozen) n.held.push(tell);
         else tell();
       });
-    n.flights.set(attempt, { hook, id: l.end.id });
+    n.flights.set(attempt, { webhook, id: l.end.id });
     if (l.ask && r.mood === "well" && r.has.has(l.end.id))
       return end({ is: "had" }, 20);
     r.calls.push({
-      hook,
+      webhook,
       id: l.end.id,
       attempt: l.attempt,
       reason: l.reason,
@@ -444,10 +447,10 @@
 
   ask(
     n: Node,
-    request: Extract<HookInput, { is: "request" }>["request"],
+    request: Extract<WebhookInput, { type: "request" }>["request"],
   ): number {
     const req = ++this.reqs;
-    this.feed(n, { is: "request", req, request });
+    this.feed(n, { type: "request", req, request });
     return req;
   }
   /** Adds a hook for all ends and a receiver of its own; waits until it is there. */
@@ -476,8 +479,8 @@
   ): void {
     const put = (h: boolean): Write => ({
       op: "put",
-      key: pastKey(id),
-      value: writePast({
+      key: finalKey(id),
+      value: writeFinal({
         status: outcome,
         tasks: 2,
         done: 2,
@@ -505,9 +508,11 @@
       .map(([id]) => id);
   }
   /** Bytes that hooks keep in the state service, beside subscriptions. */
-  hookRecords(): number {
+  webhookRecords(): number {
     return [...this.store.data.keys()].filter(
-      (k) => k.startsWith(HOOKS) && !k.startsWith(`${HOOKS}now/`),
+      (k) =>
+        k.startsWith(WEBHOOKS_PREFIX) &&
+        !k.startsWith(`${WEBHOOKS_PREFIX}now/`),
     ).length;
   }
 }
@@ -524,7 +529,7 @@
 ];
 
 /** Troubles of a day: moods of receivers, kills, freezes, cuts, lost answers. */
-export function troubles(w: HookWorld, forMs: number): void {
+export function faults(w: WebhookWorld, forMs: number): void {
   const { rng } = w;
   for (const r of w.receivers.values())
     for (
@@ -558,7 +563,7 @@
   }
 }
 /** The end of all troubles. */
-export function calm(w: HookWorld): void {
+export function calm(w: WebhookWorld): void {
   for (const r of w.receivers.values()) r.mood = "well";
   w.lossy = 0;
   for (const n of w.nodes) {
--- a/test/hooks/measure.ts
+++ b/test/hooks/measure.ts
@@ -1,6 +1,6 @@
 /** Measurements by hand, in simulated time but for the last: `node --expose-gc target/test-build/test/hooks/measure.js`. */
 import { build, type Histogram } from "hdr-histogram-js";
-import { HookWorld, LIMITS, type Receiver } from "./days.js";
+import { WebhookWorld, LIMITS, type Receiver } from "./days.js";
 import { Deployment } from "./processes.js";
 import { Store } from "./store.js";
 
@@ -8,7 +8,12 @@
 const quantiles = (h: Histogram): string =>
   `median ${h.getValueAtPercentile(50)} ms, 99% ${h.getValueAtPercentile(99)} ms, most ${h.maxValue} ms`;
 const id = (i: number): string => `req-${String(i).padStart(6, "0")}`;
-function delays(w: HookWorld, r: Receiver, from = 0, to = Infinity): Histogram {
+function delays(
+  w: WebhookWorld,
+  r: Receiver,
+  from = 0,
+  to = Infinity,
+): Histogram {
   const h = build({
     highestTrackableValue: 100_000_000,
     numberOfSignificantValueDigits: 3,
@@ -75,13 +80,13 @@
 way("a record for each end, deleted after delivery", 1, 2);
 
 for (const valueBytes of [1_800, 7_300]) {
-  for (const hooks of [1, 4]) {
+  for (const webhooks of [1, 4]) {
     let best = 0;
     let shown = "";
     for (let rate = 5; rate <= 400; rate = Math.ceil(rate * 1.25)) {
-      const w = new HookWorld(3, { ...limits(valueBytes), parallel: 16 }, 1);
+      const w = new WebhookWorld(3, { ...limits(valueBytes), parallel: 16 }, 1);
       w.run(3_000);
-      const rs = Array.from({ length: hooks }, (_, k) => w.add(`h${k}`));
+      const rs = Array.from({ length: webhooks }, (_, k) => w.add(`h${k}`));
       const from = w.now;
       const changes = w.store.changes;
       for (let i = 0; i < rate * 120; i++)
@@ -89,18 +94,18 @@
       w.run(122_000);
       const kept = rs.every((r) => w.missing(r).length < rate * 8);
       if (!kept) break;
-      best = rate * hooks;
+      best = rate * webhooks;
       const own = w.store.changes - changes - w.ended.size;
-      shown = `${(own / (w.ended.size * hooks)).toFixed(3)} changes each; ${quantiles(delays(w, rs[0]!, from))}`;
+      shown = `${(own / (w.ended.size * webhooks)).toFixed(3)} changes each; ${quantiles(delays(w, rs[0]!, from))}`;
     }
     say(
-      `final records, cursor, window and spool, values of ${valueBytes} bytes, ${hooks} hook(s): ${best} notifications a second with the part that hooks have; ${shown}`,
+      `final records, cursor, window and spool, values of ${valueBytes} bytes, ${webhooks} hook(s): ${best} notifications a second with the part that hooks have; ${shown}`,
     );
   }
 }
 
 {
-  const w = new HookWorld(5, limits(7_300), 3);
+  const w = new WebhookWorld(5, limits(7_300), 3);
   w.run(3_000);
   const r = w.add("one");
   const from = w.now;
@@ -113,7 +118,7 @@
   say(`a burst of 1,000 at once: ${quantiles(delays(w, r, burst))}`);
 }
 for (const parallel of [4, 16]) {
-  const w = new HookWorld(6, { ...limits(7_300), parallel }, 3);
+  const w = new WebhookWorld(6, { ...limits(7_300), parallel }, 3);
   w.run(3_000);
   const away = w.add("away");
   const well = w.add("well");
@@ -125,7 +130,7 @@
   const changes = w.store.changes;
   w.run(3_601_000);
   const inHour = w.store.changes - changes - w.ended.size;
-  const batches = w.hookRecords();
+  const batches = w.webhookRecords();
   const held = w.nodes.map(
     (n) =>
       JSON.stringify(
@@ -164,10 +169,10 @@
   );
 }
 
-for (const hooks of [false, true]) {
+for (const webhooks of [false, true]) {
   const d = new Deployment(9);
   await d.start(3);
-  if (hooks)
+  if (webhooks)
     await d.ask("POST", "/v1/hooks", { name: "h", url: d.url, keys: ["k1"] });
   for (let i = 0; i < 50; i++) await d.end(i);
   const h = build({
@@ -182,9 +187,9 @@
     ended.set(e, performance.now());
   }
   say(
-    `real processes, submission and withdrawal one after the other, ${hooks ? "one hook" : "no hook"}: median ${h.getValueAtPercentile(50)} us, 99% ${h.getValueAtPercentile(99)} us`,
+    `real processes, submission and withdrawal one after the other, ${webhooks ? "one hook" : "no hook"}: median ${h.getValueAtPercentile(50)} us, 99% ${h.getValueAtPercentile(99)} us`,
   );
-  if (hooks) {
+  if (webhooks) {
     await d.until("all", () => d.has.size >= 550);
     const t = build({
       highestTrackableValue: 100_000_000,
--- a/test/hooks/processes.ts
+++ b/test/hooks/processes.ts
@@ -226,7 +226,7 @@
   /** `teams`: their part of the platform's file. */
   async start(
     n = 3,
-    hooks = "",
+    webhooks = "",
     teams = '[[cluster.teams]]\nname = "red"\ncpus_max = 16.0\n',
   ): Promise<void> {
     this.timer = setInterval(() => this.store.expire(), 100);
@@ -302,7 +302,7 @@
     this.operator = join(dir, "hooks.textpb");
     writeFileSync(
       this.operator,
-      `metrics: true\nhooks { key { id: "k1" variable: "HOOK_KEY" } allow: "127.0.0.0/8" allow: "::1" allow_http: true ca_file: "${ca}" deadline_s: 1 retry_base_s: 0.2 retry_most_s: 2 breaker_base_s: 0.2 breaker_most_s: 1 ${hooks} }\n`,
+      `metrics: true\nhooks { key { id: "k1" variable: "HOOK_KEY" } allow: "127.0.0.0/8" allow: "::1" allow_http: true ca_file: "${ca}" deadline_s: 1 retry_base_s: 0.2 retry_most_s: 2 breaker_base_s: 0.2 breaker_most_s: 1 ${webhooks} }\n`,
     );
     const ports = await Promise.all(Array.from({ length: 2 * n }, freePort));
     const zones = Array.from({ length: n }, (_, i) => `z${i}`);
@@ -510,9 +510,9 @@
   }
 
   /** What is wrong with the ledger, if anything: each end received by its id, nothing else, and every repeat explained twice. */
-  ledger(hook: string, ended: readonly string[]): string[] {
+  ledger(webhook: string, ended: readonly string[]): string[] {
     const wrong: string[] = [];
-    const owed = new Set(ended.map((id) => `${hook}.${id}`));
+    const owed = new Set(ended.map((id) => `${webhook}.${id}`));
     for (const id of owed) if (!this.has.has(id)) wrong.push(`${id}: lost`);
     for (const id of this.has.keys())
       if (!owed.has(id)) wrong.push(`${id}: not owed`);
@@ -560,7 +560,7 @@
   const d = new Deployment(seed);
   let count = 0;
   let over = false;
-  let trouble = Promise.resolve();
+  let fault = Promise.resolve();
   try {
     await d.start();
     const r = await d.ask("POST", "/v1/hooks", {
@@ -569,7 +569,7 @@
       keys: ["k1"],
     });
     if (r.status !== 201) throw new Error(JSON.stringify(r));
-    trouble = (async (): Promise<void> => {
+    fault = (async (): Promise<void> => {
       while (!over) {
         await sleep(d.rng.real(killEveryMs * 0.5, killEveryMs * 1.5));
         d.mood = d.rng.chance(0.6) ? d.rng.pick(MOODS) : "well";
@@ -591,7 +591,7 @@
       }),
     );
     over = true;
-    await trouble;
+    await fault;
     d.mood = "well";
     await d.until("all delivered", () => d.has.size >= ended.length, 240_000);
     await sleep(500);
@@ -599,7 +599,7 @@
   } finally {
     // Also after a failure: controllers that are brought back for ever keep the run from ending.
     over = true;
-    await trouble;
+    await fault;
     await d.stop();
   }
 }
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -4,31 +4,39 @@
 import { DEFAULTS } from "../src/config/operator.js";
 import type { Team } from "../src/config/settings.js";
 import {
-  type Demand,
-  planShares,
-  type Situation,
+  type PartitionDemand,
+  planQuotas,
+  type QuotaSituation,
 } from "../src/coordination/limits/plan.js";
-import { Reclaims, Sharing } from "../src/coordination/limits/index.js";
+import {
+  GuaranteeReclaims,
+  QuotaAllocator,
+} from "../src/coordination/limits/index.js";
 import {
   entryIn,
   entryOf,
-  type LimitRecord,
+  type QuotaRecord,
   mayUse,
   overdrawn,
-  type Pair,
+  type ResourceAmounts,
 } from "../src/coordination/limits/shares.js";
 import type { JobSpec } from "../src/coordination/model.js";
-import { Round } from "../src/coordination/queues.js";
+import { SchedulingRound } from "../src/coordination/queues.js";
 import { explore } from "../src/lab/explore.js";
 import {
   type Guard,
   GUARDS,
-  limitsModel,
-  type LimitsScope,
+  quotaModel,
+  type QuotaScope,
 } from "../src/lab/limits-model.js";
 import { bytesOf, QUOTA_KEY, type Shares } from "../src/storage/records.js";
 import { farm } from "./limits/farm.js";
-import { randomJob, troubles, largeTroubles, users } from "./sim/days.js";
+import {
+  randomJob,
+  injectFaults,
+  injectLargeFaults,
+  submitWorkload,
+} from "./sim/days.js";
 import { World } from "./sim/world.js";
 
 /** Teams' limits and guarantees over all controllers. */
@@ -41,35 +49,35 @@
 
 /** Masters of some groups with one record, each going by its own settings; everything that is sent arrives at once. */
 class Small {
-  readonly records = new Map<string, LimitRecord>();
+  readonly records = new Map<string, QuotaRecord>();
   private version = 0;
   readonly use = new Map<string, Map<string, number>>();
-  readonly wants = new Map<string, Map<string, Demand>>();
+  readonly wants = new Map<string, Map<string, PartitionDemand>>();
   commits = 0;
 
   constructor(readonly valueBytes = 8_000) {}
 
-  usedBy(group: string, t: string): number {
-    return this.use.get(group)?.get(t) ?? 0;
+  usedBy(partition: string, t: string): number {
+    return this.use.get(partition)?.get(t) ?? 0;
   }
   situation(
-    group: string,
-    groups: string[],
+    partition: string,
+    partitions: string[],
     teams: Team[],
-    over: Partial<Situation> = {},
-  ): Situation {
-    const use = (t: string): Pair => [this.usedBy(group, t), 0];
+    over: Partial<QuotaSituation> = {},
+  ): QuotaSituation {
+    const use = (t: string): ResourceAmounts => [this.usedBy(partition, t), 0];
     return {
-      group,
-      groups,
+      partition,
+      partitions,
       teams: new Map(teams.map((t) => [t.name, t])),
       records: this.records,
       valueBytes: this.valueBytes,
       writes: 3,
       use,
       known: use,
-      mine: this.wants.get(group) ?? new Map(),
-      others: new Map([...this.wants].filter(([g]) => g !== group)),
+      mine: this.wants.get(partition) ?? new Map(),
+      others: new Map([...this.wants].filter(([g]) => g !== partition)),
       keep: () => [0, 0],
       agreed: true,
       gone: new Set(),
@@ -78,8 +86,8 @@
     };
   }
   /** One master's turn; whether it wrote anything. */
-  turn(s: Situation): boolean {
-    const plan = planShares(s);
+  turn(s: QuotaSituation): boolean {
+    const plan = planQuotas(s);
     if (!plan) return false;
     this.commits++;
     this.version++;
@@ -87,27 +95,27 @@
       assert.ok(bytesOf(shares) <= this.valueBytes);
       this.records.set(key, {
         shares: JSON.parse(JSON.stringify(shares)) as Shares,
-        version: this.version,
+        revision: this.version,
       });
     }
     return true;
   }
-  share(group: string, t: Team): number {
-    return mayUse(t, entryOf(this.records, t.name), group, () => [
-      this.usedBy(group, t.name),
+  share(partition: string, t: Team): number {
+    return mayUse(t, entryOf(this.records, t.name), partition, () => [
+      this.usedBy(partition, t.name),
       0,
     ])[0];
   }
   want(
-    group: string,
+    partition: string,
     t: string,
     cpus: number,
     since: number,
     beyond: number,
   ): void {
-    const of = this.wants.get(group) ?? new Map<string, Demand>();
+    const of = this.wants.get(partition) ?? new Map<string, PartitionDemand>();
     this.wants.set(
-      group,
+      partition,
       of.set(t, {
         now: [cpus, 0],
         nowSince: [since, Infinity],
@@ -213,19 +221,19 @@
         for (const { who, what, n } of steps) {
           const g = all[who]!;
           const t = team("t", limit);
-          const groups = all.filter((x) => !goneBy.has(x));
+          const partitions = all.filter((x) => !goneBy.has(x));
           const before = entryOf(s.records, "t");
           const used = all.reduce((sum, x) => sum + s.usedBy(x, "t"), 0);
           if (what === "limit") limit = [30, 60, 90, 120][n % 4]!;
           else if (goneBy.has(g)) continue;
           else if (
             what === "gone" &&
-            groups.length > 2 &&
+            partitions.length > 2 &&
             s.usedBy(g, "t") === 0
           )
             goneBy.add(g);
           else if (what === "turn")
-            s.turn(s.situation(g, groups, [t], { gone: goneBy }));
+            s.turn(s.situation(g, partitions, [t], { gone: goneBy }));
           else if (what === "want") s.want(g, "t", n, n, s.share(g, t));
           else if (what === "end")
             s.use.set(g, new Map([["t", Math.max(0, s.usedBy(g, "t") - n)]]));
@@ -242,7 +250,7 @@
           smallest = limit;
           const after = entryOf(s.records, "t");
           if (after && after.cap[0] <= smallest) {
-            const may = groups.reduce(
+            const may = partitions.reduce(
               (sum, x) =>
                 sum + Math.max(s.usedBy(x, "t"), s.share(x, team("t", limit))),
               0,
@@ -269,15 +277,17 @@
     [2_048, 3],
   ] as const) {
     const s = new Small(valueBytes);
-    const groups = Array.from({ length: 7 }, (_, i) => `controller-${i}`);
+    const partitions = Array.from({ length: 7 }, (_, i) => `controller-${i}`);
     const teams = Array.from({ length: 200 }, (_, i) =>
       team(`team-${i}`, 100 + i),
     );
     let turns = 0;
-    while (s.turn(s.situation(groups[turns % 7]!, groups, teams, { writes })))
+    while (
+      s.turn(s.situation(partitions[turns % 7]!, partitions, teams, { writes }))
+    )
       assert.ok(++turns < 200, "it comes to an end");
     for (const t of teams) {
-      const sum = groups.reduce((n, g) => n + s.share(g, t), 0);
+      const sum = partitions.reduce((n, g) => n + s.share(g, t), 0);
       assert.ok(
         sum > t.cpusMax - 0.1 && sum <= t.cpusMax + 1e-6,
         `${t.name}: ${sum}`,
@@ -285,8 +295,8 @@
     }
     assert.ok(s.records.size > 1 && s.records.has(QUOTA_KEY));
     const commits = s.commits;
-    for (const g of groups)
-      assert.equal(s.turn(s.situation(g, groups, teams)), false);
+    for (const g of partitions)
+      assert.equal(s.turn(s.situation(g, partitions, teams)), false);
     assert.equal(s.commits, commits);
     // Several teams in one commit.
     for (let i = 0; i < 40; i++)
@@ -297,7 +307,7 @@
         1,
         s.share("controller-1", teams[i]!),
       );
-    assert.ok(s.turn(s.situation("controller-0", groups, teams)));
+    assert.ok(s.turn(s.situation("controller-0", partitions, teams)));
     const got = teams
       .slice(0, 40)
       .filter((t) => s.share("controller-1", t) > t.cpusMax / 7 + 4).length;
@@ -305,7 +315,7 @@
   }
 });
 
-const SCOPES: Record<string, LimitsScope> = {
+const SCOPES: Record<string, QuotaScope> = {
   give: {
     groups: ["a", "b", "c"],
     teams: ["x"],
@@ -354,7 +364,7 @@
 
 test("every state of the protocol on small scopes keeps the limits", async () => {
   for (const [name, scope] of Object.entries(SCOPES)) {
-    const r = await explore(limitsModel(scope), 12_000);
+    const r = await explore(quotaModel(scope), 12_000);
     assert.equal(
       r.broken,
       null,
@@ -378,7 +388,7 @@
 test("each guard that is switched off is found out", async () => {
   for (const guard of GUARDS) {
     const r = await explore(
-      limitsModel(SCOPES[FOUND_IN[guard]]!, new Set<Guard>([guard])),
+      quotaModel(SCOPES[FOUND_IN[guard]]!, new Set<Guard>([guard])),
       80_000,
     );
     assert.ok(r.broken !== null, `${guard}: ${r.states} states`);
@@ -389,20 +399,20 @@
 function watchParts(w: World): { worst: number } {
   const seen = { worst: 0 };
   w.afterStep = (core) => {
-    if (w.old.size > 0) return;
+    if (w.production.size > 0) return;
     const limits = w.teamLimits ?? w.settings.teams;
-    for (const m of core.masters.values())
+    for (const m of core.leaders.values())
       for (const t of limits.values()) {
         if (t.cpusMax === Infinity) continue;
-        const record = entryOf(core.mirror.limits, t.name);
+        const record = entryOf(core.cache.quotaRecords, t.name);
         if (record)
           seen.worst = Math.max(seen.worst, record.sum[0] / record.cap[0]);
-        const share = m.sharing.share(t.name)[0];
-        const part = record?.parts[m.group]?.[0] ?? 0;
-        const used = m.own.usage().get(t.name)?.cpus ?? 0;
+        const share = m.quota.share(t.name)[0];
+        const part = record?.parts[m.partition]?.[0] ?? 0;
+        const used = m.state.usage().get(t.name)?.cpus ?? 0;
         assert.ok(
           share <= Math.max(part, used) + 1e-6,
-          `${m.group}: ${share} of ${t.name}, written ${part}, used ${used}`,
+          `${m.partition}: ${share} of ${t.name}, written ${part}, used ${used}`,
         );
       }
   };
@@ -421,12 +431,12 @@
     for (const z of w.zones)
       for (let i = 0; i < 4; i++) w.cloud.add(w.types[0]!, z, false, 0);
     const seen = watchParts(w);
-    users(w, 110_000, (x, n) => ({
+    submitWorkload(w, 110_000, (x, n) => ({
       ...randomJob(x, n),
       team: x.rng.chance(0.8) ? "red" : "blue",
     }));
-    troubles(w, 110_000);
-    largeTroubles(w, 110_000);
+    injectFaults(w, 110_000);
+    injectLargeFaults(w, 110_000);
     w.run(150_000);
     assert.deepEqual(
       w.checker.broken,
@@ -463,18 +473,18 @@
     w.bootAll();
     for (const z of w.zones)
       for (let i = 0; i < 6; i++) w.cloud.add(w.types[0]!, z, false, 0);
-    users(w, 190_000, (x, n) => ({
+    submitWorkload(w, 190_000, (x, n) => ({
       ...randomJob(x, n),
       team: "red",
-      shape: "batch",
+      kind: "array",
       tasks: 12,
       cpus: 2,
       gpus: 0,
-      types: null,
+      machineTypes: null,
       zone: null,
       spread: false,
       samePlace: false,
-      urgency: "normal",
+      priority: "normal",
     }));
     const restart = (atMs: number, name: string): void => {
       w.at(atMs, () => w.crash(name));
@@ -543,7 +553,10 @@
   w.run(10_000);
   const part = (g: string): number =>
     (
-      w.state.data.get(QUOTA_KEY)!.value as Record<string, Record<string, Pair>>
+      w.state.data.get(QUOTA_KEY)!.value as Record<
+        string,
+        Record<string, ResourceAmounts>
+      >
     )["red"]![g]?.[0] ?? -1;
   assert.equal(part("node-c"), 10);
   w.crash("node-c");
@@ -590,12 +603,12 @@
   w.at(atMs, () => {
     const spec: JobSpec = {
       ...randomJob(w, n),
-      shape: "batch",
+      kind: "array",
       tasks: 1,
-      urgency: "normal",
+      priority: "normal",
       cpus: 4,
       gpus: 0,
-      types: ["small"],
+      machineTypes: ["small"],
       zone: null,
       samePlace: false,
       spread: false,
@@ -606,7 +619,7 @@
     w.specs.set(spec.id, spec);
     w.ask(
       node(),
-      (req) => ({ is: "submit", req, spec }),
+      (req) => ({ type: "submit", req, spec }),
       () => {},
     );
   });
@@ -625,12 +638,12 @@
     for (let i = 0; i < 3; i++) w.cloud.add(w.types[0]!, z, false, 0);
   const ask = (atMs: number, n: number, over: Partial<JobSpec>): void =>
     submitAt(w, atMs, n, over, () => w.rng.pick(w.names));
-  ask(4_000, 1, { team: "blue", shape: "daemon", tasks: 24 });
+  ask(4_000, 1, { team: "blue", kind: "service", tasks: 24 });
   for (let k = 0; k < 12; k++)
     ask(25_000 + w.rng.int(0, 300), 10 + k, {
       team: "red",
       zone,
-      shape: "daemon",
+      kind: "service",
     });
   return w;
 }
@@ -672,11 +685,11 @@
 });
 
 test("without claims masters that decide at once stop more than the deficit", () => {
-  const { claim, mayClaim } = Reclaims.prototype;
-  Reclaims.prototype.claim = function (_t, _n, _f, _g, granted) {
+  const { claim, mayClaim } = GuaranteeReclaims.prototype;
+  GuaranteeReclaims.prototype.claim = function (_t, _n, _f, _g, granted) {
     granted();
   };
-  Reclaims.prototype.mayClaim = () => true;
+  GuaranteeReclaims.prototype.mayClaim = () => true;
   try {
     assert.ok(
       stopped(
@@ -688,7 +701,7 @@
       ) > 24,
     );
   } finally {
-    Object.assign(Reclaims.prototype, { claim, mayClaim });
+    Object.assign(GuaranteeReclaims.prototype, { claim, mayClaim });
   }
 });
 
@@ -705,7 +718,7 @@
     for (let i = 0; i < 3; i++) w.cloud.add(w.types[0]!, "west", false, 0);
     const ask = (atMs: number, n: number, over: Partial<JobSpec>): void =>
       submitAt(w, atMs, n, {
-        shape: "daemon",
+        kind: "service",
         tasks: 6,
         zone: "west",
         ...over,
@@ -731,7 +744,7 @@
     w,
     11_000,
     1,
-    { team: "red", shape: "daemon", tasks: 7, zone: "west" },
+    { team: "red", kind: "service", tasks: 7, zone: "west" },
     () => "node-b",
   );
   w.run(45_000);
@@ -754,17 +767,17 @@
       ...randomJob(new World(1), 1),
       id,
       team: t,
-      urgency: "normal" as const,
-      shape: "batch" as const,
+      priority: "normal" as const,
+      kind: "array" as const,
       estimateS: 10,
       ...over,
     };
     return {
       spec,
-      standing: { urgency: spec.urgency, readyAt },
-      tasks: 1,
+      effectivePriority: { priority: spec.priority, readyAt },
+      remainingTasks: 1,
       late: false,
-      due: "no" as const,
+      precedence: "no" as const,
     };
   };
   const shares: Record<string, number> = {
@@ -774,7 +787,7 @@
     far: 3,
   };
   const order = (jobs: ReturnType<typeof q>[], ranked: boolean): string[] => {
-    const round = new Round(
+    const round = new SchedulingRound(
       jobs,
       { ...DEFAULTS },
       { sinceLong: 0 },
@@ -793,14 +806,14 @@
     q("2", "out", 1),
     q("3", "in", 3),
     q("4", "alsoIn", 2),
-    q("5", "far", 9, { urgency: "high" }),
+    q("5", "far", 9, { priority: "high" }),
     q("6", "far", -5),
   ];
   assert.deepEqual(order(jobs, true), ["5", "4", "3", "2", "6", "1"]);
   assert.deepEqual(order(jobs, false), ["5", "6", "1", "2", "4", "3"]);
   // The order follows what is served: a team that gets beyond its guarantee stands back at once.
   let used = 0;
-  const round = new Round(
+  const round = new SchedulingRound(
     [q("a", "in", 0), q("b", "in", 1), q("c", "alsoIn", 5)],
     { ...DEFAULTS },
     { sinceLong: 0 },
@@ -817,12 +830,12 @@
 });
 
 test("the checker catches a group that goes on using what it gives away", () => {
-  const before = Sharing.prototype.share;
-  Sharing.prototype.share = function (t) {
-    const had = (this as unknown as { changing: unknown }).changing;
-    Object.assign(this, { changing: null });
+  const before = QuotaAllocator.prototype.share;
+  QuotaAllocator.prototype.share = function (t) {
+    const had = (this as unknown as { pendingChange: unknown }).pendingChange;
+    Object.assign(this, { pendingChange: null });
     const s = before.call(this, t);
-    Object.assign(this, { changing: had });
+    Object.assign(this, { pendingChange: had });
     return [s[0] + 6, s[1]];
   };
   try {
@@ -832,13 +845,16 @@
       w.capacity = 6;
       for (const z of w.zones)
         for (let i = 0; i < 4; i++) w.cloud.add(w.types[0]!, z, false, 0);
-      users(w, 80_000, (x, n) => ({ ...randomJob(x, n), team: "red" }));
+      submitWorkload(w, 80_000, (x, n) => ({
+        ...randomJob(x, n),
+        team: "red",
+      }));
       w.run(100_000);
       broken.push(...w.checker.broken);
     }
     assert.match(broken.join(), /quota/);
   } finally {
-    Sharing.prototype.share = before;
+    QuotaAllocator.prototype.share = before;
   }
 });
 
@@ -883,10 +899,10 @@
       const spec: JobSpec = {
         ...randomJob(w, ++n),
         team: "red",
-        shape: "batch",
-        urgency: "normal",
+        kind: "array",
+        priority: "normal",
         gpus: 0,
-        types: ["big"],
+        machineTypes: ["big"],
         samePlace: false,
         spread: false,
         spot: false,
@@ -899,8 +915,8 @@
       w.at(atMs, () =>
         w.ask(
           "node-a",
-          (req) => ({ is: "submit", req, spec }),
-          (a) => assert.equal(a?.is, "job", JSON.stringify(a)),
+          (req) => ({ type: "submit", req, spec }),
+          (a) => assert.equal(a?.kind, "job", JSON.stringify(a)),
         ),
       );
       return spec.id;
@@ -931,7 +947,7 @@
   const { w, submit } = short(20, 6);
   const never = submit(10_000, {
     zone: "east",
-    shape: "ensemble",
+    kind: "gang",
     tasks: 3,
     cpus: 5,
     estimateS: 5,
--- a/test/limits/farm.ts
+++ b/test/limits/farm.ts
@@ -16,7 +16,7 @@
   status: "fetching" | "running" | "exited";
   cause: string | null;
 }
-interface Orders {
+interface Commands {
   baton?: number;
   orders?: { verb: "start" | "kill" | "clear"; shard: string; try: number }[];
 }
@@ -54,8 +54,8 @@
 }
 
 export class Machine {
-  private session = 1;
-  private tally = 0;
+  private incarnation = 1;
+  private sequence = 0;
   private token = 0;
   private sentMs = performance.now();
   private target = 0;
@@ -83,11 +83,11 @@
         req.on("end", () => {
           this.expire();
           const body = text
-            ? (JSON.parse(text) as Orders & { watch?: number })
+            ? (JSON.parse(text) as Commands & { watch?: number })
             : {};
           const ok =
             req.method === "GET" ||
-            (body.baton! >= this.token && body.watch === this.session);
+            (body.baton! >= this.token && body.watch === this.incarnation);
           if (ok && req.method === "POST") this.obey(body);
           res
             .writeHead(ok ? 200 : 409, { "content-type": "application/json" })
@@ -111,8 +111,8 @@
       hull: "m",
       yard: this.zone,
       loaners: false,
-      watch: this.session,
-      tally: ++this.tally,
+      watch: this.incarnation,
+      tally: ++this.sequence,
       baton: this.token,
       recallS: null,
       shards: [...this.tasks.values()].map((t) => ({
@@ -128,7 +128,7 @@
     for (const t of this.tasks.values())
       if (t.status === "running") this.count.ends(t.shard);
     this.tasks.clear();
-    this.session++;
+    this.incarnation++;
     this.sentMs = performance.now();
   }
   private loop(): void {
@@ -152,30 +152,31 @@
     if (this.flying) return;
     this.flying = true;
     const sent = (this.lastMs = performance.now());
-    const session = this.session;
+    const incarnation = this.incarnation;
     const r = await this.d
       .reach(this.target, "POST", "/hello", this.report())
       .catch(() => null);
     this.flying = false;
     if (this.over) return;
     if (r?.status === 200) {
-      const body = r.body as Orders;
+      const body = r.body as Commands;
       this.expire();
-      if (session !== this.session || !(body.baton! >= this.token)) return;
+      if (incarnation !== this.incarnation || !(body.baton! >= this.token))
+        return;
       this.sentMs = Math.max(this.sentMs, sent);
       this.obey(body);
       return;
     }
     const named = r?.status === 421 ? r.body["harbormaster"] : null;
-    const master = typeof named === "string" ? named : "";
-    const to = this.d.indexOf(master);
+    const leader = typeof named === "string" ? named : "";
+    const to = this.d.indexOf(leader);
     if (to >= 0 && to !== this.target) {
       this.target = to;
       return void this.send();
     }
     this.target = (this.target + 1) % this.d.size;
   }
-  private obey(o: Orders): void {
+  private obey(o: Commands): void {
     this.token = Math.max(this.token, o.baton!);
     for (const { verb, shard, try: attempt } of o.orders ?? []) {
       const key = `${shard}#${attempt}`;
--- a/test/meetings-more.test.ts
+++ b/test/meetings-more.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Receipts } from "../src/coordination/receipt.js";
-import { expectGuardNeeded, describeDay } from "./sim/guards.js";
+import { DeliveryTracker } from "../src/coordination/receipt.js";
+import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
 import {
   drawMore,
-  type AllMeetingCounts,
-  noMeetings,
+  type AllFaultCombinationCounts,
+  noFaultCombinations,
   playMore,
 } from "./sim/meetings.js";
 import type { World } from "./sim/world.js";
@@ -13,15 +13,15 @@
 /** The rest of the meetings that the operators name: docs/design/meetings.md has the table of meetings, tests and guards. */
 
 test("two to five troubles of all that the operators name, on a third of the days with short limits: the rules hold, nobody is left waiting, each meeting occurs", () => {
-  const met = noMeetings();
+  const met = noFaultCombinations();
   for (const seed of [0, 1, 2, 15, 19, 32, 33, 51]) {
-    const { world: w, met: m } = playMore(seed, drawMore(seed));
+    const { world: w, occurred: m } = playMore(seed, drawMore(seed));
     assert.deepEqual(
       w.checker.broken,
       [],
-      `seed ${seed}, ${JSON.stringify(drawMore(seed))}: ${describeDay(w)}`,
+      `seed ${seed}, ${JSON.stringify(drawMore(seed))}: ${describeWorkload(w)}`,
     );
-    for (const k of Object.keys(met) as (keyof AllMeetingCounts)[])
+    for (const k of Object.keys(met) as (keyof AllFaultCombinationCounts)[])
       met[k] += m[k];
   }
   for (const [k, n] of Object.entries(met))
@@ -32,8 +32,8 @@
 
 test("guard: a report that is older than what is known says nothing, also when it is kept for a new master", () => {
   expectGuardNeeded(drawn, [56], "ran_twice", () => {
-    const before = Receipts.prototype.isLate;
-    Receipts.prototype.isLate = () => false;
-    return () => (Receipts.prototype.isLate = before);
+    const before = DeliveryTracker.prototype.isStale;
+    DeliveryTracker.prototype.isStale = () => false;
+    return () => (DeliveryTracker.prototype.isStale = before);
   });
 });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -3,25 +3,25 @@
 import type { Context } from "../src/coordination/context.js";
 import { Controller } from "../src/coordination/controller.js";
 import type { Input } from "../src/coordination/effects.js";
-import { GroupState } from "../src/coordination/group-state.js";
+import { PartitionState } from "../src/coordination/group-state.js";
 import type { JobSpec } from "../src/coordination/model.js";
-import { holdMs, Ownership } from "../src/coordination/ownership.js";
-import { StateReader } from "../src/coordination/state-reader.js";
+import { storeLeaseTtlMs, Leadership } from "../src/coordination/ownership.js";
+import { StoreWatcher } from "../src/coordination/state-reader.js";
 import type { StateCall } from "../src/protocol/state.js";
 import {
-  beliefKey,
+  observedLimitsKey,
   gangKey,
   inBlock,
-  readFin,
-  roomKey,
+  readCompletion,
+  capacityKey,
 } from "../src/storage/records.js";
 import { leaderChanges } from "./scenarios/leader-changes.js";
 import { randomJob } from "./sim/days.js";
-import { expectGuardNeeded, describeDay } from "./sim/guards.js";
+import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
 import {
   draw,
   gap,
-  type MeetingCounts,
+  type FaultCombinationCounts,
   NO_MEETINGS,
   play,
 } from "./sim/meetings.js";
@@ -29,8 +29,9 @@
 
 /** Where two troubles meet: docs/design.md has the table of meetings, tests and guards. */
 
-const total = (a: MeetingCounts, b: MeetingCounts): void => {
-  for (const k of Object.keys(a) as (keyof MeetingCounts)[]) a[k] += b[k];
+const total = (a: FaultCombinationCounts, b: FaultCombinationCounts): void => {
+  for (const k of Object.keys(a) as (keyof FaultCombinationCounts)[])
+    a[k] += b[k];
 };
 
 // ---- the meeting before all others -----------------------------------------------------------------------------
@@ -40,8 +41,12 @@
   let longestMs = 0;
   let carried = 0;
   for (let seed = 0; seed < 14; seed++) {
-    const { world: w, met: m } = gap(seed);
-    assert.deepEqual(w.checker.broken, [], `seed ${seed}: ${describeDay(w)}`);
+    const { world: w, occurred: m } = gap(seed);
+    assert.deepEqual(
+      w.checker.broken,
+      [],
+      `seed ${seed}: ${describeWorkload(w)}`,
+    );
     total(met, m);
     longestMs = Math.max(longestMs, w.checker.longestAfterMs);
     carried += w.carried;
@@ -53,8 +58,8 @@
   // It is the permit and the lease that end them, not luck: some last for nearly as long as both, and none longer.
   const s = new World(0).settings;
   assert.ok(
-    longestMs > 1000 * s.leaseS + 0.5 * holdMs(s) &&
-      longestMs <= 1000 * s.leaseS * 1.0005 + holdMs(s) + 250,
+    longestMs > 1000 * s.leaseS + 0.5 * storeLeaseTtlMs(s) &&
+      longestMs <= 1000 * s.leaseS * 1.0005 + storeLeaseTtlMs(s) + 250,
     `${longestMs} ms`,
   );
 });
@@ -69,7 +74,7 @@
         cancelS: leaseS + more,
         reportS: Math.min(5, leaseS / 3),
       };
-      const lastMs = holdMs(s) * 1.0005 + leaseS * 1000 * 1.0005;
+      const lastMs = storeLeaseTtlMs(s) * 1.0005 + leaseS * 1000 * 1.0005;
       assert.ok(
         lastMs <= s.cancelS * 1000 - 1_900,
         `${JSON.stringify(s)}: ${lastMs} ms`,
@@ -79,28 +84,32 @@
 
 const gapDay = (seed: number): World => gap(seed).world;
 interface Ages {
-  hold: number | null;
-  touchedMs: number;
+  storeLease: number | null;
+  renewedMs: number;
   readMs: number;
-  ttlMs: number;
+  leaseTtlMs: number;
 }
 /** A permit worked out otherwise. */
 function permitBy(ms: (o: Ages) => number): () => () => void {
   return () => {
     const before = Object.getOwnPropertyDescriptor(
-      Ownership.prototype,
-      "permitUntilMs",
+      Leadership.prototype,
+      "leadershipLeaseUntilMs",
     )!;
-    Object.defineProperty(Ownership.prototype, "permitUntilMs", {
+    Object.defineProperty(Leadership.prototype, "leadershipLeaseUntilMs", {
       configurable: true,
       get(this: Ages) {
-        return this.hold === null
+        return this.storeLease === null
           ? -Infinity
-          : ms(this) + this.ttlMs * 0.998 - 100;
+          : ms(this) + this.leaseTtlMs * 0.998 - 100;
       },
     });
     return () =>
-      Object.defineProperty(Ownership.prototype, "permitUntilMs", before);
+      Object.defineProperty(
+        Leadership.prototype,
+        "leadershipLeaseUntilMs",
+        before,
+      );
   };
 }
 
@@ -110,7 +119,7 @@
     Controller.prototype.step = function (input: Input, nowMs, wallMs) {
       return before.call(
         this,
-        input.is === "state" ? { ...input, sentMs: nowMs } : input,
+        input.type === "state" ? { ...input, sentMs: nowMs } : input,
         nowMs,
         wallMs,
       );
@@ -123,20 +132,20 @@
     gapDay,
     [1, 11],
     "ran_cancelled",
-    permitBy((o) => o.touchedMs),
+    permitBy((o) => o.renewedMs),
   );
 });
 /** A controller whose touches are held for nearly as long as its hold lasts, while it reads on; then it hears nothing more. */
 function touchesHeld(): World {
   const w = new World(7);
   w.loss = 0;
-  const ttlMs = holdMs(w.settings);
+  const leaseTtlMs = storeLeaseTtlMs(w.settings);
   w.at(10_000, () => w.stateCut.set("node-a", "writes"));
-  w.at(10_000 + ttlMs - 2_000, () => {
+  w.at(10_000 + leaseTtlMs - 2_000, () => {
     w.stateCut.set("node-a", "refused");
     w.meshCuts.add("node-a");
   });
-  w.run(10_000 + 3 * ttlMs);
+  w.run(10_000 + 3 * leaseTtlMs);
   assert.ok(
     w.logs.some((l) =>
       /node-[bc] partition acquired .*"partition":"node-a"/.test(l),
@@ -207,7 +216,7 @@
 ): void {
   const end = w.now + mostMs;
   while (!holds()) {
-    assert.ok(w.now < end, `never: ${what}\n${describeDay(w)}`);
+    assert.ok(w.now < end, `never: ${what}\n${describeWorkload(w)}`);
     w.run(w.now + 50);
   }
 }
@@ -215,16 +224,16 @@
   const spec = {
     ...randomJob(w, 1),
     team: "blue",
-    shape: "batch" as const,
+    kind: "array" as const,
     tasks: 3,
     cpus: 2,
     gpus: 0,
-    types: ["small"],
+    machineTypes: ["small"],
     zone: "east",
     samePlace: false,
     spread: false,
     spot: false,
-    urgency: "normal" as const,
+    priority: "normal" as const,
     estimateS: 6,
     checkpointS: 0,
     deadlineS: null,
@@ -248,8 +257,8 @@
   w.at(4_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ is: "submit", req, spec }),
-      (a) => assert.equal(a?.is, "job"),
+      (req) => ({ type: "submit", req, spec }),
+      (a) => assert.equal(a?.kind, "job"),
     ),
   );
   const late = holdBack(w, (k) => k.startsWith("lc/now/fin/"));
@@ -261,7 +270,7 @@
       (n, [k, d]) =>
         n +
         inBlock(
-          readFin(d.value, Number(k.split("/").at(-1)))!,
+          readCompletion(d.value, Number(k.split("/").at(-1)))!,
           Number(k.split("/").at(-1)),
         ).size,
       0,
@@ -276,7 +285,7 @@
   w.boot("node-a");
   w.run(w.now + 3_000);
   assert.ok(
-    w.nodes.get("node-a")!.core.mirror.allFinished(spec.id).size >= before,
+    w.nodes.get("node-a")!.core.cache.allFinished(spec.id).size >= before,
   );
   until(w, "done", () =>
     [0, 1, 2, 3].every((i) => w.results.has(`${spec.id}/${i}`)),
@@ -285,7 +294,7 @@
 
 test("late transaction: what a controller's former life believed of limits does not come after what its present one does", () => {
   const w = quiet(3, 2);
-  const late = holdBack(w, (k) => k === beliefKey("node-a"));
+  const late = holdBack(w, (k) => k === observedLimitsKey("node-a"));
   until(w, "the first life tells its limits", () => late.held());
   // Back at once with lower limits, while the hold of its former life is still there.
   w.reconfigure(
@@ -301,7 +310,7 @@
   w.boot("node-a");
   const belief = (): unknown =>
     (
-      w.state.data.get(beliefKey("node-a"))?.value as
+      w.state.data.get(observedLimitsKey("node-a"))?.value as
         { limits: string } | undefined
     )?.limits;
   until(w, "the second life tells its own", () => belief() !== undefined);
@@ -314,15 +323,15 @@
 
 test("late transaction: a group's room as it was does not come after what it is", () => {
   const w = quiet(4);
-  const late = holdBack(w, (k) => k === roomKey("node-a"));
+  const late = holdBack(w, (k) => k === capacityKey("node-a"));
   const room = (): string =>
-    JSON.stringify(w.state.data.get(roomKey("node-a"))?.value ?? null);
+    JSON.stringify(w.state.data.get(capacityKey("node-a"))?.value ?? null);
   const spec = job(w, { tasks: 4 });
   w.at(4_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ is: "submit", req, spec }),
-      (a) => assert.equal(a?.is, "job"),
+      (req) => ({ type: "submit", req, spec }),
+      (a) => assert.equal(a?.kind, "job"),
     ),
   );
   until(w, "the first room is sent", () => late.held());
@@ -340,11 +349,11 @@
     for (let i = 0; i < 3; i++) w.cloud.add(w.types[1]!, z, false, 0);
   // Such machines are in two zones, which two controllers have.
   const spec = job(w, {
-    shape: "ensemble",
+    kind: "gang",
     tasks: 4,
     cpus: 6,
     gpus: 1,
-    types: ["big"],
+    machineTypes: ["big"],
     spread: true,
     zone: null,
   });
@@ -352,8 +361,8 @@
   w.at(9_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ is: "submit", req, spec }),
-      (a) => assert.equal(a?.is, "job", JSON.stringify(a)),
+      (req) => ({ type: "submit", req, spec }),
+      (a) => assert.equal(a?.kind, "job", JSON.stringify(a)),
     ),
   );
   until(w, "a part says that it is ready", () => late.held());
@@ -377,8 +386,8 @@
   w.at(4_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ is: "submit", req, spec }),
-      (a) => assert.equal(a?.is, "job"),
+      (req) => ({ type: "submit", req, spec }),
+      (a) => assert.equal(a?.kind, "job"),
     ),
   );
   until(w, "it is split to the group that will be gone", () =>
@@ -427,8 +436,8 @@
   w.at(4_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ is: "submit", req, spec }),
-      (a) => assert.equal(a?.is, "job"),
+      (req) => ({ type: "submit", req, spec }),
+      (a) => assert.equal(a?.kind, "job"),
     ),
   );
   until(w, "ranges are sent", () => late.held());
@@ -454,11 +463,11 @@
 test("two to four troubles at once, with 1 to 7 controllers: the rules hold, and each meeting occurs", () => {
   const met = { ...NO_MEETINGS };
   for (let seed = 0; seed < 14; seed++) {
-    const { world: w, met: m } = play(seed, draw(seed));
+    const { world: w, occurred: m } = play(seed, draw(seed));
     assert.deepEqual(
       w.checker.broken,
       [],
-      `seed ${seed}, ${JSON.stringify(draw(seed))}: ${describeDay(w)}`,
+      `seed ${seed}, ${JSON.stringify(draw(seed))}: ${describeWorkload(w)}`,
     );
     total(met, m);
   }
@@ -468,9 +477,10 @@
 
 test("guard: what a former master may have started counts until its machines have spoken or their leases are over", () => {
   expectGuardNeeded(drawn, [11, 15], "ran_twice", () => {
-    const before = GroupState.prototype.mayStart;
-    GroupState.prototype.mayStart = (job) => !job.gone && !job.waiting.isEmpty;
-    return () => (GroupState.prototype.mayStart = before);
+    const before = PartitionState.prototype.mayStart;
+    PartitionState.prototype.mayStart = (job) =>
+      !job.isOver && !job.waiting.isEmpty;
+    return () => (PartitionState.prototype.mayStart = before);
   });
 });
 test("guard: a start without an answer pins its task, for the command may still go on", () => {
@@ -478,9 +488,9 @@
     const before = World.prototype.run;
     World.prototype.run = function (untilMs) {
       this.afterStep = (core) => {
-        for (const m of core.masters.values())
-          for (const x of m.own.workers.values())
-            if (!x.direct) x.openStarts.clear();
+        for (const m of core.leaders.values())
+          for (const x of m.state.workers.values())
+            if (!x.commandInFlight) x.unansweredStarts.clear();
       };
       before.call(this, untilMs);
     };
@@ -489,23 +499,23 @@
 });
 test("guard: an answer that is not final rests on a read that was sent after the question", () => {
   expectGuardNeeded(drawn, [2, 9], "went_back", () => {
-    const before = StateReader.prototype.afterRead;
-    StateReader.prototype.afterRead = (req, id, next) => next(req, id);
-    return () => (StateReader.prototype.afterRead = before);
+    const before = StoreWatcher.prototype.afterRead;
+    StoreWatcher.prototype.afterRead = (req, id, next) => next(req, id);
+    return () => (StoreWatcher.prototype.afterRead = before);
   });
 });
 
 test("guard: nothing is done for a group from before it is given up, whatever becomes of the commit", () => {
   const day = (seed: number): World => leaderChanges(seed).world;
   expectGuardNeeded(day, [1], "two_masters", () => {
-    const before = Ownership.prototype.tokenOf;
-    Ownership.prototype.tokenOf = function (group) {
+    const before = Leadership.prototype.tokenOf;
+    Leadership.prototype.tokenOf = function (partition) {
       const { ctx } = this as unknown as { ctx: Context };
-      const r = ctx.mirror.groups.get(group);
-      return r?.owner === ctx.settings.label && r.hold === this.holdId
+      const r = ctx.cache.partitions.get(partition);
+      return r?.owner === ctx.settings.label && r.hold === this.storeLeaseId
         ? r.version
         : null;
     };
-    return () => (Ownership.prototype.tokenOf = before);
+    return () => (Leadership.prototype.tokenOf = before);
   });
 });
--- a/test/moves.test.ts
+++ b/test/moves.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { JobSpec } from "../src/coordination/model.js";
 import { submit } from "./sim/days.js";
-import { describeDay } from "./sim/guards.js";
+import { describeWorkload } from "./sim/guards.js";
 import { plainJob } from "./scenarios/stage.js";
 import { World } from "./sim/world.js";
 
@@ -10,9 +10,9 @@
 function arrayOf(world: World, id: number, over: Partial<JobSpec>): JobSpec {
   const spec: JobSpec = {
     ...plainJob(world, id),
-    shape: "batch",
+    kind: "array",
     samePlace: false,
-    urgency: "normal",
+    priority: "normal",
     cpus: 2,
     ...over,
   };
@@ -35,14 +35,14 @@
   const spec = arrayOf(world, id, over);
   world.ask(
     "node-a",
-    (req) => ({ is: "submit", req, spec }),
+    (req) => ({ type: "submit", req, spec }),
     () => {},
   );
   return spec.id;
 }
 
 /** Two groups and nothing to rent: one machine in the zone of the second, six in that of the first from 8 s on. */
-function twoGroups(): World {
+function twoPartitions(): World {
   const world = new World(5, undefined, [], 2);
   world.capacity = 0;
   world.runFactor = 4;
@@ -64,7 +64,7 @@
  * which a part lands behind it: it has to be done in time all the same.
  */
 function expectArrayDoneBeside(waits: Partial<JobSpec>): void {
-  const world = twoGroups();
+  const world = twoPartitions();
   let late = "";
   world.at(2_500, () => submitArray(world, 3, { ...waits, zone: "east" }));
   world.at(4_000, () =>
@@ -74,8 +74,8 @@
     late = submitArray(world, 2, { team: "red", tasks: 60 });
   });
   world.run(160_000);
-  assert.deepEqual(world.checker.broken, [], describeDay(world));
-  assert.equal(world.checker.told.get(late), "done", describeDay(world));
+  assert.deepEqual(world.checker.broken, [], describeWorkload(world));
+  assert.equal(world.checker.told.get(late), "done", describeWorkload(world));
 }
 
 test("tasks that only their team's limit keeps waiting don't keep other work from the idle machines of their group", () => {
@@ -87,7 +87,7 @@
   // Seven tasks of a whole machine each, where there are six machines.
   expectArrayDoneBeside({
     team: "red",
-    shape: "ensemble",
+    kind: "gang",
     tasks: 7,
     cpus: 8,
     samePlace: true,
@@ -112,10 +112,13 @@
   // Most of it goes to the third group, which has nothing else to do.
   submitAt(5_000, { team: "red", tasks: 60 });
   world.at(11_000, () => {
-    const waiting = world.nodes.get("node-c")!.core.masters.get("node-c")!;
-    assert.ok(waiting.own.queue().plain > 40, "it waits in the third group");
+    const waiting = world.nodes.get("node-c")!.core.leaders.get("node-c")!;
+    assert.ok(
+      waiting.state.backlog().plain > 40,
+      "it waits in the third group",
+    );
   });
   world.run(150_000);
-  assert.deepEqual(world.checker.broken, [], describeDay(world));
-  assert.ok(world.checker.isDone(ids[2]!), describeDay(world));
+  assert.deepEqual(world.checker.broken, [], describeWorkload(world));
+  assert.ok(world.checker.isDone(ids[2]!), describeWorkload(world));
 });
--- a/test/nights.test.ts
+++ b/test/nights.test.ts
@@ -4,11 +4,11 @@
 import { DEFAULTS } from "../src/config/operator.js";
 import type { Effect } from "../src/coordination/effects.js";
 import { FairQueue } from "../src/coordination/fairness.js";
-import { Lookups } from "../src/coordination/lookups.js";
+import { FinalStatusReader } from "../src/coordination/lookups.js";
 import type { JobSpec } from "../src/coordination/model.js";
-import { Receipts } from "../src/coordination/receipt.js";
-import { night, randomJob } from "./sim/days.js";
-import { expectGuardNeeded, describeDay } from "./sim/guards.js";
+import { DeliveryTracker } from "../src/coordination/receipt.js";
+import { failureScenario, randomJob } from "./sim/days.js";
+import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
 import { World } from "./sim/world.js";
 
 /** Bad nights: docs/design/nights.md has the table of guards and tests. */
@@ -18,8 +18,12 @@
   let anew = 0;
   let deaf = 0;
   for (let seed = 0; seed < 12; seed++) {
-    const w = night(seed);
-    assert.deepEqual(w.checker.broken, [], `seed ${seed}: ${describeDay(w)}`);
+    const w = failureScenario(seed);
+    assert.deepEqual(
+      w.checker.broken,
+      [],
+      `seed ${seed}: ${describeWorkload(w)}`,
+    );
     const open = w.checker.unfinished();
     assert.ok(open.length <= 2, `seed ${seed}: ${open.join()}`);
     starts += w.starts;
@@ -33,29 +37,30 @@
 });
 
 test("guard: a report with a lower token than its machine has shown, or of a life before, is late", () => {
-  expectGuardNeeded(night, [85, 176, 29], "ran_twice", () => {
-    const before = Receipts.prototype.isLate;
-    Receipts.prototype.isLate = (w, r) =>
-      r.session < w.session ||
-      (r.session === w.session && (r.tally <= w.tally || w.lost));
-    return () => (Receipts.prototype.isLate = before);
+  expectGuardNeeded(failureScenario, [85, 176, 29], "ran_twice", () => {
+    const before = DeliveryTracker.prototype.isStale;
+    DeliveryTracker.prototype.isStale = (w, r) =>
+      r.incarnation < w.incarnation ||
+      (r.incarnation === w.incarnation &&
+        (r.sequence <= w.sequence || w.leaseExpired));
+    return () => (DeliveryTracker.prototype.isStale = before);
   });
 });
 
 test("guard: a machine's lease counts from the end of the last command with starts as well", () => {
-  expectGuardNeeded(night, [77, 69], "ran_twice", () => {
-    const before = Receipts.prototype.note;
-    Receipts.prototype.note = function (w, r, rose) {
-      Object.defineProperty(w.receipt, "commandMs", {
+  expectGuardNeeded(failureScenario, [77, 69], "ran_twice", () => {
+    const before = DeliveryTracker.prototype.note;
+    DeliveryTracker.prototype.note = function (w, r, rose) {
+      Object.defineProperty(w.delivery, "lastCommandMs", {
         get: () => -Infinity,
         set: () => {},
         configurable: true,
       });
       // Asked at once it would be known to have begun anew: here nobody asks it.
-      w.receipt.askedMs = Infinity;
+      w.delivery.inspectedMs = Infinity;
       return before.call(this, w, r, rose);
     };
-    return () => (Receipts.prototype.note = before);
+    return () => (DeliveryTracker.prototype.note = before);
   });
 });
 
@@ -63,29 +68,33 @@
   const w = new World(3, undefined, [], 1);
   const core = w.nodes.get("node-a")!.core;
   w.run(5_000);
-  const until = core.permit.untilMs;
+  const until = core.leadershipLease.untilMs;
   assert.ok(until > 5_000 && Number.isFinite(until));
-  const orders: Effect = {
-    do: "answer",
+  const commands: Effect = {
+    type: "answer",
     req: 1,
-    answer: { is: "orders", token: 1, orders: [] },
+    answer: { kind: "commands", token: 1, commands: [] },
   };
   const command: Effect = {
-    do: "command",
+    type: "command",
     op: 1,
     address: "",
     token: 1,
-    session: 1,
-    orders: [],
+    incarnation: 1,
+    commands: [],
   };
-  for (const e of [orders, command])
+  for (const e of [commands, command])
     assert.deepEqual(
       [core.mayLeave(e, until - 1), core.mayLeave(e, until)],
       [true, false],
     );
   assert.ok(
     core.mayLeave(
-      { do: "answer", req: 1, answer: { is: "later", afterS: 1, why: "" } },
+      {
+        type: "answer",
+        req: 1,
+        answer: { kind: "retryLater", afterS: 1, why: "" },
+      },
       until + 1e6,
     ),
   );
@@ -95,16 +104,16 @@
   const spec = {
     ...randomJob(w, n),
     team: "blue",
-    shape: "batch" as const,
+    kind: "array" as const,
     tasks: 1,
     cpus: 4,
     gpus: 0,
-    types: ["small"],
+    machineTypes: ["small"],
     zone: null,
     samePlace: false,
     spread: false,
     spot: false,
-    urgency: "normal" as const,
+    priority: "normal" as const,
     estimateS: 6,
     checkpointS: 0,
     ...over,
@@ -116,8 +125,8 @@
   w.at(atMs, () =>
     w.ask(
       "node-a",
-      (req) => ({ is: "submit", req, spec }),
-      (a) => assert.equal(a?.is, "job"),
+      (req) => ({ type: "submit", req, spec }),
+      (a) => assert.equal(a?.kind, "job"),
     ),
   );
 const isDone = (w: World, s: JobSpec): boolean =>
@@ -131,7 +140,7 @@
   w.capacity = 40;
   for (let i = 0; i < 12; i++) w.cloud.add(w.types[0]!, "east", false, 0);
   const jobs = Array.from({ length: 100 }, (_, n) =>
-    plain(w, n + 1, { types: ["small"], zone: "east" }),
+    plain(w, n + 1, { machineTypes: ["small"], zone: "east" }),
   );
   jobs.forEach((s, n) => submit(w, 4_000 + n * 900, s));
   const deaf = w.workers.slice(0, 6);
@@ -140,7 +149,7 @@
   w.run(19_000);
   const before = w.workers.length;
   w.run(80_000);
-  assert.deepEqual(w.checker.broken, [], describeDay(w));
+  assert.deepEqual(w.checker.broken, [], describeWorkload(w));
   const starts = (from: number, to: number): number =>
     w.logs.filter(
       (l) =>
@@ -160,7 +169,8 @@
     `${w.workers.length - before} machines rented meanwhile`,
   );
   w.run(130_000);
-  for (const s of jobs) assert.ok(isDone(w, s), `${s.id}\n${describeDay(w)}`);
+  for (const s of jobs)
+    assert.ok(isDone(w, s), `${s.id}\n${describeWorkload(w)}`);
   assert.ok(
     w.logs.some((l) => l.includes("machine reachable again")),
     "they come back by the same evidence",
@@ -175,15 +185,16 @@
   const bad = Array.from({ length: 3 }, (_, n) =>
     plain(w, n + 1, { tasks: 4, zone: "east" }),
   );
-  for (const s of bad) w.broken.add(s.id);
+  for (const s of bad) w.faultyJobs.add(s.id);
   const good = Array.from({ length: 20 }, (_, n) =>
     plain(w, n + 10, { zone: "east" }),
   );
   bad.forEach((s, n) => submit(w, 4_000 + n * 50, s));
   good.forEach((s, n) => submit(w, 6_000 + n * 1_500, s));
   w.run(90_000);
-  assert.deepEqual(w.checker.broken, [], describeDay(w));
-  for (const s of good) assert.ok(isDone(w, s), `${s.id}\n${describeDay(w)}`);
+  assert.deepEqual(w.checker.broken, [], describeWorkload(w));
+  for (const s of good)
+    assert.ok(isDone(w, s), `${s.id}\n${describeWorkload(w)}`);
   assert.equal(
     w.logs.filter((l) => l.includes("tasks of several jobs failed on it"))
       .length,
@@ -216,8 +227,8 @@
   for (let i = 0; i < 8; i++) w.cloud.add(w.types[0]!, "east", false, 0);
   const gang = (n: number, tasks: number): JobSpec =>
     plain(w, n, {
-      class: "merge",
-      shape: "ensemble",
+      jobClass: "merge",
+      kind: "gang",
       tasks,
       cpus: 8,
       zone: "east",
@@ -240,7 +251,7 @@
       beganMs = w.now;
   };
   w.run(320_000);
-  assert.deepEqual(w.checker.broken, [], describeDay(w));
+  assert.deepEqual(w.checker.broken, [], describeWorkload(w));
   return (beganMs - 20_000) / 1000;
 }
 
@@ -295,7 +306,7 @@
     done: (r: { is: "item"; item: null }, sentMs: number) => void;
   }[] = [];
   const told: string[] = [];
-  const l = new Lookups(
+  const l = new FinalStatusReader(
     ctx as never,
     ((call: { key: string }, _: number, done: never) =>
       reads.push({ key: call.key, done })) as never,
@@ -338,8 +349,8 @@
   assert.deepEqual(ready(), [true, false, true]);
   assert.ok(
     [
-      ...w.nodes.get("node-a")!.core.masters.keys(),
-      ...w.nodes.get("node-c")!.core.masters.keys(),
+      ...w.nodes.get("node-a")!.core.leaders.keys(),
+      ...w.nodes.get("node-c")!.core.leaders.keys(),
     ].includes("node-b"),
     "a peer has its group",
   );
@@ -362,10 +373,10 @@
       plain(w, n + 1, {
         tasks: 6,
         cpus: 2,
-        shape: n % 3 === 0 ? "ensemble" : "batch",
+        kind: n % 3 === 0 ? "gang" : "array",
         samePlace: n % 3 === 0,
         spread: n % 3 === 1,
-        types: ["small"],
+        machineTypes: ["small"],
       }),
     );
     jobs.forEach((s, n) => submit(w, 3_000 + n * 200, s));
@@ -374,12 +385,12 @@
     w.crash("node-c");
     w.bootAll();
     w.run(120_000);
-    assert.deepEqual(w.checker.broken, [], describeDay(w));
+    assert.deepEqual(w.checker.broken, [], describeWorkload(w));
     assert.ok(
       w.logs.some((l) => l.includes("reassigning tasks of removed partition")),
       "something was split to it",
     );
     for (const s of jobs)
-      assert.ok(isDone(w, s), `seed ${seed}: ${s.id}\n${describeDay(w)}`);
+      assert.ok(isDone(w, s), `seed ${seed}: ${s.id}\n${describeWorkload(w)}`);
   }
 });
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -2,12 +2,15 @@
 import { test } from "node:test";
 import { DEFAULTS, parseOperator } from "../src/config/operator.js";
 import { parseSettings } from "../src/config/settings.js";
-import { Groups } from "../src/coordination/groups.js";
+import { PartitionMap } from "../src/coordination/groups.js";
 import type { JobSpec, MachineType } from "../src/coordination/model.js";
-import { holdMs } from "../src/coordination/ownership.js";
-import { Round } from "../src/coordination/queues.js";
+import { storeLeaseTtlMs } from "../src/coordination/ownership.js";
+import { SchedulingRound } from "../src/coordination/queues.js";
 import { RangeSet } from "../src/coordination/ranges.js";
-import { capableGroups, splitJob } from "../src/coordination/splitter.js";
+import {
+  capablePartitions,
+  partitionJob,
+} from "../src/coordination/splitter.js";
 import {
   encode,
   encodeReply,
@@ -17,17 +20,17 @@
   MAX_FRAME,
 } from "../src/protocol/frames.js";
 import { parseJob } from "../src/protocol/jobs.js";
-import { parseReport } from "../src/protocol/workers.js";
+import { parseHeartbeat } from "../src/protocol/workers.js";
 import {
-  FIN_BLOCK,
-  finBlock,
+  COMPLETION_BLOCK,
+  completionBlock,
   inBlock,
-  readFin,
+  readCompletion,
   readJob,
-  writeFin,
+  writeCompletion,
   writeJob,
 } from "../src/storage/records.js";
-import { Limiter } from "../src/transport/limiter.js";
+import { RateLimiter } from "../src/transport/limiter.js";
 import { Rng } from "./sim/rng.js";
 
 const JOB = {
@@ -92,11 +95,11 @@
   const set = RangeSet.empty();
   for (let i = 0; i < 100_000; i += 2) set.add(i);
   const back = RangeSet.empty();
-  for (let task = 0; task < 100_000; task += FIN_BLOCK) {
-    const block = finBlock(task);
-    const text = JSON.stringify(writeFin(inBlock(set, block)));
+  for (let task = 0; task < 100_000; task += COMPLETION_BLOCK) {
+    const block = completionBlock(task);
+    const text = JSON.stringify(writeCompletion(inBlock(set, block)));
     assert.ok(text.length <= 1_024, `${text.length}`);
-    back.addAll(readFin(JSON.parse(text), block)!);
+    back.addAll(readCompletion(JSON.parse(text), block)!);
   }
   assert.deepEqual(back.pairs(), set.pairs());
 });
@@ -105,14 +108,14 @@
   const job = {
     spec: SPEC(),
     acceptedAt: 17,
-    split: new Map([["a", RangeSet.upTo(16)]]),
-    awaits: [],
+    assignment: new Map([["a", RangeSet.upTo(16)]]),
+    dependsOn: [],
     releasedAt: 40,
   };
   const waiting = {
     ...job,
-    split: new Map(),
-    awaits: ["req-1", "req-2"],
+    assignment: new Map(),
+    dependsOn: ["req-1", "req-2"],
     releasedAt: null,
   };
   for (const j of [job, waiting])
@@ -153,7 +156,7 @@
   }
   const awaits = (list: unknown): unknown => {
     const got = parseJob(JSON.stringify({ ...JOB, awaits: list }));
-    return got.ok ? got.value.awaits : got.error;
+    return got.ok ? got.value.dependsOn : got.error;
   };
   assert.deepEqual(
     [
@@ -181,7 +184,7 @@
     recallS: null,
     shards: [{ shard: "req-1/3", try: 2, status: "exited", cause: "done" }],
   };
-  const r = parseReport(JSON.stringify(good));
+  const r = parseHeartbeat(JSON.stringify(good));
   assert.ok(r.ok && r.value.tasks[0]!.index === 3 && r.value.token === 4);
   // A start without a task number once came back in a report and had every node refuse it: see queues.ts.
   for (const over of [
@@ -192,7 +195,7 @@
     { shards: [{ shard: "req-1/3", try: 1, status: "odd" }] },
   ])
     assert.ok(
-      !parseReport(JSON.stringify({ ...good, ...over })).ok,
+      !parseHeartbeat(JSON.stringify({ ...good, ...over })).ok,
       JSON.stringify(over),
     );
 });
@@ -201,7 +204,7 @@
   const rng = new Rng(3);
   const all = Buffer.concat([
     encode(Frame.Ping, 0, Buffer.alloc(0)),
-    encode(Frame.Report, 7, Buffer.from("x".repeat(3_000))),
+    encode(Frame.Heartbeat, 7, Buffer.from("x".repeat(3_000))),
     encodeReply(7, 421, "{}"),
   ]);
   for (let round = 0; round < 50; round++) {
@@ -216,7 +219,7 @@
       got.map((f) => [f.type, f.id, f.payload.length]),
       [
         [Frame.Ping, 0, 0],
-        [Frame.Report, 7, 3_000],
+        [Frame.Heartbeat, 7, 3_000],
         [Frame.Reply, 7, 4],
       ],
     );
@@ -237,14 +240,14 @@
 
 const queued = (id: string, estimateS: number, acceptedAt: number) => ({
   spec: SPEC({ id, estimateS }),
-  standing: { urgency: "normal" as const, readyAt: acceptedAt },
-  tasks: 1,
+  effectivePriority: { priority: "normal" as const, readyAt: acceptedAt },
+  remainingTasks: 1,
   late: false,
-  due: "no" as const,
+  precedence: "no" as const,
 });
 
 test("of every W tasks one comes from a waiting long queue, and only the head that was served is skipped", () => {
-  const round = new Round(
+  const round = new SchedulingRound(
     [queued("req-1", 10, 1), queued("req-2", 10, 2), queued("req-3", 900, 0)],
     { ...DEFAULTS, longEvery: 3 },
     { sinceLong: 0 },
@@ -266,7 +269,7 @@
     "req-3",
   ]);
   // Serving may change whose turn it is; the head that can't go on is still the one that was asked for.
-  const two = new Round(
+  const two = new SchedulingRound(
     [queued("req-1", 10, 1), queued("req-2", 10, 2), queued("req-3", 900, 0)],
     { ...DEFAULTS, longEvery: 2 },
     { sinceLong: 0 },
@@ -287,7 +290,7 @@
   ] as const;
   const views = nodes.map(
     ([label, area]) =>
-      new Groups({
+      new PartitionMap({
         label,
         area,
         peers: nodes
@@ -298,8 +301,8 @@
   );
   for (const g of views)
     assert.deepEqual(
-      ["a", "b", "c", "y", "z", "unheard-of"].map((z) => g.of(z)),
-      ["n1", "n2", "n3", "n1", "n2", views[0]!.of("unheard-of")],
+      ["a", "b", "c", "y", "z", "unheard-of"].map((z) => g.partitionOf(z)),
+      ["n1", "n2", "n3", "n1", "n2", views[0]!.partitionOf("unheard-of")],
     );
 });
 
@@ -319,7 +322,7 @@
 ];
 
 test("splits: every task once, gangs whole, spread capped, weighted by written room", () => {
-  const groups = new Groups({
+  const partitions = new PartitionMap({
     label: "a",
     area: "a",
     peers: [
@@ -332,19 +335,18 @@
   for (let round = 0; round < 300; round++) {
     const spec = SPEC({
       id: `req-${round}`,
-      shape: rng.pick(["batch", "ensemble", "daemon"]),
+      kind: rng.pick(["array", "gang", "service"]),
       tasks: rng.int(1, 60),
       cpus: 2,
       gpus: 0,
       memGb: 1,
-      types: null,
+      machineTypes: null,
       samePlace: rng.chance(0.2),
       spread: false,
     });
-    if (spec.shape !== "ensemble" && !spec.samePlace)
-      spec.spread = rng.chance(0.4);
+    if (spec.kind !== "gang" && !spec.samePlace) spec.spread = rng.chance(0.4);
     const rooms = new Map(
-      groups.names.map((g) => [
+      partitions.names.map((g) => [
         g,
         {
           rows: [
@@ -375,9 +377,9 @@
         },
       ]),
     );
-    const split = splitJob(
+    const split = partitionJob(
       spec,
-      capableGroups(spec, TYPES, groups),
+      capablePartitions(spec, TYPES, partitions),
       rooms,
       TYPES,
       true,
@@ -396,8 +398,7 @@
     }
     assert.deepEqual(all.pairs(), [[0, spec.tasks - 1]]);
     assert.equal(n, spec.tasks);
-    if (spec.shape === "ensemble" || spec.samePlace)
-      assert.equal(split.size, 1);
+    if (spec.kind === "gang" || spec.samePlace) assert.equal(split.size, 1);
   }
   // Waiting accelerator tasks say nothing about room for plain ones: once they sent every job to one group.
   const room = (free: number) => ({
@@ -419,9 +420,13 @@
     teams: null,
     cut: false,
   });
-  const one = splitJob(
-    SPEC({ tasks: 1, cpus: 8, gpus: 0, types: null, spot: false }),
-    capableGroups(SPEC({ cpus: 8, gpus: 0, types: null }), TYPES, groups),
+  const one = partitionJob(
+    SPEC({ tasks: 1, cpus: 8, gpus: 0, machineTypes: null, spot: false }),
+    capablePartitions(
+      SPEC({ cpus: 8, gpus: 0, machineTypes: null }),
+      TYPES,
+      partitions,
+    ),
     new Map([
       ["a", room(4)],
       ["b", room(16)],
@@ -442,18 +447,18 @@
     [40, 10, 1, 28_000],
     [20, 12, 1, 6_000],
   ] as const) {
-    assert.equal(holdMs({ cancelS, leaseS, reportS }), want);
+    assert.equal(storeLeaseTtlMs({ cancelS, leaseS, reportS }), want);
     assert.ok(want + leaseS * 1000 < cancelS * 1000);
   }
 });
 
 test("less urgent calls leave part of a limit to users, and all of them go in the end", async () => {
   // Masters' writes had used up the limit, and each user's submission waited for its next part.
-  const limiter = new Limiter([200], [5], 500, [0, 0, 0.25, 0.5]);
+  const limiter = new RateLimiter([200], [5], 500, [0, 0, 0.25, 0.5]);
   const ran: number[] = [];
   const add = (urgent: number, cost: number): void =>
     limiter.add({
-      urgent,
+      priority: urgent,
       cost: [cost],
       deadlineMs: performance.now() + 60_000,
       run: () => ran.push(urgent),
--- a/test/receipts.test.ts
+++ b/test/receipts.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Answer } from "../src/coordination/effects.js";
-import type { Master } from "../src/coordination/master.js";
-import type { Report } from "../src/coordination/model.js";
-import { randomJob, users } from "./sim/days.js";
+import type { PartitionLeader } from "../src/coordination/master.js";
+import type { Heartbeat } from "../src/coordination/model.js";
+import { randomJob, submitWorkload } from "./sim/days.js";
 import { World } from "./sim/world.js";
 
 /** What a late copy of a report may establish: the rows of the table in docs/design.md. */
@@ -12,13 +12,13 @@
 function recorded(
   seed: number,
   controllers = 1,
-): { w: World; sent: Report[]; master: () => Master } {
+): { w: World; sent: Heartbeat[]; leader: () => PartitionLeader } {
   const w = new World(seed, undefined, [], controllers);
   w.loss = 0;
   w.capacity = 6;
-  const sent: Report[] = [];
-  const pass = w.report.bind(w);
-  w.report = (name, r, done) => {
+  const sent: Heartbeat[] = [];
+  const pass = w.heartbeat.bind(w);
+  w.heartbeat = (name, r, done) => {
     sent.push(structuredClone(r));
     pass(name, r, done);
   };
@@ -26,17 +26,17 @@
   return {
     w,
     sent,
-    master: () => w.nodes.get("node-a")!.core.masters.get("node-a")!,
+    leader: () => w.nodes.get("node-a")!.core.leaders.get("node-a")!,
   };
 }
-function feed(w: World, r: Report): Answer | null {
+function feed(w: World, r: Heartbeat): Answer | null {
   let got: Answer | null = null;
   w.ask(
     "node-a",
     (req) => ({
-      is: "report",
+      type: "heartbeat",
       req,
-      report: structuredClone(r),
+      heartbeat: structuredClone(r),
       relayed: false,
     }),
     (a) => (got = a),
@@ -44,37 +44,37 @@
   return got;
 }
 /** All that a master concludes from reports. */
-const knows = (m: Master): unknown =>
-  [...m.own.workers.values()].map((x) => ({
+const knows = (m: PartitionLeader): unknown =>
+  [...m.state.workers.values()].map((x) => ({
     id: x.id,
     // Rows "alive", "session", "renewed", "notice", "idle", "image", "receives".
     at: [
-      x.session,
-      x.tally,
+      x.incarnation,
+      x.sequence,
       x.token,
-      x.answeredMs,
-      x.heardMs,
-      x.lost,
-      x.takenAtMs,
+      x.lastAnsweredMs,
+      x.lastHeardMs,
+      x.leaseExpired,
+      x.reclaimedAtMs,
       x.idleSinceMs,
-      x.going,
+      x.isReturning,
       [...x.images.keys()],
-      x.receipt.deafMs,
-      x.receipt.proven,
+      x.delivery.unreachableSinceMs,
+      x.delivery.proven,
     ],
     // Rows "there", "absent", "ended".
-    tasks: [...x.tasks].map(([k, t]) => [k, t.phase, t.told]),
-    strays: [...x.strays.keys()],
+    tasks: [...x.tasks].map(([k, t]) => [k, t.phase, t.timesSent]),
+    strays: [...x.unconfirmedTasks.keys()],
     exited: x.exited,
   }));
 
 test("a copy no newer than what is known changes nothing, uses up no order and is not answered", () => {
-  const { w, sent, master } = recorded(31);
-  users(w, 40_000, (x, n) => ({
+  const { w, sent, leader } = recorded(31);
+  submitWorkload(w, 40_000, (x, n) => ({
     ...randomJob(x, n),
     team: "blue",
     zone: "east",
-    types: ["small"],
+    machineTypes: ["small"],
     gpus: 0,
     samePlace: false,
     spread: false,
@@ -82,26 +82,26 @@
   let fed = 0;
   for (let atMs = 10_000; atMs <= 45_000; atMs += 500) {
     w.run(atMs);
-    const m = master();
+    const m = leader();
     for (const r of sent.filter(
-      (x) => (m.own.workers.get(x.worker)?.tally ?? -1) >= x.tally,
+      (x) => (m.state.workers.get(x.worker)?.sequence ?? -1) >= x.sequence,
     )) {
       const before = [
         knows(m),
-        [...m.own.untold].map((x) => x.id),
-        m.own.roster.machines().size,
-        m.own.usage(),
+        [...m.state.undelivered].map((x) => x.id),
+        m.state.registry.machines().size,
+        m.state.usage(),
       ];
-      assert.equal(feed(w, r)?.is, "later");
+      assert.equal(feed(w, r)?.kind, "retryLater");
       assert.deepEqual(
         [
           knows(m),
-          [...m.own.untold].map((x) => x.id),
-          m.own.roster.machines().size,
-          m.own.usage(),
+          [...m.state.undelivered].map((x) => x.id),
+          m.state.registry.machines().size,
+          m.state.usage(),
         ],
         before,
-        `${r.worker} ${r.tally}`,
+        `${r.worker} ${r.sequence}`,
       );
       fed++;
     }
@@ -111,26 +111,26 @@
 });
 
 test("a copy of a machine that the cloud has taken back revives nothing", () => {
-  const { w, sent, master } = recorded(32);
+  const { w, sent, leader } = recorded(32);
   w.run(60_000);
-  const gone = sent.find((r) => !master().own.workers.has(r.worker))!;
+  const gone = sent.find((r) => !leader().state.workers.has(r.worker))!;
   assert.ok(gone, "idle machines were given back");
-  const before = knows(master());
-  assert.equal(feed(w, gone)?.is, "later");
-  assert.deepEqual(knows(master()), before);
+  const before = knows(leader());
+  assert.equal(feed(w, gone)?.kind, "retryLater");
+  assert.deepEqual(knows(leader()), before);
 });
 
 test("to a master that has just begun, a copy from before accounts for no machine, hides no use and proves no receipt of strangers", () => {
-  const { w, sent, master } = recorded(33);
-  users(w, 20_000, (x, n) => ({
+  const { w, sent, leader } = recorded(33);
+  submitWorkload(w, 20_000, (x, n) => ({
     ...randomJob(x, n),
     team: "blue",
     zone: "east",
-    types: ["small"],
+    machineTypes: ["small"],
     gpus: 0,
     samePlace: false,
     spread: false,
-    shape: "daemon",
+    kind: "service",
   }));
   w.run(20_000);
   const copies = [
@@ -143,40 +143,40 @@
   w.crash("node-a");
   w.at(200, () => w.boot("node-a"));
   w.run(22_500);
-  const m = master();
-  assert.ok(m.own.fenced, "machines of the former master are waited for");
-  const free = m.own.usage().get("red")!.cpus;
+  const m = leader();
+  assert.ok(m.state.isFenced, "machines of the former master are waited for");
+  const free = m.state.usage().get("red")!.cpus;
   for (const r of copies) feed(w, r);
   assert.ok(
-    m.own.fenced,
+    m.state.isFenced,
     "an empty list under an older token accounts for nothing",
   );
   assert.equal(
-    m.own.usage().get("red")!.cpus,
+    m.state.usage().get("red")!.cpus,
     free,
     "and what may run there still counts, for every team",
   );
   // A machine that this group's roster does not name: it has to show that it receives.
   const stranger = { ...copies[0]!, worker: "n-009999" };
   feed(w, stranger);
-  const s = m.own.workers.get("n-009999")!;
-  assert.ok(!m.own.usable(s), "not used on the word of one report");
-  feed(w, { ...stranger, tally: stranger.tally + 1, token: m.token });
-  assert.ok(s.receipt.proven, "the master's own token is evidence");
+  const s = m.state.workers.get("n-009999")!;
+  assert.ok(!m.state.isUsable(s), "not used on the word of one report");
+  feed(w, { ...stranger, sequence: stranger.sequence + 1, token: m.token });
+  assert.ok(s.delivery.proven, "the master's own token is evidence");
 });
 
 test("answers that never arrive are seen by a token that is never shown, and by orders that are not carried out", () => {
-  const { w, master } = recorded(34);
+  const { w, leader } = recorded(34);
   w.run(8_000);
-  const [a, b] = [...master().own.workers.values()];
-  const report = (x: typeof a, tally: number, token: number): Report => ({
+  const [a, b] = [...leader().state.workers.values()];
+  const report = (x: typeof a, sequence: number, token: number): Heartbeat => ({
     worker: x!.id,
     address: x!.address,
     type: x!.typeName,
     zone: "east",
     spot: false,
-    session: x!.session,
-    tally,
+    incarnation: x!.incarnation,
+    sequence,
     token,
     noticeS: null,
     tasks: [],
@@ -184,24 +184,28 @@
   for (const x of w.workers) for (const n of w.names) x.cut.add(n);
   // The master's token is not seen although two reports were answered under it.
   a!.token = 0;
-  for (let k = 1; k <= 2; k++) feed(w, report(a, a!.tally + 1, 0));
-  assert.equal(a!.receipt.deafMs, null);
-  feed(w, report(a, a!.tally + 1, 0));
-  assert.notEqual(a!.receipt.deafMs, null);
-  assert.ok(!master().own.usable(a!));
-  feed(w, report(a, a!.tally + 1, master().token));
-  assert.equal(a!.receipt.deafMs, null, "it comes back by the same evidence");
+  for (let k = 1; k <= 2; k++) feed(w, report(a, a!.sequence + 1, 0));
+  assert.equal(a!.delivery.unreachableSinceMs, null);
+  feed(w, report(a, a!.sequence + 1, 0));
+  assert.notEqual(a!.delivery.unreachableSinceMs, null);
+  assert.ok(!leader().state.isUsable(a!));
+  feed(w, report(a, a!.sequence + 1, leader().token));
+  assert.equal(
+    a!.delivery.unreachableSinceMs,
+    null,
+    "it comes back by the same evidence",
+  );
   // A lease that ends although its reports are answered.
-  feed(w, report(b, b!.tally + 1, master().token));
+  feed(w, report(b, b!.sequence + 1, leader().token));
   feed(w, {
-    ...report(b, b!.tally + 1, master().token),
-    session: b!.session + 1,
+    ...report(b, b!.sequence + 1, leader().token),
+    incarnation: b!.incarnation + 1,
   });
-  assert.notEqual(b!.receipt.deafMs, null);
+  assert.notEqual(b!.delivery.unreachableSinceMs, null);
 });
 
 test("a machine's answer that it has begun anew, made before it carried out a start and heard after that, takes nothing of the start back", () => {
-  const { w, master } = recorded(11);
+  const { w, leader } = recorded(11);
   w.runFactor = 4;
   w.run(9_000);
   const m = w.workers.find((x) => x.up)!;
@@ -217,11 +221,11 @@
   const spec = {
     ...randomJob(w, 1),
     team: "blue",
-    shape: "batch" as const,
+    kind: "array" as const,
     tasks: w.workers.filter((x) => x.up).length,
     cpus: 8,
     gpus: 0,
-    types: null,
+    machineTypes: null,
     zone: "east",
     samePlace: false,
     spread: false,
@@ -230,7 +234,7 @@
   w.specs.set(spec.id, spec);
   w.ask(
     "node-a",
-    (req) => ({ is: "submit", req, spec }),
+    (req) => ({ type: "submit", req, spec }),
     () => {},
   );
   w.run(asked + 1_400);
@@ -241,7 +245,7 @@
     false,
   );
   w.run(asked + 1_700);
-  const x = master().own.workers.get(m.id)!;
+  const x = leader().state.workers.get(m.id)!;
   assert.deepEqual([...x.tasks.keys()], carriedOut, "the start counts on");
   w.run(110_000);
   assert.deepEqual(w.checker.broken, []);
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -4,22 +4,22 @@
 import type { Context } from "../src/coordination/context.js";
 import type { CloudCall, CloudReply } from "../src/coordination/effects.js";
 import { ownDueAt } from "../src/coordination/mirror.js";
-import { GroupState } from "../src/coordination/group-state.js";
+import { PartitionState } from "../src/coordination/group-state.js";
 import type { JobSpec, MachineType } from "../src/coordination/model.js";
-import { Misfits, suits } from "../src/coordination/placement.js";
+import { UnplaceableCache, isSuitable } from "../src/coordination/placement.js";
 import { isShort } from "../src/coordination/queues.js";
 import { RangeSet } from "../src/coordination/ranges.js";
-import { Roster } from "../src/coordination/roster.js";
-import { Renting } from "../src/coordination/renting.js";
-import type { Sharing } from "../src/coordination/limits/index.js";
-import { splitJob, wholeRoom } from "../src/coordination/splitter.js";
+import { MachineRegistry } from "../src/coordination/roster.js";
+import { ScaleOut } from "../src/coordination/renting.js";
+import type { QuotaAllocator } from "../src/coordination/limits/index.js";
+import { partitionJob, placesForWhole } from "../src/coordination/splitter.js";
 import {
   type JobRun,
   newJobRun,
   type Worker,
 } from "../src/coordination/tasks.js";
 import type { Write } from "../src/protocol/state.js";
-import type { RoomRecord } from "../src/storage/records.js";
+import type { CapacityRecord } from "../src/storage/records.js";
 
 /** What a group rents and where a gang goes: decisions that went wrong on days with hundreds of machines. */
 
@@ -51,17 +51,17 @@
 ];
 const SPEC: JobSpec = {
   id: "req-000001",
-  class: "c",
+  jobClass: "c",
   team: "t",
-  shape: "ensemble",
-  urgency: "normal",
+  kind: "gang",
+  priority: "normal",
   tasks: 4,
   cpus: 30,
   gpus: 0,
   memGb: 40,
   image: "",
   imageGb: 0,
-  types: null,
+  machineTypes: null,
   zone: null,
   samePlace: true,
   spread: false,
@@ -81,16 +81,16 @@
       acceptedAt: 0,
       readyAt: 0,
       releasedAt: null,
-      awaits: [],
-      urgency: spec.urgency,
+      dependsOn: [],
+      priority: spec.priority,
       dueAt: ownDueAt(spec, 0),
-      split: new Map(),
-      version: 1,
+      assignment: new Map(),
+      revision: 1,
     },
     false,
     0,
   );
-  j.mine = RangeSet.upTo(spec.tasks);
+  j.assigned = RangeSet.upTo(spec.tasks);
   j.waiting = RangeSet.upTo(spec.tasks);
   return j;
 }
@@ -102,9 +102,9 @@
     zone,
     spot: false,
     tasks: new Map(),
-    strays: new Map(),
-    lost: false,
-    going: false,
+    unconfirmedTasks: new Map(),
+    leaseExpired: false,
+    isReturning: false,
   }) as unknown as Worker;
 
 /** Plans, sends, and answers every request from `stock`, until nothing more is asked for. */
@@ -120,7 +120,7 @@
   const ctx = {
     settings: { label: "n", cloud: { rps: 3 }, objectives },
     tuning: DEFAULTS,
-    groups: { names: ["n"] },
+    partitions: { names: ["n"] },
     catalog: TYPES,
     nowMs: 0,
     wallMs,
@@ -136,35 +136,35 @@
         done(
           got > 0
             ? {
-                is: "rented",
+                kind: "rented",
                 machines: Array.from(
                   { length: got },
                   (_, i) => `m-${asked.length}-${i}`,
                 ),
               }
-            : { is: "noCapacity" },
+            : { kind: "noCapacity" },
         ),
       );
     },
   };
   const own = {
-    group: "n",
+    partition: "n",
     token: 7,
     jobs: new Map(jobs.map((j) => [j.id, j])),
     workers: new Map(workers.map((w) => [w.id, w])),
-    roster: { has: () => true },
+    registry: { has: () => true },
     mayStart: () => true,
     usableWorkers: () => ({ usable: workers, reserved: new Set<string>() }),
-    deafMachines: () => [],
-    deafReplaced: () => 1,
+    unreachableMachines: () => [],
+    unreachableBeingReplaced: () => 1,
   };
   const sharing = {
     headroom: () => new Map([["t", { cpus: 1000, gpus: 100 }]]),
   };
-  const r = new Renting(
+  const r = new ScaleOut(
     ctx as unknown as Context,
-    own as unknown as GroupState,
-    sharing as unknown as Sharing,
+    own as unknown as PartitionState,
+    sharing as unknown as QuotaAllocator,
     () => ["a", "b"],
   );
   for (let k = 0; k < 20; k++) {
@@ -216,7 +216,7 @@
     "never whole in one zone",
   );
   assert.deepEqual(
-    rents([job({ ...spread, shape: "batch", tasks: 6 })], there, {
+    rents([job({ ...spread, kind: "array", tasks: 6 })], there, {
       "plain/b/ordinary": 10,
     }),
     ["3 plain/b/ordinary"],
@@ -233,12 +233,12 @@
 
 test("an array in one zone rents whatever can be had there; no request asks for more than the cloud allows", () => {
   // Sixty places are wanted and ten can be had: a gang asks for no more, an array takes what there is.
-  const array = job({ id: "req-000003", shape: "batch", tasks: 30 });
+  const array = job({ id: "req-000003", kind: "array", tasks: 30 });
   assert.deepEqual(rents([array], [], { "plain/a/ordinary": 10 }), [
     "30 plain/a/ordinary",
   ]);
   assert.deepEqual(
-    rents([job({ id: "req-000005", shape: "batch", tasks: 30 })], [], {
+    rents([job({ id: "req-000005", kind: "array", tasks: 30 })], [], {
       "plain/b/ordinary": 40,
     }),
     ["30 plain/a/ordinary", "30 plain/b/ordinary"],
@@ -258,7 +258,7 @@
     [],
   );
   assert.deepEqual(
-    rents([job({ tasks: 60, shape: "batch", samePlace: false })], [], {
+    rents([job({ tasks: 60, kind: "array", samePlace: false })], [], {
       "plain/a/ordinary": 100,
     }),
     ["33 plain/a/ordinary"],
@@ -267,7 +267,7 @@
 
 test("an array with a deadline rents what its work needs beyond what present places can do in turns", () => {
   const array = {
-    shape: "batch" as const,
+    kind: "array" as const,
     samePlace: false,
     spot: true,
     tasks: 40,
@@ -294,7 +294,7 @@
 
 test("work that is due counts although a job without a deadline asked for the same in vain before it", () => {
   const array = (id: string, over: Partial<JobSpec>): JobRun =>
-    job({ id, shape: "batch", samePlace: false, tasks: 4, ...over });
+    job({ id, kind: "array", samePlace: false, tasks: 4, ...over });
   const vain = array("req-000001", { zone: "nowhere", cpus: 5 });
   const due = array("req-000002", {
     zone: "nowhere",
@@ -311,7 +311,7 @@
 
 test("a late job gets a dear machine only while its class may still be done in time", () => {
   const late = job({
-    shape: "batch",
+    kind: "array",
     tasks: 4,
     samePlace: false,
     gpus: 1,
@@ -344,11 +344,13 @@
 
 test("plain work gets an accelerated machine only at a like price, or where nothing else could run it", () => {
   const plain = { ...SPEC, spot: true };
-  assert.ok(!suits(plain, TYPES[1]!, false, TYPES));
-  assert.ok(suits(plain, TYPES[1]!, true, TYPES));
-  assert.ok(suits({ ...plain, types: ["gpu"] }, TYPES[1]!, false, TYPES));
-  assert.ok(suits({ ...plain, cpus: 60 }, TYPES[1]!, false, TYPES));
-  assert.ok(suits({ ...plain, gpus: 1 }, TYPES[1]!, false, TYPES));
+  assert.ok(!isSuitable(plain, TYPES[1]!, false, TYPES));
+  assert.ok(isSuitable(plain, TYPES[1]!, true, TYPES));
+  assert.ok(
+    isSuitable({ ...plain, machineTypes: ["gpu"] }, TYPES[1]!, false, TYPES),
+  );
+  assert.ok(isSuitable({ ...plain, cpus: 60 }, TYPES[1]!, false, TYPES));
+  assert.ok(isSuitable({ ...plain, gpus: 1 }, TYPES[1]!, false, TYPES));
 });
 
 test("the parts of a gang in several groups have one turn, however many tasks each has", () => {
@@ -358,25 +360,27 @@
     return j;
   });
   const holdings = {
-    ctx: { tuning: DEFAULTS, mirror: { finishedCount: () => 0 } },
-  } as unknown as GroupState;
+    ctx: { tuning: DEFAULTS, cache: { finishedCount: () => 0 } },
+  } as unknown as PartitionState;
   assert.deepEqual(
-    parts.map((j) => GroupState.prototype.unfinished.call(holdings, j)),
+    parts.map((j) =>
+      PartitionState.prototype.unfinishedTasks.call(holdings, j),
+    ),
     [4, 4],
   );
 });
 
 test("a gang is short by the work of all its tasks", () => {
-  const at = (tasks: number, shape: JobSpec["shape"]): boolean =>
-    isShort({ ...SPEC, shape, tasks, estimateS: 200 }, DEFAULTS);
-  assert.ok(at(3, "ensemble"));
-  assert.ok(!at(16, "ensemble"));
-  assert.ok(at(100, "batch"));
-  assert.ok(!at(1, "daemon"));
+  const at = (tasks: number, shape: JobSpec["kind"]): boolean =>
+    isShort({ ...SPEC, kind: shape, tasks, estimateS: 200 }, DEFAULTS);
+  assert.ok(at(3, "gang"));
+  assert.ok(!at(16, "gang"));
+  assert.ok(at(100, "array"));
+  assert.ok(!at(1, "service"));
 });
 
 test("what found no room in a pass is not looked for again, and nothing else is left out", () => {
-  const m = new Misfits();
+  const m = new UnplaceableCache();
   m.add({ ...SPEC, tasks: 4 }, "short");
   assert.ok(m.includes({ ...SPEC, tasks: 4 }, "short"));
   assert.ok(m.includes({ ...SPEC, tasks: 8, cpus: 31 }, "short"));
@@ -385,7 +389,7 @@
     { cpus: 20 },
     { spot: true },
     { zone: "a" },
-    { types: ["plain"] },
+    { machineTypes: ["plain"] },
     { samePlace: false },
   ])
     assert.ok(
@@ -399,8 +403,8 @@
   zone: string,
   free: number,
   machines: number,
-  over: Partial<RoomRecord> = {},
-): RoomRecord => ({
+  over: Partial<CapacityRecord> = {},
+): CapacityRecord => ({
   rows: [
     {
       type: "plain",
@@ -423,13 +427,13 @@
 
 test("a gang that fits nowhere goes where it is expected to fit first, counting what can still be rented there", () => {
   const capable = [
-    { group: "x", zones: ["a"] },
-    { group: "y", zones: ["b"] },
+    { partition: "x", zones: ["a"] },
+    { partition: "y", zones: ["b"] },
   ];
   const spec = { ...SPEC, tasks: 16 };
-  const to = (x: RoomRecord, y: RoomRecord): string =>
+  const to = (x: CapacityRecord, y: CapacityRecord): string =>
     [
-      ...splitJob(
+      ...partitionJob(
         spec,
         capable,
         new Map([
@@ -445,7 +449,7 @@
   assert.equal(to(room("a", 16, 20), room("b", 20, 30)), "y");
   assert.equal(to(room("a", 16, 20), room("b", 15, 30)), "x");
   // Three can still be rented beside twelve free ones: too few. Four are enough.
-  const left = (n: number): Partial<RoomRecord> => ({
+  const left = (n: number): Partial<CapacityRecord> => ({
     left: new Map([
       ["plain/a/ordinary", n],
       ["plain/b/ordinary", 0],
@@ -465,9 +469,10 @@
     rows: [...room("a", 10, 20).rows, ...room("b", 10, 20).rows],
     ...none,
   };
-  assert.equal(wholeRoom(spec, ["a", "b"], both, TYPES, true).now, 10);
+  assert.equal(placesForWhole(spec, ["a", "b"], both, TYPES, true).now, 10);
   assert.equal(
-    wholeRoom({ ...spec, samePlace: false }, ["a", "b"], both, TYPES, true).now,
+    placesForWhole({ ...spec, samePlace: false }, ["a", "b"], both, TYPES, true)
+      .now,
     20,
   );
 });
@@ -476,10 +481,10 @@
   const sent: { writes: Write[]; done: (end: "ok") => void }[] = [];
   const ctx = {
     nowMs: 0,
-    mirror: { rosters: new Map(), revisionOf: () => 0 },
+    cache: { registries: new Map(), latestRevisionOf: () => 0 },
     settings: { state: { valueBytes: 2048, txnOps: 4 } },
   };
-  const r = new Roster(
+  const r = new MachineRegistry(
     ctx as unknown as Context,
     "g",
     (_conditions, writes, done) => void sent.push({ writes, done }),
@@ -490,14 +495,14 @@
     s.done("ok");
     return JSON.stringify(s.writes);
   };
-  r.set("m1", { going: false, type: "t" });
+  r.set("m1", { isReturning: false, type: "t" });
   assert.ok(!r.has("m1"));
   assert.match(next(), /m1/);
   assert.ok(r.has("m1"));
   r.remove("m1");
   assert.ok(!r.has("m1"));
   // Back while the commit without it is on its way.
-  r.set("m1", { going: false, type: "t" });
+  r.set("m1", { isReturning: false, type: "t" });
   assert.ok(!next().includes("m1"));
   assert.ok(!r.has("m1"));
   assert.match(next(), /m1/);
