--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,28 +1,28 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Controller } from "../src/coordination/controller.js";
-import { GroupState } from "../src/coordination/group-state.js";
-import { Ownership } from "../src/coordination/ownership.js";
-import { Sharing } from "../src/coordination/limits/index.js";
+import { PartitionState } from "../src/coordination/group-state.js";
+import { Leadership } from "../src/coordination/ownership.js";
+import { QuotaAllocator } from "../src/coordination/limits/index.js";
 import { freeOn } from "../src/coordination/tasks.js";
 import type { JobSpec } from "../src/coordination/model.js";
 import {
   largeJob,
-  largeTroubles,
+  injectLargeFaults,
   randomJob,
-  troubles,
-  users,
+  injectFaults,
+  submitWorkload,
 } from "./sim/days.js";
 import type { SimWorker } from "./sim/machine.js";
 import { World } from "./sim/world.js";
 
 const DAY_MS = 240_000;
 
-function day(seed: number, withTroubles: boolean): World {
+function day(seed: number, withFaults: boolean): World {
   const w = new World(seed);
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  users(w, DAY_MS * 0.7);
-  if (withTroubles) troubles(w, DAY_MS * 0.7);
+  submitWorkload(w, DAY_MS * 0.7);
+  if (withFaults) injectFaults(w, DAY_MS * 0.7);
   w.run(DAY_MS);
   return w;
 }
@@ -81,19 +81,19 @@
 test("large days with gangs of up to 16 and large arrays keep the rules", () => {
   for (let seed = 400; seed < 404; seed++) {
     const w = largeWorld(seed, 50);
-    users(w, 80_000, largeJob);
-    troubles(w, 90_000);
+    submitWorkload(w, 80_000, largeJob);
+    injectFaults(w, 90_000);
     w.run(120_000);
     assert.deepEqual(w.checker.broken, [], report(w, seed));
     assert.ok(w.starts > 300, `only ${w.starts} starts`);
     // Room leaves no machine out, however many there are: it once named forty at most. What is written of it fits: see the checker.
     for (const n of w.nodes.values())
-      for (const m of n!.core.masters.values()) {
-        const room = m.room.now();
+      for (const m of n!.core.leaders.values()) {
+        const room = m.capacity.current();
         for (const row of room.rows) {
-          const free = [...m.own.workers.values()].filter(
+          const free = [...m.state.workers.values()].filter(
             (x) =>
-              m.own.usable(x) &&
+              m.state.isUsable(x) &&
               x.typeName === row.type &&
               x.zone === row.zone &&
               x.spot === row.spot &&
@@ -114,9 +114,9 @@
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
   // In a zone that no setting names.
   w.cloud.add(w.types[0]!, "cellar", false, 0);
-  users(w, 150_000);
-  troubles(w, 150_000);
-  largeTroubles(w, 160_000);
+  submitWorkload(w, 150_000);
+  injectFaults(w, 150_000);
+  injectLargeFaults(w, 160_000);
   w.run(220_000);
   return w;
 }
@@ -145,9 +145,9 @@
     [532, 5],
   ] as const) {
     const w = largeWorld(seed, 75, controllers);
-    users(w, 60_000, largeJob);
-    troubles(w, 70_000);
-    largeTroubles(w, 80_000);
+    submitWorkload(w, 60_000, largeJob);
+    injectFaults(w, 70_000);
+    injectLargeFaults(w, 80_000);
     w.run(110_000);
     assert.deepEqual(w.checker.broken, [], report(w, seed));
     starts += w.starts;
@@ -159,17 +159,17 @@
   for (let seed = 300; seed < 304; seed++) {
     const w = new World(seed);
     w.afterStep = (core) => {
-      for (const m of core.masters.values()) {
+      for (const m of core.leaders.values()) {
         const teams = new Map<string, number>();
-        const strays = new Map<string, number>();
-        for (const x of m.own.workers.values()) {
+        const unconfirmed = new Map<string, number>();
+        for (const x of m.state.workers.values()) {
           for (const t of x.tasks.values())
             teams.set(
               t.job.view.spec.team,
               (teams.get(t.job.view.spec.team) ?? 0) + t.job.view.spec.cpus,
             );
-          for (const s of x.strays.values()) {
-            strays.set(s.job, (strays.get(s.job) ?? 0) + 1);
+          for (const s of x.unconfirmedTasks.values()) {
+            unconfirmed.set(s.job, (unconfirmed.get(s.job) ?? 0) + 1);
             if (s.need)
               teams.set(
                 s.need.team,
@@ -181,25 +181,29 @@
           x.free = null;
           assert.deepEqual(freeOn(x), kept);
         }
-        for (const [team, u] of m.own.ledger.used())
+        for (const [team, u] of m.state.ledger.used())
           assert.ok(
             Math.abs(u.cpus - (teams.get(team) ?? 0)) < 1e-6,
             `${team}: ${u.cpus}`,
           );
         for (const [team, cpus] of teams)
           assert.ok(
-            Math.abs((m.own.ledger.used().get(team)?.cpus ?? 0) - cpus) < 1e-6,
+            Math.abs((m.state.ledger.used().get(team)?.cpus ?? 0) - cpus) <
+              1e-6,
             `${team}: ${cpus}`,
           );
-        for (const [job, n] of strays)
-          assert.equal(m.own.ledger.straysOf(job).size, n);
-        for (const id of core.mirror.jobs.keys())
-          assert.equal(m.own.ledger.straysOf(id).size, strays.get(id) ?? 0);
+        for (const [job, n] of unconfirmed)
+          assert.equal(m.state.ledger.unconfirmedOf(job).size, n);
+        for (const id of core.cache.jobs.keys())
+          assert.equal(
+            m.state.ledger.unconfirmedOf(id).size,
+            unconfirmed.get(id) ?? 0,
+          );
       }
     };
     for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-    users(w, 60_000);
-    troubles(w, 70_000);
+    submitWorkload(w, 60_000);
+    injectFaults(w, 70_000);
     w.run(90_000);
     assert.ok(w.starts > 30);
   }
@@ -213,7 +217,7 @@
       // More than any team may ever use here at once, so that they wait all the time.
       const spec = {
         ...largeJob(w, n),
-        shape: "daemon" as const,
+        kind: "service" as const,
         tasks: 90,
         cpus: 6,
         samePlace: false,
@@ -223,18 +227,18 @@
       w.at(2_000 + n * 20, () =>
         w.ask(
           "node-a",
-          (req) => ({ is: "submit", req, spec }),
+          (req) => ({ type: "submit", req, spec }),
           () => {},
         ),
       );
     }
     w.run(60_000);
     const before = [...w.nodes.values()].map((n) =>
-      [...n!.core.masters.values()].reduce((a, m) => a + m.passes, 0),
+      [...n!.core.leaders.values()].reduce((a, m) => a + m.schedulingRounds, 0),
     );
     w.run(80_000);
     const after = [...w.nodes.values()].map((n) =>
-      [...n!.core.masters.values()].reduce((a, m) => a + m.passes, 0),
+      [...n!.core.leaders.values()].reduce((a, m) => a + m.schedulingRounds, 0),
     );
     return Math.max(...after.map((a, i) => a - before[i]!));
   };
@@ -251,11 +255,11 @@
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
   const spec = {
     ...randomJob(w, 1),
-    shape: "batch" as const,
+    kind: "array" as const,
     tasks: 200,
     cpus: 1,
     gpus: 0,
-    types: null,
+    machineTypes: null,
     zone: null,
     samePlace: false,
     spread: false,
@@ -267,10 +271,10 @@
     const askedMs = w.now;
     w.ask(
       "node-c",
-      (req) => ({ is: "status", req, id: spec.id }),
+      (req) => ({ type: "status", req, id: spec.id }),
       (a) => {
-        if (a?.is === "job") w.checker.answered(spec.id, a.state, askedMs);
-        if (a?.is === "job" && a.state === "done") toldMs ||= w.now;
+        if (a?.kind === "job") w.checker.answered(spec.id, a.state, askedMs);
+        if (a?.kind === "job" && a.state === "done") toldMs ||= w.now;
       },
     );
     if (toldMs === 0) w.at(200, poll);
@@ -281,7 +285,7 @@
   w.at(3_000, () =>
     w.ask(
       "node-b",
-      (req) => ({ is: "submit", req, spec }),
+      (req) => ({ type: "submit", req, spec }),
       () => poll(),
     ),
   );
@@ -309,11 +313,11 @@
       // Only the big type has accelerators, in one zone of node-a and one of node-b.
       const spec = {
         ...randomJob(w, n),
-        shape: "ensemble" as const,
+        kind: "gang" as const,
         tasks: 2 + (n % 3),
         cpus: 2,
         gpus: 1,
-        types: null,
+        machineTypes: null,
         zone: null,
         samePlace: false,
         spread: true,
@@ -323,8 +327,9 @@
       w.at(3_000 + n * 500, () =>
         w.ask(
           "node-c",
-          (req) => ({ is: "submit", req, spec }),
-          (a) => a?.is === "job" && w.checker.answered(spec.id, a.state, w.now),
+          (req) => ({ type: "submit", req, spec }),
+          (a) =>
+            a?.kind === "job" && w.checker.answered(spec.id, a.state, w.now),
         ),
       );
     }
@@ -353,22 +358,22 @@
   for (let n = 1; n <= 9; n++) {
     const spec = {
       ...randomJob(w, n),
-      shape: "daemon" as const,
+      kind: "service" as const,
       tasks: 1,
       cpus: 1,
       gpus: 0,
-      types: null,
+      machineTypes: null,
     };
     w.specs.set(spec.id, spec);
     const ask = (): void => {
       const askedMs = w.now;
       w.ask(
         "node-a",
-        (req) => ({ is: "submit", req, spec }),
+        (req) => ({ type: "submit", req, spec }),
         (a) => {
-          got.push(`${n}: ${a?.is === "job" ? a.status : a?.is}`);
+          got.push(`${n}: ${a?.kind === "job" ? a.status : a?.kind}`);
           assert.ok(w.now - askedMs < 1_000, "at once");
-          if (a?.is === "later") assert.ok(a.afterS >= 1);
+          if (a?.kind === "retryLater") assert.ok(a.afterS >= 1);
         },
       );
     };
@@ -382,10 +387,10 @@
     "3: 201",
     "4: 201",
     "5: 201",
-    "6: later",
-    "7: later",
-    "8: later",
-    "9: later",
+    "6: retryLater",
+    "7: retryLater",
+    "8: retryLater",
+    "9: retryLater",
     "1: 200",
   ]);
 });
@@ -419,11 +424,11 @@
   const gang = (n: number, zone: string): JobSpec => ({
     ...randomJob(w, n),
     team: "red",
-    shape: "ensemble",
+    kind: "gang",
     tasks: 3,
     cpus: 8,
     gpus: 0,
-    types: ["small"],
+    machineTypes: ["small"],
     zone,
     samePlace: true,
     spread: false,
@@ -440,8 +445,8 @@
     w.at(5_000 + n * 1_000, () =>
       w.ask(
         "node-c",
-        (req) => ({ is: "submit", req, spec }),
-        (a) => assert.equal(a?.is, "job"),
+        (req) => ({ type: "submit", req, spec }),
+        (a) => assert.equal(a?.kind, "job"),
       ),
     );
   }
@@ -467,15 +472,15 @@
   const got: string[] = [];
   const spec = (n: number): JobSpec => ({
     ...randomJob(w, n),
-    shape: "batch",
+    kind: "array",
     tasks: 1,
     cpus: 1,
     gpus: 0,
-    types: null,
+    machineTypes: null,
     zone: null,
     spread: false,
   });
-  const ask = (atMs: number, n: number, what: "submit" | "withdraw"): void =>
+  const ask = (atMs: number, n: number, what: "submit" | "cancel"): void =>
     w.at(atMs, () => {
       const s = spec(n);
       w.specs.set(s.id, w.specs.get(s.id) ?? s);
@@ -483,24 +488,24 @@
         "node-a",
         (req) =>
           what === "submit"
-            ? { is: "submit", req, spec: w.specs.get(s.id)! }
-            : { is: "withdraw", req, id: s.id },
+            ? { type: "submit", req, spec: w.specs.get(s.id)! }
+            : { type: "cancel", req, id: s.id },
         (a) =>
           got.push(
-            `${n}: ${a?.is === "job" ? `${a.status} ${a.state}` : a?.is}`,
+            `${n}: ${a?.kind === "job" ? `${a.status} ${a.state}` : a?.kind}`,
           ),
       );
     });
   const memory = (atMs: number, short: boolean): void =>
     w.at(atMs, () =>
-      w.feed("node-a", w.nodes.get("node-a")!.life, { is: "memory", short }),
+      w.feed("node-a", w.nodes.get("node-a")!.life, { type: "memory", short }),
     );
   ask(5_000, 1, "submit");
   ask(5_100, 2, "submit");
   memory(6_000, true);
   ask(6_500, 3, "submit");
   ask(6_600, 2, "submit");
-  ask(6_700, 2, "withdraw");
+  ask(6_700, 2, "cancel");
   ask(30_000, 1, "submit");
   memory(31_000, false);
   ask(31_500, 3, "submit");
@@ -510,7 +515,7 @@
     [
       "1: 201 queued",
       "2: 201 queued",
-      "3: later",
+      "3: retryLater",
       "2: 200 queued",
       "2: 200 cancelled",
       "1: 200 done",
@@ -521,26 +526,26 @@
 
 test("the checker catches a master without a fence", () => {
   mustCatch("ran_twice", () => {
-    const proto = GroupState.prototype as unknown as {
+    const proto = PartitionState.prototype as unknown as {
       mayStart: (j: {
-        gone: boolean;
+        isOver: boolean;
         waiting: { isEmpty: boolean };
       }) => boolean;
     };
     const before = proto.mayStart;
-    proto.mayStart = (j) => !j.gone && !j.waiting.isEmpty;
+    proto.mayStart = (j) => !j.isOver && !j.waiting.isEmpty;
     return () => (proto.mayStart = before);
   });
 });
 
 test("the checker catches shares that ignore the other groups", () => {
   mustCatch("quota", () => {
-    const before = Sharing.prototype.share;
-    Sharing.prototype.share = function (team) {
+    const before = QuotaAllocator.prototype.share;
+    QuotaAllocator.prototype.share = function (team) {
       const [c, g] = before.call(this, team);
       return [c * 3, g * 3];
     };
-    return () => (Sharing.prototype.share = before);
+    return () => (QuotaAllocator.prototype.share = before);
   });
 });
 
@@ -552,11 +557,11 @@
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
   const spec = {
     ...randomJob(w, 1),
-    shape: "daemon" as const,
+    kind: "service" as const,
     tasks: 1,
     cpus: 2,
     gpus: 0,
-    types: null,
+    machineTypes: null,
     zone: "east",
     samePlace: false,
     spread: false,
@@ -565,8 +570,8 @@
   w.at(3_000, () =>
     w.ask(
       "node-b",
-      (req) => ({ is: "submit", req, spec }),
-      (a) => assert.equal(a?.is, "job"),
+      (req) => ({ type: "submit", req, spec }),
+      (a) => assert.equal(a?.kind, "job"),
     ),
   );
   w.at(15_000, () => w.stateCut.set("node-a", "refused"));
@@ -575,8 +580,8 @@
     w.checker.asked.add(spec.id);
     w.ask(
       "node-b",
-      (req) => ({ is: "withdraw", req, id: spec.id }),
-      (a) => a?.is === "job" && w.checker.answered(spec.id, a.state, w.now),
+      (req) => ({ type: "cancel", req, id: spec.id }),
+      (a) => a?.kind === "job" && w.checker.answered(spec.id, a.state, w.now),
     );
   });
   w.at(75_000, () => w.stateCut.delete("node-a"));
@@ -591,9 +596,9 @@
 });
 
 test("the checker catches orders without a permit", () => {
-  const before = Ownership.prototype.permitted;
+  const before = Leadership.prototype.mayAct;
   const leave = Controller.prototype.mayLeave;
-  Ownership.prototype.permitted = () => true;
+  Leadership.prototype.mayAct = () => true;
   Controller.prototype.mayLeave = () => true;
   try {
     assert.match(
@@ -601,7 +606,7 @@
       /ran_cancelled/,
     );
   } finally {
-    Ownership.prototype.permitted = before;
+    Leadership.prototype.mayAct = before;
     Controller.prototype.mayLeave = leave;
   }
 });
@@ -611,7 +616,7 @@
   const w = new World(seed);
   w.checker.invariants = invariants;
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  users(w, 150_000);
+  submitWorkload(w, 150_000);
   for (let at = 15_000; at < 150_000; at += 45_000) {
     const node = w.rng.pick(w.names);
     w.at(at, () =>
@@ -628,18 +633,18 @@
 
 test("the checker sees a permit whose age nobody looks at", () => {
   const age = Object.getOwnPropertyDescriptor(
-    Ownership.prototype,
-    "permitUntilMs",
+    Leadership.prototype,
+    "leadershipLeaseUntilMs",
   )!;
   const broken = (invariants: boolean): string[] =>
     Array.from({ length: 12 }, (_, k) =>
       outOfTouch(600 + k, invariants).checker.broken.join(),
     ).filter((x) => x !== "");
   assert.deepEqual(broken(true), []);
-  Object.defineProperty(Ownership.prototype, "permitUntilMs", {
+  Object.defineProperty(Leadership.prototype, "leadershipLeaseUntilMs", {
     configurable: true,
-    get(this: { hold: number | null }) {
-      return this.hold === null ? -Infinity : Infinity;
+    get(this: { storeLease: number | null }) {
+      return this.storeLease === null ? -Infinity : Infinity;
     },
   });
   try {
@@ -649,7 +654,7 @@
       without.join("\n"),
     );
   } finally {
-    Object.defineProperty(Ownership.prototype, "permitUntilMs", age);
+    Object.defineProperty(Leadership.prototype, "leadershipLeaseUntilMs", age);
   }
 });
 
@@ -658,10 +663,10 @@
   w.loss = 0;
   w.run(5_000);
   const node = w.nodes.get("node-a")!;
-  const { ownership } = node.core;
+  const { leadership } = node.core;
   // Back from standing still, it writes before it touches its hold.
-  const { hold } = ownership as unknown as { hold: number };
-  w.state.holds.get(hold)!.endsMs = w.now;
+  const { storeLease } = leadership as unknown as { storeLease: number };
+  w.state.holds.get(storeLease)!.endsMs = w.now;
   w.state.tick();
   w.at(0, () =>
     node.core.commit(
@@ -670,8 +675,8 @@
         {
           op: "put",
           key: "lc/now/group/node-a",
-          value: { owner: "node-a", hold },
-          hold,
+          value: { owner: "node-a", hold: storeLease },
+          hold: storeLease,
         },
       ],
       0,
@@ -681,7 +686,7 @@
   w.at(1, () =>
     w.ask(
       "node-a",
-      (req) => ({ is: "status", req, id: "req-1" }),
+      (req) => ({ type: "status", req, id: "req-1" }),
       () => {},
     ),
   );
@@ -694,8 +699,11 @@
     !w.logs.some((l) => l.includes("transaction rejected by the store")),
   );
   w.run(7_000);
-  assert.notEqual((ownership as unknown as { hold: number | null }).hold, hold);
-  assert.ok(ownership.tokenOf("node-a") !== null, "it has its group again");
+  assert.notEqual(
+    (leadership as unknown as { storeLease: number | null }).storeLease,
+    storeLease,
+  );
+  assert.ok(leadership.tokenOf("node-a") !== null, "it has its group again");
 });
 
 test("a gang of higher urgency gets its room where nothing more can be rented, single tasks being stopped for it", () => {
@@ -707,7 +715,7 @@
     ...randomJob(w, n),
     cpus: 6,
     gpus: 0,
-    types: ["small"],
+    machineTypes: ["small"],
     zone: "west",
     samePlace: true,
     spread: false,
@@ -716,8 +724,8 @@
     checkpointS: 0,
     ...over,
   });
-  const low = spec(1, { shape: "daemon", tasks: 2, urgency: "best_effort" });
-  const gang = spec(2, { shape: "ensemble", tasks: 2, urgency: "high" });
+  const low = spec(1, { kind: "service", tasks: 2, priority: "best_effort" });
+  const gang = spec(2, { kind: "gang", tasks: 2, priority: "high" });
   for (const [s, at] of [
     [low, 3_000],
     [gang, 20_000],
@@ -726,8 +734,8 @@
     w.at(at, () =>
       w.ask(
         "node-b",
-        (req) => ({ is: "submit", req, spec: s }),
-        (a) => assert.equal(a?.is, "job"),
+        (req) => ({ type: "submit", req, spec: s }),
+        (a) => assert.equal(a?.kind, "job"),
       ),
     );
   }
@@ -749,11 +757,11 @@
   );
   const spec = {
     ...randomJob(w, 1),
-    shape: "daemon" as const,
+    kind: "service" as const,
     tasks: 3,
     cpus: 5,
     gpus: 0,
-    types: ["small"],
+    machineTypes: ["small"],
     zone: "east",
     samePlace: false,
     spread: false,
@@ -764,7 +772,7 @@
   w.at(3_000, () =>
     w.ask(
       "node-b",
-      (req) => ({ is: "submit", req, spec }),
+      (req) => ({ type: "submit", req, spec }),
       () => {},
     ),
   );
@@ -793,11 +801,11 @@
   w.capacity = 0;
   const spec = {
     ...randomJob(w, 1),
-    shape: "daemon" as const,
+    kind: "service" as const,
     tasks: 3,
     cpus: 6,
     gpus: 0,
-    types: null,
+    machineTypes: null,
     zone: "east",
     samePlace: false,
     spread: false,
@@ -807,8 +815,8 @@
   w.at(2_000, () =>
     w.ask(
       "node-b",
-      (req) => ({ is: "submit", req, spec }),
-      (a) => assert.equal(a?.is, "job"),
+      (req) => ({ type: "submit", req, spec }),
+      (a) => assert.equal(a?.kind, "job"),
     ),
   );
   const add = (): SimWorker => w.cloud.add(w.types[0]!, "east", false, 0);
@@ -854,11 +862,11 @@
   assert.ok(late.length > 5);
   for (const { w } of late) assert.deepEqual(w.checker.broken, []);
   // A list that does not know the machine yet, taken for the truth, starts its task twice.
-  const proto = GroupState.prototype as unknown as {
-    listed: (m: Map<string, unknown>, asOfMs: number) => void;
+  const proto = PartitionState.prototype as unknown as {
+    noteMachineList: (m: Map<string, unknown>, asOfMs: number) => void;
   };
-  const before = proto.listed;
-  proto.listed = function (m) {
+  const before = proto.noteMachineList;
+  proto.noteMachineList = function (m) {
     before.call(this, m, Infinity);
   };
   try {
@@ -869,7 +877,7 @@
       /ran_twice/,
     );
   } finally {
-    proto.listed = before;
+    proto.noteMachineList = before;
   }
 });
 
@@ -888,9 +896,9 @@
     w.ask(
       "node-a",
       (req) => ({
-        is: "report",
+        type: "heartbeat",
         req,
-        report: { ...m.snapshot(), token: 0 },
+        heartbeat: { ...m.snapshot(), token: 0 },
         relayed: false,
       }),
       () => {},
@@ -899,10 +907,10 @@
   };
   w.at(20_000, report);
   w.afterStep = (core) => {
-    const own = core.masters.get("node-a")?.own;
+    const own = core.leaders.get("node-a")?.state;
     if (w.now < 21_000 || !own?.workers.has(m.id)) return;
     checked++;
-    assert.ok(own.roster.has(m.id), `at ${w.now}`);
+    assert.ok(own.registry.has(m.id), `at ${w.now}`);
   };
   w.run(28_000);
   assert.ok(checked > 20);
--- a/test/scenario-last-task.test.ts
+++ b/test/scenario-last-task.test.ts
@@ -1,22 +1,22 @@
 import { test } from "node:test";
 import { Controller } from "../src/coordination/controller.js";
-import { PAST, readPast } from "../src/storage/records.js";
-import { expectCaught, expectKept } from "./scenarios/expect.js";
+import { FINAL_PREFIX, readFinal } from "../src/storage/records.js";
+import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 import { lastTask } from "./scenarios/last-task.js";
 
 test("a cancellation, a question or a repeated submission meets the end of a job's last task, with no other trouble", () => {
-  expectKept(lastTask, [0, 1, 2, 3, 4, 5, 6, 7], 3);
+  expectRulesKept(lastTask, [0, 1, 2, 3, 4, 5, 6, 7], 3);
 });
 
 test("guard: the end of a job is conditional on the job's record", () => {
-  expectCaught(lastTask, [0, 1, 2, 3, 4, 5, 6, 7], "went_back", () => {
+  expectDetected(lastTask, [0, 1, 2, 3, 4, 5, 6, 7], "went_back", () => {
     const before = Controller.prototype.commit;
     Controller.prototype.commit = function (conditions, writes, urgent, done) {
       const endsJob = writes.some(
         (w) =>
           w.op === "put" &&
-          w.key.startsWith(PAST) &&
-          readPast(w.value)?.status === "done",
+          w.key.startsWith(FINAL_PREFIX) &&
+          readFinal(w.value)?.status === "done",
       );
       before.call(this, endsJob ? [] : conditions, writes, urgent, done);
     };
--- a/test/scenario-late-transactions.test.ts
+++ b/test/scenario-late-transactions.test.ts
@@ -1,20 +1,25 @@
 import { test } from "node:test";
-import { GroupState } from "../src/coordination/group-state.js";
-import { expectCaught, expectKept } from "./scenarios/expect.js";
+import { PartitionState } from "../src/coordination/group-state.js";
+import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 import { lateTransactions } from "./scenarios/late-transactions.js";
 
 const SEEDS = [0, 1, 2, 3, 4, 5];
 
 test("transactions without an answer that arrive after newer ones of their controller change nothing that these wrote", () => {
-  expectKept(lateTransactions, SEEDS, 1);
+  expectRulesKept(lateTransactions, SEEDS, 1);
 });
 
 test("guard: the commits of a leader are conditional on what they replace, not on its token alone", () => {
-  expectCaught(lateTransactions, SEEDS, "ran_twice", () => {
-    const before = GroupState.prototype.commit;
-    GroupState.prototype.commit = function (_conditions, writes, urgent, done) {
+  expectDetected(lateTransactions, SEEDS, "ran_twice", () => {
+    const before = PartitionState.prototype.commit;
+    PartitionState.prototype.commit = function (
+      _conditions,
+      writes,
+      urgent,
+      done,
+    ) {
       before.call(this, [], writes, urgent, done);
     };
-    return () => (GroupState.prototype.commit = before);
+    return () => (PartitionState.prototype.commit = before);
   });
 });
--- a/test/scenario-lost-answers.test.ts
+++ b/test/scenario-lost-answers.test.ts
@@ -1,14 +1,14 @@
 import { test } from "node:test";
 import { Controller } from "../src/coordination/controller.js";
-import { expectCaught, expectKept } from "./scenarios/expect.js";
+import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 import { lostAnswers } from "./scenarios/lost-answers.js";
 
 test("transactions of every kind whose answers alone are lost, while others read what was written and commit on top of it", () => {
-  expectKept(lostAnswers, [0, 1, 2, 3, 4, 5, 6, 7, 8], 1);
+  expectRulesKept(lostAnswers, [0, 1, 2, 3, 4, 5, 6, 7, 8], 1);
 });
 
 test("guard: a transaction without an answer is not taken for one that was refused", () => {
-  expectCaught(lostAnswers, [10], "ran_twice", () => {
+  expectDetected(lostAnswers, [10], "ran_twice", () => {
     const before = Controller.prototype.commit;
     Controller.prototype.commit = function (conditions, writes, urgent, done) {
       before.call(this, conditions, writes, urgent, (end) =>
--- a/test/scenario-one-task-jobs.test.ts
+++ b/test/scenario-one-task-jobs.test.ts
@@ -1,29 +1,29 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Controller } from "../src/coordination/controller.js";
-import { PAST, readPast } from "../src/storage/records.js";
-import { expectCaught, expectKept } from "./scenarios/expect.js";
+import { FINAL_PREFIX, readFinal } from "../src/storage/records.js";
+import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 import { oneTaskJobs } from "./scenarios/one-task-jobs.js";
 
 /** The least that a deployment of the operators allows: changes a second. */
 const CHANGES_PER_S = 60;
 
 test("one-task jobs, four a second for three minutes, a quarter cancelled: the rules hold, nobody waits, no records pile up", () => {
-  expectKept(oneTaskJobs, [0, 1], 10);
+  expectRulesKept(oneTaskJobs, [0, 1], 10);
   const { figures } = oneTaskJobs(1);
   assert.deepEqual(figures.leftover, []);
   assert.ok(figures.mostInOneS <= CHANGES_PER_S, JSON.stringify(figures));
 });
 
 test("guard: a cancellation that meets the end of the last task is conditional on the job's record", () => {
-  expectCaught(oneTaskJobs, [0], "went_back", () => {
+  expectDetected(oneTaskJobs, [0], "went_back", () => {
     const before = Controller.prototype.commit;
     Controller.prototype.commit = function (conditions, writes, urgent, done) {
       const cancels = writes.some(
         (w) =>
           w.op === "put" &&
-          w.key.startsWith(PAST) &&
-          readPast(w.value)?.status === "cancelled",
+          w.key.startsWith(FINAL_PREFIX) &&
+          readFinal(w.value)?.status === "cancelled",
       );
       before.call(this, cancels ? [] : conditions, writes, urgent, done);
     };
--- a/test/scenario-quick-machines.test.ts
+++ b/test/scenario-quick-machines.test.ts
@@ -1,16 +1,16 @@
 import { test } from "node:test";
-import { Roster } from "../src/coordination/roster.js";
-import { expectCaught, expectKept } from "./scenarios/expect.js";
+import { MachineRegistry } from "../src/coordination/roster.js";
+import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 import { quickMachines } from "./scenarios/quick-machines.js";
 
 test("machines up within two seconds that get work at once while the commit that lists them lags, and their leader ends around it", () => {
-  expectKept(quickMachines, [0, 1, 2, 3, 4, 5, 6, 7, 8, 9], 1);
+  expectRulesKept(quickMachines, [0, 1, 2, 3, 4, 5, 6, 7, 8, 9], 1);
 });
 
 test("guard: a machine is used only once the roster names it", () => {
-  expectCaught(quickMachines, [3], "ran_twice", () => {
-    const before = Roster.prototype.has;
-    Roster.prototype.has = () => true;
-    return () => (Roster.prototype.has = before);
+  expectDetected(quickMachines, [3], "ran_twice", () => {
+    const before = MachineRegistry.prototype.has;
+    MachineRegistry.prototype.has = () => true;
+    return () => (MachineRegistry.prototype.has = before);
   });
 });
--- a/test/scenarios/cancelled-in-handover.ts
+++ b/test/scenarios/cancelled-in-handover.ts
@@ -1,14 +1,14 @@
-import { cancel, users } from "../sim/days.js";
+import { cancel, submitWorkload } from "../sim/days.js";
 import type { World } from "../sim/world.js";
 import {
   cutOffLeader,
-  groupOf,
+  partitionOf,
   Occurrences,
   ownerOf,
   plainJob,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
   tasksOnMachines,
 } from "./stage.js";
@@ -28,8 +28,8 @@
 type Phase = (typeof PHASES)[number];
 
 /** Who owned a group last, and how that ended. */
-interface Handover {
-  group: string;
+interface Transfer {
+  partition: string;
   leader: string;
   token: number;
   backWithinMs: number | null;
@@ -41,33 +41,34 @@
  * Jobs with tasks on a group's machines are cancelled in each phase in which that group changes hands: nothing of them starts any more,
  * and what runs is gone in time, although the leader that began it never hears of the cancellation.
  */
-export function cancelledInHandover(seed: number): ScenarioDay {
+export function cancelledInTransfer(seed: number): ScenarioRun {
   const world = stage(seed, { controllers: 2 + (seed % 3), runFactor: 12 });
   const occurred = new Occurrences(PHASES);
-  let current: Handover | null = null;
+  let current: Transfer | null = null;
   world.checker.onTold = (id, told) => {
     if (told !== "cancelled" || !current) return;
     const phase = phaseOf(world, current);
-    if (phase && isOnGroup(world, id, current.group)) occurred.note(phase);
+    if (phase && isOnPartition(world, id, current.partition))
+      occurred.note(phase);
   };
   watchGivenUp(world, () => current);
   for (let atMs = 12_000; atMs < OVER_MS - EPISODE_MS; atMs += EPISODE_MS)
     world.at(atMs, () => (current = begin(world)));
   world.every(25, () => current && cancelInPhase(world, current));
-  users(world, OVER_MS - 10_000, plainJob);
+  submitWorkload(world, OVER_MS - 10_000, plainJob);
   runToEnd(world, OVER_MS);
   return { world, occurred: occurred.counts };
 }
 
 /** The leader of a group with tasks ends, is cut off, stands still, or is back at once. */
-function begin(world: World): Handover | null {
+function begin(world: World): Transfer | null {
   const { rng } = world;
   const busy = [...tasksOnMachines(world)].map((x) =>
-    groupOf(world, x.machine),
+    partitionOf(world, x.machine),
   );
   if (busy.length === 0) return null;
-  const group = rng.pick(busy);
-  const record = ownerOf(world, group);
+  const partition = rng.pick(busy);
+  const record = ownerOf(world, partition);
   if (!record || !world.nodes.get(record.owner)) return null;
   const { owner: leader, token } = record;
   let backWithinMs: number | null = null;
@@ -88,7 +89,7 @@
       restart(world, leader, backWithinMs);
   }
   return {
-    group,
+    partition,
     leader,
     token,
     backWithinMs,
@@ -98,35 +99,35 @@
 }
 
 /** A record that its owner deletes was given up; one that goes away with its hold was not. */
-function watchGivenUp(world: World, current: () => Handover | null): void {
+function watchGivenUp(world: World, current: () => Transfer | null): void {
   world.onCommitted.push((_name, commit) => {
-    const handover = current();
-    if (!handover) return;
+    const transfer = current();
+    if (!transfer) return;
     for (const write of commit.writes) {
-      if (write.key !== `lc/now/group/${handover.group}`) continue;
-      handover.isGivenUp = write.op === "delete";
-      handover.done.clear();
+      if (write.key !== `lc/now/group/${transfer.partition}`) continue;
+      transfer.isGivenUp = write.op === "delete";
+      transfer.done.clear();
     }
   });
 }
 
-function phaseOf(world: World, handover: Handover): Phase | null {
-  const record = ownerOf(world, handover.group);
+function phaseOf(world: World, transfer: Transfer): Phase | null {
+  const record = ownerOf(world, transfer.partition);
   if (!record)
-    return handover.isGivenUp
+    return transfer.isGivenUp
       ? "given up on purpose, before the new token"
       : "between the hold's end and the new token";
   const node = world.nodes.get(record.owner) ?? null;
-  if (record.token === handover.token) {
+  if (record.token === transfer.token) {
     if (!isAway(world, record.owner))
-      return handover.backWithinMs === null
+      return transfer.backWithinMs === null
         ? null
         : "the leader is back within a second";
     return "its leader is gone, its hold lasts";
   }
-  const master = node?.core.masters.get(handover.group);
-  if (!master) return "the new leader reads for the first time";
-  return master.own.fenced ? "before the fence is over" : null;
+  const leader = node?.core.leaders.get(transfer.partition);
+  if (!leader) return "the new leader reads for the first time";
+  return leader.state.isFenced ? "before the fence is over" : null;
 }
 
 /** It neither acts nor hears of anything. */
@@ -135,22 +136,23 @@
   return node === null || node.still !== null || world.stateCut.has(name);
 }
 
-function isOnGroup(world: World, job: string, group: string): boolean {
+function isOnPartition(world: World, job: string, partition: string): boolean {
   for (const { machine, task } of tasksOnMachines(world))
-    if (task.job === job && groupOf(world, machine) === group) return true;
+    if (task.job === job && partitionOf(world, machine) === partition)
+      return true;
   return false;
 }
 
 /** Once in each phase, two jobs with tasks on the group's machines. */
-function cancelInPhase(world: World, handover: Handover): void {
+function cancelInPhase(world: World, transfer: Transfer): void {
   const { rng } = world;
-  const phase = phaseOf(world, handover);
-  if (phase === null || handover.done.has(phase)) return;
-  handover.done.add(phase);
+  const phase = phaseOf(world, transfer);
+  if (phase === null || transfer.done.has(phase)) return;
+  transfer.done.add(phase);
   const jobs = new Set<string>();
   for (const { machine, task } of tasksOnMachines(world))
     if (
-      groupOf(world, machine) === handover.group &&
+      partitionOf(world, machine) === transfer.partition &&
       !world.checker.asked.has(task.job)
     )
       jobs.add(task.job);
--- a/test/scenarios/close-questions.ts
+++ b/test/scenarios/close-questions.ts
@@ -3,7 +3,7 @@
   askAllControllers,
   pipelines,
   submit,
-  users,
+  submitWorkload,
 } from "../sim/days.js";
 import type { World } from "../sim/world.js";
 import {
@@ -13,9 +13,9 @@
   refuse,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
-  watchGroups,
+  watchPartitions,
 } from "./stage.js";
 
 const OVER_MS = 120_000;
@@ -69,7 +69,7 @@
  * or cancelled, and some cancel at once; meanwhile one controller is refused, cut from its peers, has just started, has just taken or
  * lost a group, or has a commit on that very job without an answer.
  */
-export function closeQuestions(seed: number): ScenarioDay {
+export function closeQuestions(seed: number): ScenarioRun {
   const world = stage(seed, { controllers: 3 + (seed % 3), runFactor: 0.7 });
   const { rng } = world;
   const occurred = new Occurrences([
@@ -88,7 +88,7 @@
             occurred.note(`${told}, ${c}`);
         askAllControllers(world, id);
       });
-    if (told === "accepted" && (world.awaits.get(id)?.length ?? 0) > 0)
+    if (told === "accepted" && (world.dependsOn.get(id)?.length ?? 0) > 0)
       occurred.note("accepted, waits for another job");
     if (told === "accepted" && rng.chance(0.2)) {
       occurred.note("cancelled within 100 ms of accepted");
@@ -99,7 +99,7 @@
 
   loseAnswersOnJobs(world, conditions);
   tellAtTakeovers(world, conditions);
-  users(world, OVER_MS - 5_000, plainJob);
+  submitWorkload(world, OVER_MS - 5_000, plainJob);
   pipelines(world, 5_000, OVER_MS - 10_000);
   runToEnd(world, OVER_MS + 5_000);
   return { world, occurred: occurred.counts };
@@ -155,7 +155,7 @@
     }
   };
   let submitted = 0;
-  watchGroups(world, ({ owner, formerOwner }) => {
+  watchPartitions(world, ({ owner, formerOwner }) => {
     conditions.tookMs.set(owner, world.now);
     if (formerOwner !== owner) conditions.lostMs.set(formerOwner, world.now);
     tell();
--- a/test/scenarios/commit-kinds.ts
+++ b/test/scenarios/commit-kinds.ts
@@ -1,5 +1,5 @@
 import type { Write } from "../../src/protocol/state.js";
-import { parseKey, readJob, readPast } from "../../src/storage/records.js";
+import { parseKey, readJob, readFinal } from "../../src/storage/records.js";
 import type { CommitCall, World } from "../sim/world.js";
 
 /** Kinds of commits, as the table of commits in docs/design/meetings.md has them. */
@@ -49,7 +49,7 @@
     case "job":
       return kindOfJobWrite(world, commit, write.key);
     case "past":
-      return readPast(write.value)?.status === "done"
+      return readFinal(write.value)?.status === "done"
         ? "end of a job"
         : "withdraw or end of a line";
     case "fin":
@@ -85,7 +85,7 @@
   const isNew = commit.conditions.some((c) => c.key === key && c.version === 0);
   if (isNew) return "accept";
   const before = readJob(world.state.data.get(key)?.value);
-  return before && before.awaits.length > 0 ? "release" : "move";
+  return before && before.dependsOn.length > 0 ? "release" : "move";
 }
 
 function kindOfDelete(write: Write, endsJob: boolean): CommitKind | null {
--- a/test/scenarios/expect.ts
+++ b/test/scenarios/expect.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
-import { expectGuardNeeded, describeDay } from "../sim/guards.js";
+import { expectGuardNeeded, describeWorkload } from "../sim/guards.js";
 import type { Scenario } from "./stage.js";
 
 /** No rule breaks on these days, and each conjunction occurs at least so often on all of them together. */
-export function expectKept(
+export function expectRulesKept(
   scenario: Scenario,
   seeds: readonly number[],
   least: number,
@@ -12,7 +12,7 @@
   for (const seed of seeds) {
     const { world, occurred } = scenario(seed);
     if (world.checker.broken.length > 0)
-      assert.fail(`seed ${seed}: ${describeDay(world)}`);
+      assert.fail(`seed ${seed}: ${describeWorkload(world)}`);
     for (const [name, n] of occurred)
       total.set(name, (total.get(name) ?? 0) + n);
   }
@@ -21,7 +21,7 @@
 }
 
 /** With a guard switched off, `off` returning what switches it on again, the rule breaks on one of these days. */
-export function expectCaught(
+export function expectDetected(
   scenario: Scenario,
   seeds: readonly number[],
   rule: string,
--- a/test/scenarios/held-commands.ts
+++ b/test/scenarios/held-commands.ts
@@ -1,8 +1,8 @@
-import { cancel, users } from "../sim/days.js";
+import { cancel, submitWorkload } from "../sim/days.js";
 import type { SimWorker } from "../sim/machine.js";
 import type { World } from "../sim/world.js";
 import {
-  groupOf,
+  partitionOf,
   isUnreachable,
   Occurrences,
   ownerOf,
@@ -10,7 +10,7 @@
   putOutOfReach,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
 } from "./stage.js";
 
@@ -33,7 +33,7 @@
  * Direct commands with starts are held up for 2 to 16 s and then carried out once, if token and session still match; meanwhile their
  * leader ends, their machine can't report, or the job is cancelled.
  */
-export function heldCommands(seed: number): ScenarioDay {
+export function heldCommands(seed: number): ScenarioRun {
   const world = stage(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 3,
@@ -44,12 +44,12 @@
   });
   const { rng } = world;
   const occurred = new Occurrences(CONJUNCTIONS);
-  world.commandHold = (leader, machine, token, orders) => {
-    const start = orders.find((o) => o.op === "start");
+  world.commandHold = (leader, machine, token, commands) => {
+    const start = commands.find((o) => o.op === "start");
     if (!start || world.now > OVER_MS || !rng.chance(HELD_SHARE))
       return undefined;
     disturb(world, leader, machine, start.job);
-    const session = machine.session;
+    const incarnation = machine.incarnation;
     return {
       forMs: rng.real(...HELD_MS),
       onArrival: () => {
@@ -57,14 +57,14 @@
           world,
           machine,
           token,
-          session,
+          incarnation,
           start.job,
         ))
           occurred.note(c);
       },
     };
   };
-  users(world, OVER_MS - 15_000, (w, n) => ({
+  submitWorkload(world, OVER_MS - 15_000, (w, n) => ({
     ...plainJob(w, n),
     tasks: w.rng.int(1, 3),
   }));
@@ -107,21 +107,21 @@
   world: World,
   machine: SimWorker,
   token: number,
-  session: number,
+  incarnation: number,
   job: string,
 ): Conjunction[] {
   if (machine.token > token)
     return ["refused, for the machine has heard of a new leader"];
-  if (machine.session !== session)
+  if (machine.incarnation !== incarnation)
     return ["refused, for the machine has a new session"];
   const found: Conjunction[] = [];
-  const leads = ownerOf(world, groupOf(world, machine))?.token;
+  const leads = ownerOf(world, partitionOf(world, machine))?.token;
   found.push(
     leads === token
       ? "carried out late under the same leader"
       : "carried out after the group has a new leader, of which the machine has not heard",
   );
-  if (machine.mute)
+  if (machine.isMute)
     found.push("carried out late on a machine that can't report");
   if (world.checker.told.get(job) === "cancelled")
     found.push("carried out late although the job is cancelled");
--- a/test/scenarios/index.ts
+++ b/test/scenarios/index.ts
@@ -1,4 +1,4 @@
-import { cancelledInHandover } from "./cancelled-in-handover.js";
+import { cancelledInTransfer } from "./cancelled-in-handover.js";
 import { closeQuestions } from "./close-questions.js";
 import { heldCommands } from "./held-commands.js";
 import { lastTask } from "./last-task.js";
@@ -15,7 +15,7 @@
 
 /** Scenarios by name, for long searches. */
 export const SCENARIOS: Readonly<Record<string, Scenario>> = {
-  "cancelled-in-handover": cancelledInHandover,
+  "cancelled-in-handover": cancelledInTransfer,
   "close-questions": closeQuestions,
   "held-commands": heldCommands,
   "last-task": lastTask,
--- a/test/scenarios/last-task.ts
+++ b/test/scenarios/last-task.ts
@@ -1,10 +1,15 @@
-import { cancel, askAllControllers, submit, users } from "../sim/days.js";
+import {
+  cancel,
+  askAllControllers,
+  submit,
+  submitWorkload,
+} from "../sim/days.js";
 import type { World } from "../sim/world.js";
 import {
   Occurrences,
   plainJob,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
   tasksOnMachines,
 } from "./stage.js";
@@ -20,7 +25,7 @@
 const SHAPES = ["array", "gang"] as const;
 
 /** A cancellation, a question at all controllers or a repeated submission meets the end of a job's last task, with no other trouble. */
-export function lastTask(seed: number): ScenarioDay {
+export function lastTask(seed: number): ScenarioRun {
   const world = stage(seed, { controllers: 1 + (seed % 4), runFactor: 0.8 });
   const { rng } = world;
   world.loss = 0;
@@ -51,7 +56,7 @@
     }
   });
   const shapeOf = (id: string): string =>
-    world.specs.get(id)!.shape === "ensemble" ? "gang" : "array";
+    world.specs.get(id)!.kind === "gang" ? "gang" : "array";
   const noteAfter = (id: string): void => {
     const request = pending.get(id)?.at(-1)?.request;
     if (request) occurred.note(`${request} after the end, ${shapeOf(id)}`);
@@ -63,9 +68,9 @@
         occurred.note(`${request} before the end, ${shapeOf(id)}`);
     pending.delete(id);
   };
-  users(world, OVER_MS - 15_000, (w, n) => {
+  submitWorkload(world, OVER_MS - 15_000, (w, n) => {
     const job = plainJob(w, n);
-    return job.shape === "daemon" ? { ...job, shape: "batch" } : job;
+    return job.kind === "service" ? { ...job, kind: "array" } : job;
   });
   runToEnd(world, OVER_MS);
   return { world, occurred: occurred.counts };
--- a/test/scenarios/late-transactions.ts
+++ b/test/scenarios/late-transactions.ts
@@ -1,4 +1,4 @@
-import { pipelines, users } from "../sim/days.js";
+import { pipelines, submitWorkload } from "../sim/days.js";
 import type { CommitCall, World } from "../sim/world.js";
 import { type CommitKind, kindsOf } from "./commit-kinds.js";
 import {
@@ -6,7 +6,7 @@
   plainJob,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
 } from "./stage.js";
 
@@ -35,7 +35,7 @@
  * Transactions without an answer reach the state service 2 to 12 s late, after newer ones of the same controller on the same records,
  * and after the group has a new leader.
  */
-export function lateTransactions(seed: number): ScenarioDay {
+export function lateTransactions(seed: number): ScenarioRun {
   const world = stage(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 2,
@@ -73,7 +73,7 @@
     return { beforeMs, answered: false };
   };
   disturb(world);
-  users(world, OVER_MS - 20_000, plainJob);
+  submitWorkload(world, OVER_MS - 20_000, plainJob);
   pipelines(world, 4_000, OVER_MS - 30_000);
   runToEnd(world, OVER_MS);
   return { world, occurred: occurred.counts };
--- a/test/scenarios/leader-changes.ts
+++ b/test/scenarios/leader-changes.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "../../src/coordination/model.js";
-import { cancel, pipelines, users } from "../sim/days.js";
+import { cancel, pipelines, submitWorkload } from "../sim/days.js";
 import type { World } from "../sim/world.js";
 import {
   Occurrences,
@@ -7,10 +7,10 @@
   plainJob,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
   tasksOnMachines,
-  watchGroups,
+  watchPartitions,
 } from "./stage.js";
 
 const CHANGES_FROM_MS = 12_000;
@@ -35,7 +35,7 @@
  * Leaders change ten times in two minutes, also inside outages of the state service; then all controllers are away for longer than a
  * lease; then all end and one returns at once. Jobs of two or three tasks end far apart meanwhile, and some are cancelled.
  */
-export function leaderChanges(seed: number): ScenarioDay {
+export function leaderChanges(seed: number): ScenarioRun {
   const world = stage(seed, { controllers: 2 + (seed % 3), runFactor: 3 });
   const occurred = new Occurrences(CONJUNCTIONS);
   const note = (what: Conjunction): void => occurred.note(what);
@@ -43,7 +43,7 @@
   changeLeaders(world, note);
   allAway(world, note);
   oneReturns(world, note);
-  users(world, OVER_MS - 25_000, smallArray);
+  submitWorkload(world, OVER_MS - 25_000, smallArray);
   pipelines(world, 5_000, OVER_MS - 60_000);
   runToEnd(world, OVER_MS);
   return { world, occurred: occurred.counts };
@@ -52,7 +52,7 @@
 function smallArray(world: World, n: number): JobSpec {
   const job = plainJob(world, n);
   if (n % 3 === 0) return job;
-  return { ...job, shape: "batch", tasks: world.rng.int(2, 3) };
+  return { ...job, kind: "array", tasks: world.rng.int(2, 3) };
 }
 
 /** Counts what a change of leader means for its group and for the jobs under way. */
@@ -61,18 +61,18 @@
   const leaders = new Map<string, Set<string>>();
   const partlyDone = new Set<string>();
   let lastChangeMs = -Infinity;
-  watchGroups(world, ({ group, owner, formerOwner }) => {
-    const recent = (changesMs.get(group) ?? []).filter(
+  watchPartitions(world, ({ partition, owner, formerOwner }) => {
+    const recent = (changesMs.get(partition) ?? []).filter(
       (ms) => world.now - ms < TWO_MINUTES_MS,
     );
     recent.push(world.now);
-    changesMs.set(group, recent);
+    changesMs.set(partition, recent);
     if (recent.length === 10)
       note("ten changes of a group's leader in two minutes");
-    const former = leaders.get(group) ?? new Set([formerOwner]);
+    const former = leaders.get(partition) ?? new Set([formerOwner]);
     if (owner !== formerOwner && former.has(owner))
       note("a group goes back to a former leader");
-    leaders.set(group, former.add(owner));
+    leaders.set(partition, former.add(owner));
     for (const id of partlyDoneJobs(world)) partlyDone.add(id);
     lastChangeMs = world.now;
   });
@@ -91,7 +91,7 @@
   const ids: string[] = [];
   for (const [id, told] of world.checker.told) {
     const spec = world.specs.get(id)!;
-    if (told !== "accepted" || spec.shape !== "batch") continue;
+    if (told !== "accepted" || spec.kind !== "array") continue;
     if (spec.tasks < 2 || spec.tasks > 3) continue;
     let done = 0;
     for (let i = 0; i < spec.tasks; i++)
@@ -104,10 +104,10 @@
 /** The leader of one group ends again and again, and is back within seconds; twice the state service is down meanwhile. */
 function changeLeaders(world: World, note: (what: Conjunction) => void): void {
   const { rng } = world;
-  const group = rng.pick(world.names);
+  const partition = rng.pick(world.names);
   const end = (): void => {
     if (world.now > CHANGES_FROM_MS + CHANGES_FOR_MS) return;
-    const leader = ownerOf(world, group)?.owner ?? rng.pick(world.names);
+    const leader = ownerOf(world, partition)?.owner ?? rng.pick(world.names);
     if (world.stateDown)
       note("a leader ends inside an outage of the state service");
     // Mostly it takes its group again; now and then a peer does first.
@@ -160,7 +160,9 @@
       );
     const others = world.names.filter((name) => name !== first);
     world.at(24_000, () => {
-      if (others.some((group) => ownerOf(world, group)?.owner === first))
+      if (
+        others.some((partition) => ownerOf(world, partition)?.owner === first)
+      )
         note(
           "all end and one is back within a second, and takes another's group",
         );
--- a/test/scenarios/limits-out-of-reach.ts
+++ b/test/scenarios/limits-out-of-reach.ts
@@ -1,9 +1,9 @@
-import { cancel, users } from "../sim/days.js";
+import { cancel, submitWorkload } from "../sim/days.js";
 import type { SimWorker } from "../sim/machine.js";
 import type { World } from "../sim/world.js";
 import {
   cutOffLeader,
-  groupOf,
+  partitionOf,
   isUnreachable,
   liveLeaderOf,
   NEW_LEADERS,
@@ -13,12 +13,12 @@
   putOutOfReach,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
   tasksOnMachines,
   UNREACHABLE,
   type Unreachable,
-  watchGroups,
+  watchPartitions,
   whenever,
 } from "./stage.js";
 
@@ -40,7 +40,7 @@
  * Every team is at its limit; jobs are cancelled of which a task is on a machine that is cut off, deaf, mute or hangs; within the lease
  * the group of that machine gets a new leader, while the task is still there: it counts for the limit, and is gone in time.
  */
-export function limitsOutOfReach(seed: number): ScenarioDay {
+export function limitsOutOfReach(seed: number): ScenarioRun {
   const world = stage(seed, {
     controllers: 3 + (seed % 3),
     runFactor: 5,
@@ -58,11 +58,11 @@
     for (const c of cancelled)
       if (c.job === id && everyTeamAtLimit(world)) c.confirmedMs = world.now;
   };
-  watchGroups(world, (takeover) => {
-    const { group } = takeover;
+  watchPartitions(world, (takeover) => {
+    const { partition } = takeover;
     const leader = newLeader(takeover);
     for (const c of cancelled)
-      if (isMet(world, c, group)) occurred.note(`${c.how}, ${leader}`);
+      if (isMet(world, c, partition)) occurred.note(`${c.how}, ${leader}`);
   });
   whenever(
     world,
@@ -70,9 +70,9 @@
     () => episode(world, cancelled),
     { restMs: EPISODE_MS, untilMs: OVER_MS - EPISODE_MS },
   );
-  users(world, OVER_MS - 10_000, (w, n) => ({
+  submitWorkload(world, OVER_MS - 10_000, (w, n) => ({
     ...plainJob(w, n),
-    shape: "batch",
+    kind: "array",
     samePlace: false,
     tasks: w.rng.int(1, 6),
   }));
@@ -90,9 +90,9 @@
 }
 
 /** The task is still on its machine, out of reach, within a lease of the cancellation. */
-function isMet(world: World, c: Cancelled, group: string): boolean {
+function isMet(world: World, c: Cancelled, partition: string): boolean {
   if (c.confirmedMs === null || c.machine.gone) return false;
-  if (groupOf(world, c.machine) !== group || !isUnreachable(c.machine))
+  if (partitionOf(world, c.machine) !== partition || !isUnreachable(c.machine))
     return false;
   if (world.now - c.confirmedMs > 1_000 * world.settings.leaseS) return false;
   return [...c.machine.tasks.values()].some(
@@ -104,13 +104,13 @@
 function episode(world: World, cancelled: Cancelled[]): void {
   const { rng } = world;
   const busy = [...tasksOnMachines(world)].filter(
-    ({ machine, spec }) => !isUnreachable(machine) && spec.shape === "batch",
+    ({ machine, spec }) => !isUnreachable(machine) && spec.kind === "array",
   );
   if (busy.length === 0) return;
-  const group = groupOf(world, rng.pick(busy).machine);
-  const leader = liveLeaderOf(world, group);
+  const partition = partitionOf(world, rng.pick(busy).machine);
+  const leader = liveLeaderOf(world, partition);
   if (leader === null) return;
-  const cancelAll = (): void => cancelOnMachines(world, group, cancelled);
+  const cancelAll = (): void => cancelOnMachines(world, partition, cancelled);
   if (rng.chance(0.5)) {
     cancelAll();
     return world.at(rng.real(0, 5_000), () =>
@@ -125,14 +125,15 @@
 
 function cancelOnMachines(
   world: World,
-  group: string,
+  partition: string,
   cancelled: Cancelled[],
 ): void {
   const { rng } = world;
   const seen = new Set<SimWorker>();
   for (const { machine, task, spec } of [...tasksOnMachines(world)]) {
     if (seen.size >= 8 || seen.has(machine)) continue;
-    if (groupOf(world, machine) !== group || spec.shape !== "batch") continue;
+    if (partitionOf(world, machine) !== partition || spec.kind !== "array")
+      continue;
     if (world.checker.asked.has(task.job) || isUnreachable(machine)) continue;
     seen.add(machine);
     const how = rng.pick(UNREACHABLE);
--- a/test/scenarios/lost-answers.ts
+++ b/test/scenarios/lost-answers.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "../../src/coordination/model.js";
-import { largeJob, pipelines, randomJob, users } from "../sim/days.js";
+import { largeJob, pipelines, randomJob, submitWorkload } from "../sim/days.js";
 import { gangKey, parseKey } from "../../src/storage/records.js";
 import type { CommitCall, World } from "../sim/world.js";
 import { COMMIT_KINDS, type CommitKind, kindsOf } from "./commit-kinds.js";
@@ -8,7 +8,7 @@
   plainJob,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
   type StageOptions,
   tasksOnMachines,
@@ -80,7 +80,7 @@
  * Transactions of every kind are carried out and only their answers are lost, in half of the cases while their writer's reads are held
  * up, so that others read what was written, and commit on top of it, before the writer knows.
  */
-export function lostAnswers(seed: number): ScenarioDay {
+export function lostAnswers(seed: number): ScenarioRun {
   const isScarce = seed % 3 === 2;
   const world = stage(seed, isScarce ? SCARCE : PLENTY(seed));
   const occurred = new Occurrences(
@@ -89,7 +89,7 @@
   for (const kind of BUILT_ON_KINDS)
     occurred.counts.set(`${kind}: another committed on top`, 0);
   loseAnswers(world, occurred);
-  users(world, OVER_MS - 20_000, (w, n) =>
+  submitWorkload(world, OVER_MS - 20_000, (w, n) =>
     isScarce ? scarceJob(w, n) : n % 2 === 0 ? fitting(w, n) : randomJob(w, n),
   );
   pipelines(world, 4_000, OVER_MS - 30_000);
@@ -127,8 +127,8 @@
   return {
     ...plainJob(world, n),
     team: isGuest ? "red" : "blue",
-    shape: "batch",
-    urgency: "normal",
+    kind: "array",
+    priority: "normal",
     // What waits at the end has to be done by then: a team whose tasks come and go is never quite at its limit.
     tasks: isGuest ? (n <= GUEST_FLOOD ? 60 : 4) : 12,
     cpus: 2,
@@ -141,13 +141,13 @@
   if (n % 4 === 0)
     return {
       ...plainJob(world, n),
-      shape: "ensemble",
+      kind: "gang",
       tasks: world.rng.int(2, 5),
       samePlace: false,
       spread: true,
     };
   const job = largeJob(world, n);
-  const tasks = job.shape === "ensemble" ? Math.min(3, job.tasks) : job.tasks;
+  const tasks = job.kind === "gang" ? Math.min(3, job.tasks) : job.tasks;
   return { ...job, tasks: Math.min(40, tasks) };
 }
 
@@ -198,12 +198,12 @@
       continue;
     const writer = world.nodes.get(answer.writer);
     if (!writer || writer.life !== answer.writerLife) continue;
-    if (writer.core.mirror.epoch >= answer.revision) continue;
+    if (writer.core.cache.revision >= answer.revision) continue;
     answer.readFirst = [...world.nodes].some(
       ([name, node]) =>
         name !== answer.writer &&
         node !== null &&
-        node.core.mirror.epoch >= answer.revision,
+        node.core.cache.revision >= answer.revision,
     );
     if (answer.readFirst)
       for (const kind of answer.kinds)
--- a/test/scenarios/old-reports.ts
+++ b/test/scenarios/old-reports.ts
@@ -1,19 +1,19 @@
-import type { Report } from "../../src/coordination/model.js";
+import type { Heartbeat } from "../../src/coordination/model.js";
 import { jobKey, readJob } from "../../src/storage/records.js";
-import { cancel, users } from "../sim/days.js";
+import { cancel, submitWorkload } from "../sim/days.js";
 import type { World } from "../sim/world.js";
 import {
   cutOffLeader,
-  groupOfZone,
+  partitionOfZone,
   Occurrences,
   plainJob,
   putOutOfReach,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
   type Takeover,
-  watchGroups,
+  watchPartitions,
 } from "./stage.js";
 
 const OVER_MS = 170_000;
@@ -35,7 +35,7 @@
 type Content = (typeof CONTENTS)[number];
 
 interface KeptReport {
-  report: Report;
+  report: Heartbeat;
   madeMs: number;
 }
 
@@ -43,7 +43,7 @@
  * Old reports come once more: to every controller within half a second of a takeover, or to the new leader only after it has given
  * orders. They are of the same session or an earlier one, and show tasks that have another attempt by now, are done, cancelled or moved.
  */
-export function oldReports(seed: number): ScenarioDay {
+export function oldReports(seed: number): ScenarioRun {
   const world = stage(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 2,
@@ -53,14 +53,14 @@
     WHEN.flatMap((w) => CONTENTS.map((c) => `${c}, ${w}`)),
   );
   const kept: KeptReport[] = [];
-  world.onReport.push((report) => {
+  world.onHeartbeat.push((report) => {
     kept.push({ report: structuredClone(report), madeMs: world.now });
     while (kept.length > 0 && world.now - kept[0]!.madeMs > KEPT_MS)
       kept.shift();
   });
   sendAgain(world, kept, occurred);
   disturb(world);
-  users(world, OVER_MS - 20_000, plainJob);
+  submitWorkload(world, OVER_MS - 20_000, plainJob);
   runToEnd(world, OVER_MS);
   return { world, occurred: occurred.counts };
 }
@@ -72,30 +72,30 @@
 ): void {
   const { rng } = world;
   /** By group: the leader that has not given orders yet, and what waits until it has. */
-  const held = new Map<string, { owner: string; reports: Report[] }>();
-  const send = (name: string, report: Report, when: string): void => {
+  const held = new Map<string, { owner: string; reports: Heartbeat[] }>();
+  const send = (name: string, report: Heartbeat, when: string): void => {
     for (const content of contentsOf(world, report))
       occurred.note(`${content}, ${when}`);
-    world.report(name, structuredClone(report), () => {});
+    world.heartbeat(name, structuredClone(report), () => {});
   };
-  watchGroups(world, (takeover) => {
+  watchPartitions(world, (takeover) => {
     if (world.now > OVER_MS) return;
     const old = oldReportsOf(world, kept, takeover);
     for (const report of old)
       for (const name of world.names)
         if (world.nodes.get(name))
           world.at(rng.real(0, 500), () => send(name, report, WHEN[0]));
-    held.set(takeover.group, { owner: takeover.owner, reports: old });
+    held.set(takeover.partition, { owner: takeover.owner, reports: old });
   });
-  world.onOrders.push((name, machineId, orders) => {
-    if (!orders.some((o) => o.op === "start")) return;
+  world.onCommands.push((name, machineId, commands) => {
+    if (!commands.some((o) => o.op === "start")) return;
     const machine = world.workers.find((m) => m.id === machineId);
     const node = world.nodes.get(name);
     if (!machine || !node) return;
-    const group = node.core.groups.of(machine.zone);
-    const waiting = held.get(group);
+    const partition = node.core.partitions.partitionOf(machine.zone);
+    const waiting = held.get(partition);
     if (waiting?.owner !== name) return;
-    held.delete(group);
+    held.delete(partition);
     for (const report of waiting.reports)
       world.at(rng.real(0, 2_000), () => send(name, report, WHEN[1]));
   });
@@ -105,14 +105,14 @@
 function oldReportsOf(
   world: World,
   kept: readonly KeptReport[],
-  { group, owner }: Takeover,
-): Report[] {
-  const groups = world.nodes.get(owner)?.core.groups;
-  if (!groups) return [];
-  const found = new Map<Content, Report>();
+  { partition, owner }: Takeover,
+): Heartbeat[] {
+  const partitions = world.nodes.get(owner)?.core.partitions;
+  if (!partitions) return [];
+  const found = new Map<Content, Heartbeat>();
   // The newest first: what it shows differs least from what is there.
   for (const { report } of [...kept].reverse()) {
-    if (groups.of(report.zone) !== group) continue;
+    if (partitions.partitionOf(report.zone) !== partition) continue;
     for (const content of contentsOf(world, report))
       if (!found.has(content) || world.rng.chance(0.05))
         found.set(content, report);
@@ -122,14 +122,16 @@
 }
 
 /** What has changed since a report was made. */
-function contentsOf(world: World, report: Report): Set<Content> {
+function contentsOf(world: World, report: Heartbeat): Set<Content> {
   const contents = new Set<Content>();
   const machine = world.workers.find((m) => m.id === report.worker);
   if (!machine || machine.gone) return contents;
   contents.add(
-    report.session < machine.session ? "earlier session" : "same session",
+    report.incarnation < machine.incarnation
+      ? "earlier session"
+      : "same session",
   );
-  const group = groupOfZone(world, report.zone);
+  const partition = partitionOfZone(world, report.zone);
   for (const task of report.tasks) {
     if (task.state === "exited") continue;
     const { job, index, attempt } = task;
@@ -139,7 +141,7 @@
     if (hasOtherAttempt(world, job, index, attempt))
       contents.add("earlier attempt");
     const record = readJob(world.state.data.get(jobKey(job))?.value);
-    if (record && group && !record.split.get(group)?.has(index))
+    if (record && partition && !record.assignment.get(partition)?.has(index))
       contents.add("task since moved");
   }
   return contents;
--- a/test/scenarios/one-task-jobs.ts
+++ b/test/scenarios/one-task-jobs.ts
@@ -7,7 +7,7 @@
   refuse,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
 } from "./stage.js";
 
@@ -42,7 +42,7 @@
  */
 export function oneTaskJobs(
   seed: number,
-): ScenarioDay & { figures: ChangeFigures } {
+): ScenarioRun & { figures: ChangeFigures } {
   const world = stage(seed, { controllers: 3, runFactor: 0.5 });
   const occurred = new Occurrences(CANCELLED);
   const perSecond = countChanges(world);
@@ -76,7 +76,7 @@
   const { rng } = world;
   const spec = {
     ...plainJob(world, n + 1),
-    shape: "batch" as const,
+    kind: "array" as const,
     samePlace: false,
     tasks: 1,
     cpus: 1,
--- a/test/scenarios/quick-machines.ts
+++ b/test/scenarios/quick-machines.ts
@@ -1,5 +1,5 @@
-import { parseKey, readRoster } from "../../src/storage/records.js";
-import { users } from "../sim/days.js";
+import { parseKey, readRegistry } from "../../src/storage/records.js";
+import { submitWorkload } from "../sim/days.js";
 import type { SimWorker } from "../sim/machine.js";
 import type { CommitCall, CommitFate, World } from "../sim/world.js";
 import {
@@ -8,7 +8,7 @@
   putOutOfReach,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
 } from "./stage.js";
 
@@ -47,7 +47,7 @@
  * Machines are up within two seconds of being rented and get work at once, while the commit that lists them lags; their leader ends at a
  * moment around that commit or the first start.
  */
-export function quickMachines(seed: number): ScenarioDay {
+export function quickMachines(seed: number): ScenarioRun {
   const world = stage(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 3,
@@ -61,10 +61,10 @@
   const day = new QuickMachineDay(world, occurred);
   world.commitFate = (name, commit) => day.onCommit(name, commit);
   world.onCommitted.push((_name, commit) => day.onCommitted(commit));
-  world.onOrders.push((_name, machine, orders) => {
-    if (orders.some((o) => o.op === "start")) day.onStart(machine);
+  world.onCommands.push((_name, machine, commands) => {
+    if (commands.some((o) => o.op === "start")) day.onStart(machine);
   });
-  users(world, OVER_MS - 20_000, plainJob);
+  submitWorkload(world, OVER_MS - 20_000, plainJob);
   runToEnd(world, OVER_MS);
   return { world, occurred: occurred.counts };
 }
@@ -73,7 +73,7 @@
 const listedBy = (commit: CommitCall): string[] =>
   commit.writes.flatMap((w) =>
     w.op === "put" && parseKey(w.key)?.kind === "roster"
-      ? [...readRoster(w.value)!.machines.keys()]
+      ? [...readRegistry(w.value)!.machines.keys()]
       : [],
   );
 
--- a/test/scenarios/stage.ts
+++ b/test/scenarios/stage.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from "../../src/coordination/model.js";
 import type { Settings } from "../../src/config/settings.js";
-import { groupKey } from "../../src/storage/records.js";
+import { partitionKey } from "../../src/storage/records.js";
 import { randomJob } from "../sim/days.js";
 import type { SimTask, SimWorker } from "../sim/machine.js";
 import { World } from "../sim/world.js";
@@ -11,11 +11,11 @@
  */
 
 /** A day of a scenario, and how often each conjunction occurred on it. */
-export interface ScenarioDay {
+export interface ScenarioRun {
   world: World;
   occurred: Map<string, number>;
 }
-export type Scenario = (seed: number) => ScenarioDay;
+export type Scenario = (seed: number) => ScenarioRun;
 
 /** Counts conjunctions by name; those named at the start are listed even if they never occur. */
 export class Occurrences {
@@ -75,9 +75,9 @@
 /** A group's record as the state service has it. */
 export function ownerOf(
   world: World,
-  group: string,
+  partition: string,
 ): { owner: string; token: number } | null {
-  const record = world.state.data.get(groupKey(group));
+  const record = world.state.data.get(partitionKey(partition));
   if (!record) return null;
   return {
     owner: (record.value as { owner: string }).owner,
@@ -87,7 +87,7 @@
 
 /** A group that one controller had and another, or the same under a new token, has taken. */
 export interface Takeover {
-  group: string;
+  partition: string;
   owner: string;
   token: number;
   formerOwner: string;
@@ -95,26 +95,26 @@
 }
 
 /** Tells of each takeover at the moment of the commit, and of each group whose record went away. */
-export function watchGroups(
+export function watchPartitions(
   world: World,
   onTakeover: (takeover: Takeover) => void,
-  onReleased: (group: string, owner: string) => void = () => {},
+  onReleased: (partition: string, owner: string) => void = () => {},
 ): void {
   const last = new Map<string, { owner: string; token: number }>();
   const present = new Set<string>();
   world.onCommitted.push((_name, commit) => {
     for (const write of commit.writes) {
-      const group = /^lc\/now\/group\/(.*)$/.exec(
+      const partition = /^lc\/now\/group\/(.*)$/.exec(
         write.op === "put" ? write.key : "",
       )?.[1];
-      if (group === undefined) continue;
-      const now = ownerOf(world, group)!;
-      const former = last.get(group);
-      last.set(group, now);
-      present.add(group);
+      if (partition === undefined) continue;
+      const now = ownerOf(world, partition)!;
+      const former = last.get(partition);
+      last.set(partition, now);
+      present.add(partition);
       if (former)
         onTakeover({
-          group,
+          partition,
           ...now,
           formerOwner: former.owner,
           formerToken: former.token,
@@ -122,26 +122,29 @@
     }
   });
   world.every(10, () => {
-    for (const group of present)
-      if (!ownerOf(world, group)) {
-        present.delete(group);
-        onReleased(group, last.get(group)!.owner);
+    for (const partition of present)
+      if (!ownerOf(world, partition)) {
+        present.delete(partition);
+        onReleased(partition, last.get(partition)!.owner);
       }
   });
 }
 
 /** The group that a zone belongs to, as any controller that is up has it. */
-export function groupOfZone(world: World, zone: string): string | undefined {
+export function partitionOfZone(
+  world: World,
+  zone: string,
+): string | undefined {
   const node = [...world.nodes.values()].find((n) => n !== null);
-  return node?.core.groups.of(zone);
+  return node?.core.partitions.partitionOf(zone);
 }
 /** The group that a machine's zone belongs to; some controller is up. */
-export const groupOf = (world: World, machine: SimWorker): string =>
-  groupOfZone(world, machine.zone)!;
+export const partitionOf = (world: World, machine: SimWorker): string =>
+  partitionOfZone(world, machine.zone)!;
 
 /** The controller that leads a group, if it is up. */
-export function liveLeaderOf(world: World, group: string): string | null {
-  const owner = ownerOf(world, group)?.owner;
+export function liveLeaderOf(world: World, partition: string): string | null {
+  const owner = ownerOf(world, partition)?.owner;
   return owner !== undefined && world.nodes.get(owner) ? owner : null;
 }
 
@@ -167,7 +170,7 @@
 
 /** Orders to it, its reports or their answers don't arrive. */
 export const isUnreachable = (machine: SimWorker): boolean =>
-  machine.cut.size > 0 || machine.hung || machine.oneWay || machine.mute;
+  machine.cut.size > 0 || machine.hung || machine.oneWay || machine.isMute;
 
 /** Ways in which a machine gets out of reach. */
 export const UNREACHABLE = ["cut off", "deaf", "mute", "hung"] as const;
@@ -188,8 +191,8 @@
       machine.oneWay = true;
       return world.at(forMs, () => (machine.oneWay = false));
     case "mute":
-      machine.mute = true;
-      return world.at(forMs, () => (machine.mute = false));
+      machine.isMute = true;
+      return world.at(forMs, () => (machine.isMute = false));
     case "hung":
       machine.hung = true;
       return world.at(forMs, () => {
@@ -228,7 +231,7 @@
   ...randomJob(world, n),
   cpus: world.rng.pick([1, 2]),
   gpus: 0,
-  types: null,
+  machineTypes: null,
   zone: null,
   spread: false,
   deadlineS: null,
--- a/test/scenarios/unreached-tasks.ts
+++ b/test/scenarios/unreached-tasks.ts
@@ -1,9 +1,9 @@
-import { users } from "../sim/days.js";
+import { submitWorkload } from "../sim/days.js";
 import type { SimWorker } from "../sim/machine.js";
 import type { World } from "../sim/world.js";
 import {
   cutOffLeader,
-  groupOf,
+  partitionOf,
   isUnreachable,
   liveLeaderOf,
   NEW_LEADERS,
@@ -13,11 +13,11 @@
   putOutOfReach,
   restart,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
   tasksOnMachines,
   UNREACHABLE,
-  watchGroups,
+  watchPartitions,
 } from "./stage.js";
 
 const OVER_MS = 170_000;
@@ -29,18 +29,18 @@
  * A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answers: what they run is not started
  * again until they have spoken under the new token or their leases are over.
  */
-export function unreachedTasks(seed: number): ScenarioDay {
+export function unreachedTasks(seed: number): ScenarioRun {
   const world = stage(seed, { controllers: 2 + (seed % 3), runFactor: 10 });
   const occurred = new Occurrences(
     UNREACHABLE.flatMap((how) => NEW_LEADERS.map((l) => `${how}, ${l}`)),
   );
   const reach = new Map<SimWorker, string>();
-  watchGroups(world, (takeover) => {
-    const { group } = takeover;
+  watchPartitions(world, (takeover) => {
+    const { partition } = takeover;
     const leader = newLeader(takeover);
     const met = new Set<string>();
     for (const { machine, task } of tasksOnMachines(world)) {
-      if (!isUnreachable(machine) || groupOf(world, machine) !== group)
+      if (!isUnreachable(machine) || partitionOf(world, machine) !== partition)
         continue;
       const isLong = task.endsMs !== null && task.endsMs - world.now >= LONG_MS;
       if (isLong) met.add(`${reach.get(machine)}, ${leader}`);
@@ -49,7 +49,7 @@
   });
   for (let atMs = 14_000; atMs < OVER_MS - EPISODE_MS; atMs += EPISODE_MS)
     world.at(atMs, () => episode(world, reach));
-  users(world, OVER_MS - 30_000, plainJob);
+  submitWorkload(world, OVER_MS - 30_000, plainJob);
   runToEnd(world, OVER_MS);
   return { world, occurred: occurred.counts };
 }
@@ -59,12 +59,13 @@
   const { rng } = world;
   const busy = [...tasksOnMachines(world)].map(({ machine }) => machine);
   if (busy.length === 0) return;
-  const group = groupOf(world, rng.pick(busy));
-  const leader = liveLeaderOf(world, group);
+  const partition = partitionOf(world, rng.pick(busy));
+  const leader = liveLeaderOf(world, partition);
   if (leader === null) return;
   const lose = (): void => {
     for (const machine of new Set(busy)) {
-      if (groupOf(world, machine) !== group || isUnreachable(machine)) continue;
+      if (partitionOf(world, machine) !== partition || isUnreachable(machine))
+        continue;
       if (rng.chance(0.5)) continue;
       const how = rng.pick(UNREACHABLE);
       reach.set(machine, how);
--- a/test/scenarios/zones.ts
+++ b/test/scenarios/zones.ts
@@ -1,11 +1,11 @@
 import type { JobSpec } from "../../src/coordination/model.js";
-import { cancel, users } from "../sim/days.js";
+import { cancel, submitWorkload } from "../sim/days.js";
 import type { World } from "../sim/world.js";
 import {
   Occurrences,
   plainJob,
   runToEnd,
-  type ScenarioDay,
+  type ScenarioRun,
   stage,
   tasksOnMachines,
 } from "./stage.js";
@@ -22,7 +22,7 @@
  * Jobs bound to one zone lose machines of it and are done all the same; zones with a controller are cut off for longer than a lease,
  * and jobs with tasks there are cancelled meanwhile.
  */
-export function zones(seed: number, checksInvariants = true): ScenarioDay {
+export function zones(seed: number, checksInvariants = true): ScenarioRun {
   const world = stage(seed, { controllers: 3, runFactor: 6, capacity: 5 });
   world.checker.invariants = checksInvariants;
   const occurred = new Occurrences(CONJUNCTIONS);
@@ -38,7 +38,7 @@
         "job cancelled with tasks in a zone that is cut off with its controller",
       );
   };
-  users(world, OVER_MS - 60_000, zoneJob);
+  submitWorkload(world, OVER_MS - 60_000, zoneJob);
   runToEnd(world, OVER_MS);
   return { world, occurred: occurred.counts };
 }
@@ -48,17 +48,17 @@
   const job = { ...plainJob(world, n), zone: rng.pick(["east", "mid"]) };
   const shape = rng.pick(SHAPES);
   if (shape === "array")
-    return { ...job, shape: "batch", samePlace: false, tasks: rng.int(2, 6) };
+    return { ...job, kind: "array", samePlace: false, tasks: rng.int(2, 6) };
   return {
     ...job,
-    shape: "ensemble",
+    kind: "gang",
     samePlace: shape === "gang in one place",
     tasks: rng.int(2, 3),
   };
 }
 
 const shapeOf = (spec: JobSpec): (typeof SHAPES)[number] => {
-  if (spec.shape === "batch") return "array";
+  if (spec.kind === "array") return "array";
   return spec.samePlace ? "gang in one place" : "gang";
 };
 
@@ -68,7 +68,7 @@
   world.every(4_000, () => {
     if (world.now > OVER_MS - 60_000) return;
     const busy = [...tasksOnMachines(world)].filter(
-      ({ spec }) => spec.zone !== null && spec.shape !== "daemon",
+      ({ spec }) => spec.zone !== null && spec.kind !== "service",
     );
     if (busy.length === 0) return;
     const { machine } = rng.pick(busy);
--- a/test/sim/checker.ts
+++ b/test/sim/checker.ts
@@ -12,11 +12,11 @@
   readonly teamLimits: Settings["teams"] | null;
   readonly nextLimits: { readonly valueBytes: number; readonly txnOps: number };
   readonly names: readonly string[];
-  readonly old: ReadonlySet<string>;
+  readonly production: ReadonlySet<string>;
   readonly nodes: ReadonlyMap<string, { readonly core: Controller } | null>;
   readonly workers: readonly SimWorker[];
   readonly specs: ReadonlyMap<string, JobSpec>;
-  readonly awaits: ReadonlyMap<string, readonly string[]>;
+  readonly dependsOn: ReadonlyMap<string, readonly string[]>;
   readonly results: ReadonlySet<string>;
   readonly polled: ReadonlySet<string>;
   starts: number;
@@ -82,7 +82,7 @@
         `${spec.team} uses ${used.cpus} CPUs, ${used.gpus} GPUs`,
       );
     if (
-      (spec.types && !spec.types.includes(w.type.name)) ||
+      (spec.machineTypes && !spec.machineTypes.includes(w.type.name)) ||
       (spec.zone && spec.zone !== w.zone) ||
       (w.spot && !spec.spot)
     )
@@ -98,7 +98,7 @@
           this.fail("wrong_place", `spread: ${n} of ${job} in ${z}`);
     if (this.cancelledMs.has(job)) this.startsAfterCancelled++;
     this.checkCancelled(job);
-    for (const name of this.world.awaits.get(job) ?? [])
+    for (const name of this.world.dependsOn.get(job) ?? [])
       if (!this.isDone(name))
         this.fail("too_early", `${job}/${index} before ${name}`);
   }
@@ -111,7 +111,7 @@
   /** A job and all that it needs, through any others. */
   private needed(job: string, met = new Set<string>()): Set<string> {
     met.add(job);
-    for (const name of this.world.awaits.get(job) ?? [])
+    for (const name of this.world.dependsOn.get(job) ?? [])
       if (!met.has(name)) this.needed(name, met);
     return met;
   }
@@ -157,31 +157,33 @@
   leaves(name: string, core: Controller, e: Effect): void {
     if (!this.invariants) return;
     const needsPermit =
-      e.do === "command" || (e.do === "answer" && e.answer.is === "orders");
-    if (needsPermit && core.permit.untilMs <= this.world.clockOf(name))
-      this.fail("no_permit", `${name}: ${e.do}`);
+      e.type === "command" ||
+      (e.type === "answer" && e.answer.kind === "commands");
+    if (needsPermit && core.leadershipLease.untilMs <= this.world.clockOf(name))
+      this.fail("no_permit", `${name}: ${e.type}`);
   }
   /** The invariant that most rules rest on: a group has one master at a time that may act. */
-  private oneMaster(): void {
+  private oneLeader(): void {
     if (!this.invariants) return;
     const acting = new Map<string, string>();
     for (const name of this.world.names) {
-      const core = this.world.old.has(name)
+      const core = this.world.production.has(name)
         ? null
         : this.world.nodes.get(name)?.core;
-      if (!core || core.permit.untilMs <= this.world.clockOf(name)) continue;
-      for (const group of core.masters.keys()) {
-        if (acting.has(group))
+      if (!core || core.leadershipLease.untilMs <= this.world.clockOf(name))
+        continue;
+      for (const partition of core.leaders.keys()) {
+        if (acting.has(partition))
           this.fail(
             "two_masters",
-            `${group}: ${acting.get(group)} and ${name}`,
+            `${partition}: ${acting.get(partition)} and ${name}`,
           );
-        acting.set(group, name);
+        acting.set(partition, name);
       }
     }
   }
   sweep(): void {
-    this.oneMaster();
+    this.oneLeader();
     for (const o of this.on()) this.checkCancelled(o.job);
   }
 
@@ -278,7 +280,7 @@
         !this.asked.has(id) &&
         !on.has(id) &&
         !this.isDone(id) &&
-        (this.world.awaits.get(id) ?? []).every((x) => this.isDone(x));
+        (this.world.dependsOn.get(id) ?? []).every((x) => this.isDone(x));
       if (!waits || !this.fits(spec, free, used.get(spec.team))) {
         this.waitsSince.delete(id);
         continue;
@@ -288,7 +290,7 @@
       if (this.world.now - since > 90_000)
         this.fail(
           "left_waiting",
-          `${id} (${spec.shape} of ${spec.tasks}) for ${(this.world.now - since) / 1000} s`,
+          `${id} (${spec.kind} of ${spec.tasks}) for ${(this.world.now - since) / 1000} s`,
         );
     }
   }
@@ -300,7 +302,7 @@
     const team = (this.world.teamLimits ?? this.world.settings.teams).get(
       spec.team,
     )!;
-    const n = spec.shape === "batch" ? 1 : spec.tasks;
+    const n = spec.kind === "array" ? 1 : spec.tasks;
     if (
       used.cpus + n * spec.cpus > team.cpusMax ||
       used.gpus + n * spec.gpus > team.gpusMax
@@ -309,7 +311,7 @@
     const places = new Map<string, number>();
     for (const [w, f] of free) {
       if (
-        (spec.types && !spec.types.includes(w.type.name)) ||
+        (spec.machineTypes && !spec.machineTypes.includes(w.type.name)) ||
         (spec.zone && spec.zone !== w.zone) ||
         (w.spot && !spec.spot)
       )
@@ -332,7 +334,7 @@
     return [...this.told]
       .filter(
         ([id, s]) =>
-          s === "accepted" && this.world.specs.get(id)!.shape !== "daemon",
+          s === "accepted" && this.world.specs.get(id)!.kind !== "service",
       )
       .map(([id]) => id);
   }
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -41,13 +41,13 @@
     return w;
   }
   handle(call: CloudCall): CloudReply {
-    if (this.world.cloudDown) return { is: "failed", why: "503" };
+    if (this.world.cloudDown) return { kind: "failed", why: "503" };
     switch (call.op) {
       case "catalog":
-        return { is: "catalog", types: structuredClone(this.world.types) };
+        return { kind: "catalog", types: structuredClone(this.world.types) };
       case "rent": {
         const known = this.charters.get(call.request);
-        if (known) return { is: "rented", machines: known };
+        if (known) return { kind: "rented", machines: known };
         const there = [...this.rented.values()].filter(
           (w) =>
             w.zone === call.zone &&
@@ -55,7 +55,7 @@
             w.spot === call.spot,
         ).length;
         const n = Math.min(call.count, this.world.capacity - there);
-        if (n <= 0) return { is: "noCapacity" };
+        if (n <= 0) return { kind: "noCapacity" };
         const type = this.world.types.find((t) => t.name === call.type)!;
         const machines = Array.from(
           { length: n },
@@ -68,21 +68,21 @@
             ).id,
         );
         this.charters.set(call.request, machines);
-        return { is: "rented", machines };
+        return { kind: "rented", machines };
       }
       case "return":
         for (const id of call.machines) {
           this.rented.get(id)?.taken();
           this.rented.delete(id);
         }
-        return { is: "returned" };
+        return { kind: "returned" };
       case "list": {
         // As things were up to twice the usual lag ago; a list may be older than the one before it.
         const asOf =
           this.world.now -
           this.world.rng.real(0, 2_000 * this.world.settings.cloud.listLagS);
         return {
-          is: "list",
+          kind: "list",
           more: false,
           machines: this.world.workers
             .filter(
--- a/test/sim/days.ts
+++ b/test/sim/days.ts
@@ -1,39 +1,35 @@
 import type { Answer, Input } from "../../src/coordination/effects.js";
-import type { JobSpec, Urgency } from "../../src/coordination/model.js";
+import type { JobSpec, Priority } from "../../src/coordination/model.js";
 import { World } from "./world.js";
 
 /** Users and troubles of a seeded day. */
 
 export function randomJob(w: World, n: number): JobSpec {
   const r = w.rng;
-  const shape = r.pick([
-    "batch",
-    "batch",
-    "ensemble",
-    "ensemble",
-    "daemon",
-  ] as const);
+  const shape = r.pick(["array", "array", "gang", "gang", "service"] as const);
   const gpu = r.chance(0.25);
-  const tasks = shape === "batch" ? r.int(1, 14) : r.int(1, 3);
+  const tasks = shape === "array" ? r.int(1, 14) : r.int(1, 3);
   const samePlace = r.chance(0.3);
   return {
     id: `req-${String(n).padStart(6, "0")}`,
-    class: shape === "ensemble" ? "gangs" : "arrays",
+    jobClass: shape === "gang" ? "gangs" : "arrays",
     team: r.pick(["red", "blue"]),
-    shape,
-    urgency: r.pick<Urgency>(["prod", "high", "normal", "best_effort"]),
+    kind: shape,
+    priority: r.pick<Priority>(["prod", "high", "normal", "best_effort"]),
     tasks,
     cpus: r.pick([1, 2, 4, 5]),
     gpus: gpu ? 1 : 0,
     memGb: 4,
     image: `img-${r.int(1, 4)}`,
     imageGb: 3,
-    types: r.chance(0.2) ? [gpu ? "big" : r.pick(["small", "big"])] : null,
+    machineTypes: r.chance(0.2)
+      ? [gpu ? "big" : r.pick(["small", "big"])]
+      : null,
     zone: r.chance(0.1) ? r.pick(["east", "mid"]) : null,
     samePlace,
     spread: !samePlace && r.chance(0.25),
     spot: r.chance(0.5),
-    estimateS: shape === "daemon" ? 0 : r.real(2, 90),
+    estimateS: shape === "service" ? 0 : r.real(2, 90),
     checkpointS: r.chance(0.5) ? 2 : 0,
     saveS: 1,
     deadlineS: null,
@@ -46,12 +42,12 @@
   const gang = r.chance(0.6);
   return {
     ...randomJob(w, n),
-    shape: gang ? "ensemble" : "batch",
-    class: gang ? "gangs" : "arrays",
+    kind: gang ? "gang" : "array",
+    jobClass: gang ? "gangs" : "arrays",
     tasks: gang ? r.pick([1, 3, 8, 16]) : r.int(5, 100),
     cpus: gang ? 8 : 2,
     gpus: 0,
-    types: null,
+    machineTypes: null,
     zone: null,
     samePlace: gang,
     spread: false,
@@ -59,7 +55,11 @@
   };
 }
 
-export function users(w: World, untilMs: number, draw = randomJob): void {
+export function submitWorkload(
+  w: World,
+  untilMs: number,
+  draw = randomJob,
+): void {
   let n = 0;
   const submitOne = (): void => {
     if (w.now > untilMs) return;
@@ -74,9 +74,9 @@
   const askUnknown = (): void => {
     w.ask(
       w.rng.pick(w.names),
-      (req) => ({ is: "status", req, id: "req-999999" }),
+      (req) => ({ type: "status", req, id: "req-999999" }),
       (a) =>
-        a?.is === "job" && w.checker.answered("req-999999", a.state, w.now),
+        a?.kind === "job" && w.checker.answered("req-999999", a.state, w.now),
     );
     w.at(5_000, askUnknown);
   };
@@ -103,9 +103,9 @@
 }
 
 const hear = (w: World, id: string, a: Answer, askedMs: number): void => {
-  if (a.is === "job") w.checker.answered(id, a.state, askedMs);
-  else if (a.is === "unknownJob") w.checker.refused(id, 404, askedMs);
-  else if (a.is === "never") w.checker.refused(id, 422, askedMs);
+  if (a.kind === "job") w.checker.answered(id, a.state, askedMs);
+  else if (a.kind === "unknownJob") w.checker.refused(id, 404, askedMs);
+  else if (a.kind === "cannotRun") w.checker.refused(id, 422, askedMs);
 };
 
 /**
@@ -124,19 +124,19 @@
     const spec = {
       ...randomJob(w, ++n),
       team: "blue",
-      shape: "batch" as const,
+      kind: "array" as const,
       tasks: r.int(1, 4),
       cpus: 1,
       gpus: 0,
-      types: null,
+      machineTypes: null,
       zone: null,
       samePlace: false,
       spread: false,
-      urgency: "best_effort" as const,
+      priority: "best_effort" as const,
       ...over,
     };
     w.specs.set(spec.id, spec);
-    w.awaits.set(spec.id, awaits);
+    w.dependsOn.set(spec.id, awaits);
     const whenAccepted = (): void => {
       if (awaits.some((x) => !w.checker.told.has(x)))
         return w.at(300, whenAccepted);
@@ -156,14 +156,14 @@
       () => stage([first.id], {}).id,
     );
     const third = stage(middle, {
-      shape: "ensemble",
+      kind: "gang",
       tasks: r.int(2, 4),
       samePlace: true,
-      urgency: "normal",
+      priority: "normal",
     });
     const last = stage(
       [first.id, third.id],
-      { urgency: "high", deadlineS: 60 },
+      { priority: "high", deadlineS: 60 },
       r.chance(0.15) ? r.real(10_000, 60_000) : 0,
     );
     const all = [first.id, ...middle, third.id, last.id];
@@ -185,14 +185,19 @@
   request(
     w,
     5_000,
-    (req) => ({ is: "submit", req, spec, awaits: w.awaits.get(spec.id) }),
+    (req) => ({
+      type: "submit",
+      req,
+      spec,
+      dependsOn: w.dependsOn.get(spec.id),
+    }),
     (a) => {
       if (a) hear(w, spec.id, a, askedMs);
-      if (a?.is === "job") {
+      if (a?.kind === "job") {
         if (!w.polled.has(spec.id)) {
           w.polled.add(spec.id);
           poll(w, spec.id);
-          if (spec.shape === "daemon" || w.rng.chance(0.2))
+          if (spec.kind === "service" || w.rng.chance(0.2))
             w.at(w.rng.real(500, 25_000), () => cancel(w, spec.id));
         }
         // A repeated submission, at any later time.
@@ -216,14 +221,14 @@
           name,
           (req) =>
             again
-              ? { is: "submit", req, spec, awaits: w.awaits.get(id) }
-              : { is: "status", req, id },
+              ? { type: "submit", req, spec, dependsOn: w.dependsOn.get(id) }
+              : { type: "status", req, id },
           (a) => a && w.now - askedMs < 2_000 && hear(w, id, a, askedMs),
         );
       });
 }
 /** Submissions that are never accepted, and cancellations of what is done. */
-export function odd(w: World, n: number): void {
+export function oddRequest(w: World, n: number): void {
   const r = w.rng;
   const done = [...w.checker.told].filter(([, s]) => s === "done");
   if (done.length > 0 && r.chance(0.5)) cancel(w, r.pick(done)[0]);
@@ -234,16 +239,16 @@
     ...r.pick<Partial<JobSpec>>([
       { cpus: 500 },
       { team: "nobody" },
-      { shape: "ensemble", tasks: 90, cpus: 8 },
-      { types: ["none"] },
+      { kind: "gang", tasks: 90, cpus: 8 },
+      { machineTypes: ["none"] },
       { zone: "mars" },
     ]),
   };
   request(
     w,
     5_000,
-    (req) => ({ is: "submit", req, spec }),
-    (a) => a?.is === "job" && w.checker.fail("accepted_unfit", spec.id),
+    (req) => ({ type: "submit", req, spec }),
+    (a) => a?.kind === "job" && w.checker.fail("accepted_unfit", spec.id),
   );
 }
 export function cancel(w: World, id: string): void {
@@ -252,25 +257,25 @@
   request(
     w,
     5_000,
-    (req) => ({ is: "withdraw", req, id }),
+    (req) => ({ type: "cancel", req, id }),
     (a) => {
       if (a) hear(w, id, a, askedMs);
-      if (a?.is !== "job") w.at(1_000, () => cancel(w, id));
+      if (a?.kind !== "job") w.at(1_000, () => cancel(w, id));
     },
   );
 }
 function poll(w: World, id: string): void {
-  w.at(w.rng.real(1_000, 5_000) / w.stormOf, () => {
+  w.at(w.rng.real(1_000, 5_000) / w.queryRate, () => {
     const askedMs = w.now;
     request(
       w,
       2_000,
-      (req) => ({ is: "status", req, id }),
+      (req) => ({ type: "status", req, id }),
       (a) => {
         if (a) hear(w, id, a, askedMs);
-        if (a?.is === "job") w.checker.heardOf.set(id, w.now);
+        if (a?.kind === "job") w.checker.heardOf.set(id, w.now);
         if (
-          a?.is !== "job" ||
+          a?.kind !== "job" ||
           (a.state !== "done" && a.state !== "cancelled") ||
           w.rng.chance(0.3)
         )
@@ -284,7 +289,7 @@
  * What large deployments met: controllers that stand still, one after the other or during a takeover, zones cut off with
  * packets held, a part of the machines dying at once. Beside the other troubles, so that two and three meet.
  */
-export function largeTroubles(w: World, untilMs: number): void {
+export function injectLargeFaults(w: World, untilMs: number): void {
   const r = w.rng;
   const one = (): void => {
     if (w.now > untilMs - 30_000) return;
@@ -327,7 +332,7 @@
 }
 
 /** One trouble after another, some at once; all are over by `untilMs`. */
-export function troubles(w: World, untilMs: number): void {
+export function injectFaults(w: World, untilMs: number): void {
   const r = w.rng;
   const one = (): void => {
     if (w.now > untilMs - 30_000) return;
@@ -424,10 +429,10 @@
  * come late; a controller cut from the state service and its peers, but not from its workers; questions many times as often; jobs
  * submitted with a mistake. All are over by `untilMs`.
  */
-function badNights(w: World, untilMs: number): void {
+function largeFaults(w: World, untilMs: number): void {
   const r = w.rng;
-  w.copies = r.pick([0, 0.05, 0.3]);
-  w.at(untilMs, () => (w.copies = 0));
+  w.duplicatedHeartbeats = r.pick([0, 0.05, 0.3]);
+  w.at(untilMs, () => (w.duplicatedHeartbeats = 0));
   const one = (): void => {
     const most = untilMs - w.now;
     if (most < 20_000) return;
@@ -472,8 +477,8 @@
         });
         break;
       case 6:
-        w.stormOf = r.pick([8, 20]);
-        w.at(forMs, () => (w.stormOf = 1));
+        w.queryRate = r.pick([8, 20]);
+        w.at(forMs, () => (w.queryRate = 1));
         break;
       case 7:
         for (const m of w.workers)
@@ -490,12 +495,12 @@
 }
 
 /** A bad night of 1 to 7 controllers, over after 190 s; what is not remembered 75 s after 200 s counts as forgotten. */
-export function night(seed: number): World {
+export function failureScenario(seed: number): World {
   const w = new World(seed, undefined, [], (seed % 7) + 1);
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  users(w, 150_000);
-  badNights(w, 190_000);
-  if (seed % 2 === 0) troubles(w, 190_000);
+  submitWorkload(w, 150_000);
+  largeFaults(w, 190_000);
+  if (seed % 2 === 0) injectFaults(w, 190_000);
   w.at(275_000, () => w.checker.remembers(200_000));
   w.run(330_000);
   return w;
--- a/test/sim/guards.ts
+++ b/test/sim/guards.ts
@@ -2,7 +2,7 @@
 import type { World } from "./world.js";
 
 /** What broke on a day, and the last that was logged. */
-export const describeDay = (w: World): string =>
+export const describeWorkload = (w: World): string =>
   `${w.checker.broken.join("; ")}\n${w.logs.slice(-20).join("\n")}`;
 
 /** Switches a guard off, `off` returning what switches it on again, and expects the checker to notice on one of these days. */
--- a/test/sim/hunt.ts
+++ b/test/sim/hunt.ts
@@ -1,14 +1,19 @@
 import { SCENARIOS } from "../scenarios/index.js";
-import { night, pipelines, troubles, users } from "./days.js";
+import {
+  failureScenario,
+  pipelines,
+  injectFaults,
+  submitWorkload,
+} from "./days.js";
 import {
   draw,
   drawMore,
   gap,
   play,
-  type Played,
+  type PlayedWorkload,
   playMore,
   shrink,
-  type Trouble,
+  type InjectedFault,
 } from "./meetings.js";
 import { World } from "./world.js";
 
@@ -16,43 +21,46 @@
 // troubles it prints the fewest that still break the rule; at the end, how often each conjunction occurred and on how many days.
 
 /** One day of a search. */
-interface Day {
+interface Workload {
   world: World;
   occurred?: Iterable<[string, number]>;
   /** Everything submitted had time to end. */
   comesToRest?: boolean;
   /** For days of drawn troubles: the fewest that still break a rule. */
-  fewest?: (() => readonly Trouble[]) | undefined;
+  fewest?: (() => readonly InjectedFault[]) | undefined;
 }
 
-function upgrade(seed: number): Day {
+function upgrade(seed: number): Workload {
   const world = new World(seed, undefined, ["node-a", "node-b", "node-c"]);
   for (const zone of world.zones)
     world.cloud.add(world.types[0]!, zone, false, 0);
-  users(world, 150_000);
+  submitWorkload(world, 150_000);
   world.rollout(world.rng.real(10_000, 30_000), world.rng.real(3_000, 12_000));
   world.at(world.rng.real(75_000, 110_000), () => (world.limitsFell = true));
   pipelines(world, 75_000, 170_000);
-  troubles(world, 190_000);
+  injectFaults(world, 190_000);
   world.at(275_000, () => world.checker.remembers(200_000));
   world.run(330_000);
   return { world, comesToRest: true };
 }
 
-const drawnDay = ({ world, met }: Played, fewest?: Day["fewest"]): Day => ({
+const drawnWorkload = (
+  { world, occurred: met }: PlayedWorkload,
+  fewest?: Workload["fewest"],
+): Workload => ({
   world,
   occurred: Object.entries(met),
   fewest,
 });
 
-const KINDS: Readonly<Record<string, (seed: number) => Day>> = {
+const KINDS: Readonly<Record<string, (seed: number) => Workload>> = {
   upgrade,
-  nights: (seed) => ({ world: night(seed), comesToRest: true }),
-  gap: (seed) => drawnDay(gap(seed)),
+  nights: (seed) => ({ world: failureScenario(seed), comesToRest: true }),
+  gap: (seed) => drawnWorkload(gap(seed)),
   meetings: (seed) =>
-    drawnDay(play(seed, draw(seed)), () => shrink(seed, draw(seed))),
+    drawnWorkload(play(seed, draw(seed)), () => shrink(seed, draw(seed))),
   more: (seed) =>
-    drawnDay(playMore(seed, drawMore(seed)), () =>
+    drawnWorkload(playMore(seed, drawMore(seed)), () =>
       shrink(seed, drawMore(seed), playMore),
     ),
   ...SCENARIOS,
--- a/test/sim/limits.ts
+++ b/test/sim/limits.ts
@@ -1,7 +1,12 @@
 import type { Team } from "../../src/config/settings.js";
-import { Sharing } from "../../src/coordination/limits/index.js";
-import type { Master } from "../../src/coordination/master.js";
-import { largeTroubles, randomJob, troubles, users } from "./days.js";
+import { QuotaAllocator } from "../../src/coordination/limits/index.js";
+import type { PartitionLeader } from "../../src/coordination/master.js";
+import {
+  injectLargeFaults,
+  randomJob,
+  injectFaults,
+  submitWorkload,
+} from "./days.js";
 import { World } from "./world.js";
 
 // How much of a limit is in use while work waits, against one allocator that knows everything at once and whose word needs no
@@ -42,51 +47,53 @@
   w.bootAll();
   for (const z of w.zones)
     for (let i = 0; i < 14; i++) w.cloud.add(w.types[0]!, z, false, 0);
-  users(w, 170_000, (x, n) => {
+  submitWorkload(w, 170_000, (x, n) => {
     const gang = x.rng.chance(0.3);
     return {
       ...randomJob(x, n),
-      shape: gang ? "ensemble" : "batch",
+      kind: gang ? "gang" : "array",
       tasks: gang ? x.rng.int(2, 6) : x.rng.int(20, 60),
       cpus: 4,
       gpus: 0,
-      types: null,
+      machineTypes: null,
       zone: x.rng.chance(0.15) ? "west" : null,
       spread: false,
       samePlace: gang,
-      urgency: "normal",
+      priority: "normal",
     };
   });
   if (rough) {
-    troubles(w, 170_000);
-    largeTroubles(w, 170_000);
+    injectFaults(w, 170_000);
+    injectLargeFaults(w, 170_000);
   }
-  const masters = (): Master[] =>
-    [...w.nodes.values()].flatMap((n) => [...(n?.core.masters.values() ?? [])]);
-  const before = Sharing.prototype.share;
+  const leaders = (): PartitionLeader[] =>
+    [...w.nodes.values()].flatMap((n) => [...(n?.core.leaders.values() ?? [])]);
+  const before = QuotaAllocator.prototype.share;
   if (central)
-    Sharing.prototype.share = function (t) {
-      const own = (this as unknown as { own: Master["own"] }).own;
+    QuotaAllocator.prototype.share = function (t) {
+      const own = (this as unknown as { own: PartitionLeader["state"] }).own;
       let elsewhere = 0;
       // Group by group, what its master counts, or what really runs there if that is more, or it has none.
-      const { groups } = (
+      const { partitions } = (
         this as unknown as {
-          ctx: { groups: { names: string[]; of(zone: string): string } };
+          ctx: {
+            partitions: { names: string[]; partitionOf(zone: string): string };
+          };
         }
       ).ctx;
-      for (const g of groups.names) {
-        if (g === own.group) continue;
+      for (const g of partitions.names) {
+        if (g === own.partition) continue;
         let real = 0;
         for (const x of w.workers)
-          if (!x.gone && groups.of(x.zone) === g)
+          if (!x.gone && partitions.partitionOf(x.zone) === g)
             for (const y of x.tasks.values())
               if (y.state !== "exited" && w.specs.get(y.job)?.team === t)
                 real += w.specs.get(y.job)!.cpus;
         elsewhere += Math.max(
           real,
-          masters()
-            .find((m) => m.group === g)
-            ?.own.usage()
+          leaders()
+            .find((m) => m.partition === g)
+            ?.state.usage()
             .get(t)?.cpus ?? 0,
         );
       }
@@ -103,12 +110,12 @@
               used += w.specs.get(y.job)!.cpus;
       // Of what waits: so much as the limit has left, where its group has room for it at once.
       let could = 0;
-      for (const m of masters())
-        for (const j of m.own.jobs.values())
+      for (const m of leaders())
+        for (const j of m.state.jobs.values())
           if (
             j.view.spec.team === t &&
-            m.own.mayStart(j) &&
-            m.own
+            m.state.mayStart(j) &&
+            m.state
               .usableWorkers()
               .usable.some(
                 (x) =>
@@ -121,7 +128,7 @@
               )
           )
             could +=
-              j.view.spec.shape === "batch"
+              j.view.spec.kind === "array"
                 ? j.waiting.size * j.view.spec.cpus
                 : 0;
       const window = windows.get(Math.floor(w.now / 30_000)) ?? {
@@ -138,7 +145,7 @@
   try {
     w.run(180_000);
   } finally {
-    Sharing.prototype.share = before;
+    QuotaAllocator.prototype.share = before;
   }
   const all = [...windows.values()];
   const sum = all.reduce(
--- a/test/sim/machine.ts
+++ b/test/sim/machine.ts
@@ -1,11 +1,11 @@
 import type { Settings } from "../../src/config/settings.js";
 import type { Answer, CommandReply } from "../../src/coordination/effects.js";
 import type {
-  Cause,
+  ExitCause,
   JobSpec,
   MachineType,
-  Order,
-  Report,
+  Command,
+  Heartbeat,
   ReportedTask,
   TaskState,
 } from "../../src/coordination/model.js";
@@ -17,7 +17,7 @@
   index: number;
   attempt: number;
   state: TaskState;
-  cause: Cause | null;
+  cause: ExitCause | null;
   saved: boolean;
   stopped: boolean;
   /** When it will have run for its time; null: it does not run, or has no end. */
@@ -37,35 +37,35 @@
   readonly settings: Settings;
   readonly names: readonly string[];
   readonly loss: number;
-  readonly copies: number;
+  readonly duplicatedHeartbeats: number;
   readonly forNext: number;
   readonly runFactor: number;
   readonly specs: ReadonlyMap<string, JobSpec>;
-  readonly broken: ReadonlySet<string>;
+  readonly faultyJobs: ReadonlySet<string>;
   readonly results: Set<string>;
-  readonly kept: Report[];
-  readonly onReport: readonly ((report: Report) => void)[];
+  readonly kept: Heartbeat[];
+  readonly onHeartbeat: readonly ((report: Heartbeat) => void)[];
   readonly jobEnded: ((id: string) => void) | null;
   readonly commandHold:
     | ((
         name: string,
         machine: SimWorker,
         token: number,
-        orders: readonly Order[],
+        commands: readonly Command[],
       ) => CommandHold | undefined)
     | null;
   readonly checker: {
     begins(machine: SimWorker, job: string, index: number): void;
     isDone(job: string): boolean;
   };
-  lateReports: number;
+  lateHeartbeats: number;
   lateCommands: number;
   muteCommands: number;
   at(delayMs: number, fn: () => void): void;
   apart(a: string | null, b: string | null): boolean;
   zoneOf(name: string): string;
   note(what: string, fields?: Record<string, unknown>): void;
-  report(name: string, r: Report, done: (a: Answer | null) => void): void;
+  heartbeat(name: string, r: Heartbeat, done: (a: Answer | null) => void): void;
   gangReady(job: string, attempt: number, spec: JobSpec): void;
   gangComplete(job: string, attempt: number, spec: JobSpec): boolean;
   gangDone(job: string, attempt: number, spec: JobSpec): void;
@@ -73,8 +73,8 @@
 
 /** A simulated machine with its worker, as PROTOCOL describes it. */
 export class SimWorker {
-  session = 1;
-  tally = 0;
+  incarnation = 1;
+  sequence = 0;
   token = 0;
   up = false;
   gone = false;
@@ -83,7 +83,7 @@
   /** Its reports arrive, but neither answers nor commands reach it. */
   oneWay = false;
   /** It can't open connections to any controller, while commands sent to it arrive and are answered. */
-  mute = false;
+  isMute = false;
   noticeMs: number | null = null;
   /** Nodes that can't be reached. */
   readonly cut = new Set<string>();
@@ -143,15 +143,15 @@
       return;
     // A hanging machine acts when it resumes, but its tasks count as gone: it does not execute them.
     this.tasks.clear();
-    this.session++;
+    this.incarnation++;
     this.sentMs = this.world.now;
   }
   /** Its process or machine ended and is back: it knows nothing of before, neither its session nor the highest token. */
   restart(downMs: number): void {
     if (this.gone || !this.up) return;
     this.world.note(`${this.id} restarts`, {
-      session: this.session,
-      tally: this.tally,
+      session: this.incarnation,
+      tally: this.sequence,
       tasks: [...this.tasks.keys()],
     });
     this.up = false;
@@ -160,8 +160,8 @@
     this.images.clear();
     this.world.at(downMs, () => {
       if (this.gone) return;
-      this.session = 1;
-      this.tally = 0;
+      this.incarnation = 1;
+      this.sequence = 0;
       this.token = 0;
       this.flying = false;
       this.lastMs = -1e9;
@@ -180,16 +180,16 @@
         this.report();
     });
   }
-  snapshot(): Report {
-    this.tally++;
+  snapshot(): Heartbeat {
+    this.sequence++;
     return {
       worker: this.id,
       address: `10.0.0.1:${this.id.slice(2)}`,
       type: this.type.name,
       zone: this.zone,
       spot: this.spot,
-      session: this.session,
-      tally: this.tally,
+      incarnation: this.incarnation,
+      sequence: this.sequence,
       token: this.token,
       noticeS:
         this.noticeMs === null
@@ -201,7 +201,7 @@
         attempt: t.attempt,
         state: t.state,
         cause: t.cause,
-        saved: t.saved,
+        checkpointed: t.saved,
       })),
     };
   }
@@ -212,8 +212,8 @@
     const node = names[this.target % names.length]!;
     const sent = this.world.now;
     const r = this.snapshot();
-    for (const notify of this.world.onReport) notify(r);
-    const session = this.session;
+    for (const notify of this.world.onHeartbeat) notify(r);
+    const incarnation = this.incarnation;
     this.flying = true;
     this.lastMs = sent;
     let over = false;
@@ -228,9 +228,9 @@
       );
     };
     this.world.at(4000, next);
-    if (this.mute) return this.world.at(this.world.rng.real(1, 3_900), next);
+    if (this.isMute) return this.world.at(this.world.rng.real(1, 3_900), next);
     const deliver = (): void =>
-      this.world.report(node, r, (a) => {
+      this.world.heartbeat(node, r, (a) => {
         if (
           this.isCut(node) ||
           this.oneWay ||
@@ -240,8 +240,8 @@
         this.world.at(this.world.rng.real(1, 30), () => {
           if (over || this.gone || life !== this.lives) return;
           if (a === null) return next();
-          if (a.is === "elsewhere") {
-            const to = a.master === null ? -1 : names.indexOf(a.master);
+          if (a.kind === "redirect") {
+            const to = a.leader === null ? -1 : names.indexOf(a.leader);
             if (to < 0 || to === this.target % names.length) return next();
             over = true;
             this.flying = false;
@@ -251,22 +251,22 @@
               () => this.gone || this.hung || this.flying || this.report(),
             );
           }
-          if (a.is !== "orders") return next();
+          if (a.kind !== "commands") return next();
           over = true;
           this.flying = false;
           this.expire();
-          if (session !== this.session || a.token < this.token) return;
+          if (incarnation !== this.incarnation || a.token < this.token) return;
           this.sentMs = sent;
           if (a.token > this.token) {
             this.token = a.token;
             this.changed();
           }
-          for (const o of a.orders) this.execute(o);
+          for (const o of a.commands) this.execute(o);
         });
       });
     // Copies come late, from seconds to well over a lease, at any node.
     for (
-      let n = this.world.rng.chance(this.world.copies)
+      let n = this.world.rng.chance(this.world.duplicatedHeartbeats)
         ? this.world.rng.int(1, 2)
         : 0;
       n > 0;
@@ -278,8 +278,8 @@
           4_000 * this.world.settings.leaseS * this.world.rng.real() ** 2,
         ),
         () => {
-          this.world.lateReports++;
-          this.world.report(
+          this.world.lateHeartbeats++;
+          this.world.heartbeat(
             this.world.rng.pick(names),
             structuredClone(r),
             () => {},
@@ -304,8 +304,8 @@
   command(
     node: string,
     token: number,
-    session: number,
-    orders: Order[],
+    incarnation: number,
+    commands: Command[],
     done: (r: CommandReply) => void,
   ): void {
     const life = this.lives;
@@ -314,18 +314,18 @@
       if (this.gone || !this.up || life !== this.lives) return;
       if (this.hung) return this.world.at(300, () => run(false));
       this.expire();
-      const ok = token >= this.token && session === this.session;
+      const ok = token >= this.token && incarnation === this.incarnation;
       if (ok) {
         if (this.world.now - askedMs > 1_000) this.world.lateCommands++;
-        if (this.mute && orders.length > 0) this.world.muteCommands++;
+        if (this.isMute && commands.length > 0) this.world.muteCommands++;
         if (token > this.token) this.token = token;
-        for (const o of orders) this.execute(o);
+        for (const o of commands) this.execute(o);
       }
-      this.tally++;
+      this.sequence++;
       if (answer && !this.oneWay && !this.world.rng.chance(this.world.loss))
-        done({ is: "answered", status: ok ? 200 : 409 });
+        done({ kind: "answered", status: ok ? 200 : 409 });
     };
-    const hold = this.world.commandHold?.(node, this, token, orders);
+    const hold = this.world.commandHold?.(node, this, token, commands);
     if (hold)
       return this.world.at(hold.forMs, () => {
         if (!this.gone && this.up && life === this.lives) hold.onArrival();
@@ -340,7 +340,7 @@
       () => run(!held),
     );
   }
-  inspect(node: string, done: (r: Report) => void): void {
+  inspect(node: string, done: (r: Heartbeat) => void): void {
     const life = this.lives;
     this.world.at(this.world.rng.real(1, 30), () => {
       if (
@@ -361,7 +361,7 @@
       );
     });
   }
-  execute(o: Order): void {
+  execute(o: Command): void {
     const key = `${o.job}/${o.index}#${o.attempt}`;
     const t = this.tasks.get(key);
     if (o.op === "start") {
@@ -428,7 +428,7 @@
       t.state = "running";
       return this.exit(t, "done");
     }
-    if (spec.shape === "ensemble") {
+    if (spec.kind === "gang") {
       t.state = "waiting";
       this.changed();
       this.world.at(
@@ -447,27 +447,26 @@
   ): void {
     t.state = "running";
     this.changed();
-    if (spec.shape === "daemon") return;
+    if (spec.kind === "service") return;
     t.endsMs = this.world.now + runMs;
     this.world.at(runMs, () => {
       if (!this.has(t) || t.state !== "running") return;
       if (this.hung) return this.run(t, spec, 500);
-      if (this.faulty || this.world.broken.has(t.job))
+      if (this.faulty || this.world.faultyJobs.has(t.job))
         return this.exit(t, "error");
       if (
-        spec.shape === "ensemble" &&
+        spec.kind === "gang" &&
         !this.world.gangComplete(t.job, t.attempt, spec)
       )
         return this.exit(t, "peers");
       this.world.results.add(`${t.job}/${t.index}`);
-      if (spec.shape === "ensemble")
-        this.world.gangDone(t.job, t.attempt, spec);
+      if (spec.kind === "gang") this.world.gangDone(t.job, t.attempt, spec);
       else this.exit(t, "done");
       if (this.world.jobEnded && this.world.checker.isDone(t.job))
         this.world.jobEnded(t.job);
     });
   }
-  exit(t: SimTask, cause: Cause, saved = false): void {
+  exit(t: SimTask, cause: ExitCause, saved = false): void {
     t.state = "exited";
     t.cause = cause;
     t.saved = saved;
--- a/test/sim/meetings.ts
+++ b/test/sim/meetings.ts
@@ -1,12 +1,12 @@
-import { holdMs } from "../../src/coordination/ownership.js";
+import { storeLeaseTtlMs } from "../../src/coordination/ownership.js";
 import {
   cancel,
   askAllControllers,
-  odd,
+  oddRequest,
   pipelines,
   randomJob,
   submit,
-  users,
+  submitWorkload,
 } from "./days.js";
 import type { SimWorker } from "./machine.js";
 import type { Rng } from "./rng.js";
@@ -52,10 +52,10 @@
   "burst",
   "settings",
 ] as const;
-export type Kind = (typeof KINDS)[number] | (typeof REST)[number];
+export type FaultKind = (typeof KINDS)[number] | (typeof REST)[number];
 
-export interface Trouble {
-  kind: Kind;
+export interface InjectedFault {
+  kind: FaultKind;
   atMs: number;
   forMs: number;
   /** Which controller, by its place among the names; -1: the one that leads, that is has most machines with tasks. */
@@ -65,7 +65,7 @@
 }
 
 /** How often each meeting of the operators' letter really happened. */
-export interface MeetingCounts {
+export interface FaultCombinationCounts {
   /** A group changed hands while machines with tasks could not be reached or heard nothing. */
   unreached: number;
   /** Commands that were carried out more than a second after they were sent. */
@@ -83,7 +83,7 @@
   /** The same while the state service refused a controller or was down shortly after. */
   gapCancels: number;
 }
-export const NO_MEETINGS: MeetingCounts = {
+export const NO_MEETINGS: FaultCombinationCounts = {
   unreached: 0,
   lateCommands: 0,
   lateWrites: 0,
@@ -95,7 +95,7 @@
 };
 
 /** The same of the rest. */
-export interface AllMeetingCounts extends MeetingCounts {
+export interface AllFaultCombinationCounts extends FaultCombinationCounts {
   /** Commands with orders that reached a machine which could not report. */
   mute: number;
   /** Transactions that were carried out at once and of which only the answer was lost. */
@@ -105,7 +105,7 @@
   /** Cancellations and questions asked within 0.3 s of the completion of a job's last task. */
   atEnd: number;
   /** Times that users asked at all controllers right after they were told something. */
-  looks: number;
+  concurrentQueries: number;
   /** Requests that could only be refused, or repeated what was known. */
   odd: number;
   /** Changes of the leader's groups by which a group had changed hands ten times within two minutes. */
@@ -123,13 +123,13 @@
   /** Times that no controller was up, or none stood, for longer than a lease. */
   allAway: number;
 }
-const NO_MEETINGS_AT_ALL: AllMeetingCounts = {
+const NO_MEETINGS_AT_ALL: AllFaultCombinationCounts = {
   ...NO_MEETINGS,
   mute: 0,
   lostAnswers: 0,
   forNext: 0,
   atEnd: 0,
-  looks: 0,
+  concurrentQueries: 0,
   odd: 0,
   tenTimes: 0,
   quick: 0,
@@ -139,17 +139,19 @@
   removed: 0,
   allAway: 0,
 };
-export const noMeetings = (): AllMeetingCounts => ({ ...NO_MEETINGS_AT_ALL });
+export const noFaultCombinations = (): AllFaultCombinationCounts => ({
+  ...NO_MEETINGS_AT_ALL,
+});
 
 const controllersOf = (seed: number): number => (seed % 7) + 1;
 
 /** The controller on whose groups most machines with tasks are. */
 function leader(w: World): string {
   const n = (name: string): number =>
-    [...(w.nodes.get(name)?.core.masters.values() ?? [])].reduce(
+    [...(w.nodes.get(name)?.core.leaders.values() ?? [])].reduce(
       (sum, m) =>
         sum +
-        [...m.own.workers.values()].filter((x) => x.tasks.size > 0).length,
+        [...m.state.workers.values()].filter((x) => x.tasks.size > 0).length,
       0,
     );
   return w.names.reduce(
@@ -163,8 +165,8 @@
 
 function begin(
   w: World,
-  t: Trouble,
-  met: AllMeetingCounts = noMeetings(),
+  t: InjectedFault,
+  met: AllFaultCombinationCounts = noFaultCombinations(),
 ): void {
   const r = w.rng;
   const node = t.node < 0 ? leader(w) : w.names[t.node % w.names.length]!;
@@ -200,8 +202,8 @@
       w.lateWrites = t.share;
       return over(() => (w.lateWrites = 0));
     case "copies":
-      w.copies = t.share;
-      return over(() => (w.copies = 0));
+      w.duplicatedHeartbeats = t.share;
+      return over(() => (w.duplicatedHeartbeats = 0));
     case "crash":
       w.crash(node);
       return over(() => {
@@ -247,8 +249,8 @@
       return w.cutZone(r.pick(w.zones), t.forMs);
     case "mute": {
       const all = some();
-      for (const m of all) m.mute = true;
-      return over(() => all.forEach((m) => (m.mute = false)));
+      for (const m of all) m.isMute = true;
+      return over(() => all.forEach((m) => (m.isMute = false)));
     }
     case "lostAnswers":
       w.lostAnswers = t.share;
@@ -272,7 +274,7 @@
       return over(() => (w.jobEnded = null));
     case "looks":
       w.checker.onTold = (id, now) => {
-        met.looks++;
+        met.concurrentQueries++;
         askAllControllers(w, id);
         if (now === "accepted" && r.chance(0.2))
           w.at(r.real(0, 100), () => cancel(w, id));
@@ -282,7 +284,7 @@
       for (let n = 0; n * 400 < t.forMs; n++)
         w.at(n * 400, () => {
           met.odd++;
-          odd(w, met.odd);
+          oddRequest(w, met.odd);
         });
       return;
     case "roll":
@@ -301,11 +303,11 @@
         w.at(n * 250, () => {
           const spec = {
             ...randomJob(w, 600_000 + ++met.burst),
-            shape: "batch" as const,
+            kind: "array" as const,
             tasks: 1,
             cpus: 1,
             gpus: 0,
-            types: null,
+            machineTypes: null,
             zone: null,
             samePlace: false,
             spread: false,
@@ -353,8 +355,8 @@
       return w.at(t.forMs + 40_000, () => (w.teamLimits = null));
     }
     case "storm":
-      w.stormOf = 8;
-      return over(() => (w.stormOf = 1));
+      w.queryRate = 8;
+      return over(() => (w.queryRate = 1));
     case "cancel":
       for (const [id, told] of [...w.checker.told])
         if (told === "accepted" && r.chance(t.share))
@@ -363,7 +365,7 @@
 }
 
 /** Counts what meets, by looking at what the state service, the machines and the users have. */
-function watch(w: World, met: AllMeetingCounts): void {
+function watch(w: World, met: AllFaultCombinationCounts): void {
   const owners = new Map<
     string,
     { owner: string; version: number; had: Set<string>; changedMs: number[] }
@@ -375,14 +377,16 @@
   let gapUntilMs = -Infinity;
   w.every(50, () => {
     for (const [key, d] of w.state.data) {
-      const group = /^lc\/now\/group\/(.*)$/.exec(key)?.[1];
-      if (group === undefined) continue;
+      const partition = /^lc\/now\/group\/(.*)$/.exec(key)?.[1];
+      if (partition === undefined) continue;
       const { owner } = d.value as { owner: string };
-      const o = owners.get(group);
+      const o = owners.get(partition);
       if (o?.version === d.version) continue;
       if (o) {
         const mine = w.kept.filter(
-          (r) => w.nodes.get(owner)?.core.groups.of(r.zone) === group,
+          (r) =>
+            w.nodes.get(owner)?.core.partitions.partitionOf(r.zone) ===
+            partition,
         );
         if (mine.length > 0) {
           w.kept = w.kept.filter((r) => !mine.includes(r));
@@ -390,7 +394,7 @@
             for (const n of w.names)
               w.at(w.rng.real(0, 500), () => {
                 met.forNext++;
-                w.report(n, structuredClone(r), () => {});
+                w.heartbeat(n, structuredClone(r), () => {});
               });
         }
         o.changedMs.push(w.now);
@@ -398,7 +402,8 @@
           met.tenTimes++;
         if (
           w.workers.some(
-            (m) => busy(m) && (m.cut.size > 0 || m.oneWay || m.hung || m.mute),
+            (m) =>
+              busy(m) && (m.cut.size > 0 || m.oneWay || m.hung || m.isMute),
           )
         )
           met.unreached++;
@@ -406,7 +411,7 @@
         if (
           [...w.specs.values()].some(
             (s) =>
-              s.shape === "batch" &&
+              s.kind === "array" &&
               s.tasks > 1 &&
               w.checker.told.get(s.id) === "accepted" &&
               w.results.has(`${s.id}/0`) !== w.results.has(`${s.id}/1`),
@@ -414,7 +419,7 @@
         )
           met.apart++;
       }
-      owners.set(group, {
+      owners.set(partition, {
         owner,
         version: d.version,
         had: (o?.had ?? new Set<string>()).add(owner),
@@ -442,48 +447,54 @@
     met.mute = w.muteCommands;
     met.lostAnswers = w.answersLost;
     met.lateWrites = w.lateWritten;
-    met.lateReports = w.lateReports;
+    met.lateReports = w.lateHeartbeats;
     met.lateCommands = w.lateCommands;
   });
 }
 
-export interface Played {
+export interface PlayedWorkload {
   world: World;
-  met: AllMeetingCounts;
+  occurred: AllFaultCombinationCounts;
 }
 
 /** Jobs that run for a while, on machines that are there from the start. */
-function stage(seed: number, runFactor: number): Played {
+function stage(seed: number, runFactor: number): PlayedWorkload {
   const world = new World(seed, undefined, [], controllersOf(seed));
-  const met = noMeetings();
+  const met = noFaultCombinations();
   world.capacity = 6;
   world.runFactor = runFactor;
   world.carries = true;
   for (const z of world.zones)
     for (let i = 0; i < 3; i++) world.cloud.add(world.types[0]!, z, false, 0);
   watch(world, met);
-  return { world, met };
+  return { world, occurred: met };
 }
 
 const OVER_MS = 120_000;
 
 /** Plays a day of two to four troubles; all are over after 120 s, and what no question is answered about 75 s later is forgotten. */
-export function play(seed: number, troubles: readonly Trouble[]): Played {
-  const { world: w, met } = stage(seed, seed % 2 === 0 ? 4 : 1);
-  users(w, 95_000);
+export function play(
+  seed: number,
+  faults: readonly InjectedFault[],
+): PlayedWorkload {
+  const { world: w, occurred: met } = stage(seed, seed % 2 === 0 ? 4 : 1);
+  submitWorkload(w, 95_000);
   if (seed % 3 === 0) pipelines(w, 5_000, 90_000);
-  for (const t of troubles) w.at(t.atMs, () => begin(w, t, met));
+  for (const t of faults) w.at(t.atMs, () => begin(w, t, met));
   w.at(OVER_MS + 80_000, () => w.checker.remembers(OVER_MS + 5_000));
   w.run(OVER_MS + 85_000);
-  return { world: w, met };
+  return { world: w, occurred: met };
 }
 
 /**
  * The same with all that the operators name, on every third day with limits that the teams are at, and for so long after the end that a
  * job which nobody starts is noticed.
  */
-export function playMore(seed: number, troubles: readonly Trouble[]): Played {
-  const { world: w, met } = stage(seed, seed % 2 === 0 ? 4 : 1);
+export function playMore(
+  seed: number,
+  faults: readonly InjectedFault[],
+): PlayedWorkload {
+  const { world: w, occurred: met } = stage(seed, seed % 2 === 0 ? 4 : 1);
   if (seed % 3 === 1) {
     w.settings.teams = new Map(
       [...w.settings.teams].map(([n, t]) => [
@@ -506,7 +517,7 @@
           for (const t of m.tasks.values())
             if (t.state !== "exited" && w.specs.get(t.job)!.team === team) {
               used += w.specs.get(t.job)!.cpus;
-              lost ||= m.cut.size > 0 || m.hung || m.oneWay || m.mute;
+              lost ||= m.cut.size > 0 || m.hung || m.oneWay || m.isMute;
             }
       if (
         lost &&
@@ -515,10 +526,10 @@
         met.atLimit++;
     }
   });
-  users(w, 95_000, (x, n) => {
+  submitWorkload(w, 95_000, (x, n) => {
     // No gang may need more than its team may ever use: it would be refused, which is right.
     const spec = randomJob(x, n);
-    return spec.shape === "batch"
+    return spec.kind === "array"
       ? spec
       : {
           ...spec,
@@ -534,15 +545,15 @@
         };
   });
   if (seed % 4 === 0) pipelines(w, 5_000, 90_000);
-  for (const t of troubles) w.at(t.atMs, () => begin(w, t, met));
+  for (const t of faults) w.at(t.atMs, () => begin(w, t, met));
   w.at(OVER_MS, () => w.every(1_000, () => w.checker.nobodyLeft()));
   w.at(OVER_MS + 80_000, () => w.checker.remembers(OVER_MS + 5_000));
   w.run(OVER_MS + 110_000);
-  return { world: w, met };
+  return { world: w, occurred: met };
 }
 
 /** Two to four troubles close together, once or twice a day; in half of them the state service is one. */
-export function draw(seed: number): Trouble[] {
+export function draw(seed: number): InjectedFault[] {
   return drawn(seed, 4, (r) =>
     r.chance(0.3)
       ? r.pick(["refuse", "outage", "lateWrites", "cancel"] as const)
@@ -550,7 +561,7 @@
   );
 }
 /** Two to five, about half of them of the rest. */
-export function drawMore(seed: number): Trouble[] {
+export function drawMore(seed: number): InjectedFault[] {
   return drawn(seed, 5, (r) =>
     r.chance(0.45)
       ? r.pick(REST)
@@ -567,7 +578,7 @@
   );
 }
 /** These last longer than what hinders machines and controllers. */
-const LONG: readonly Kind[] = [
+const LONG: readonly FaultKind[] = [
   "lateWrites",
   "copies",
   "lostAnswers",
@@ -579,10 +590,10 @@
 function drawn(
   seed: number,
   most: number,
-  kindOf: (r: Rng) => Kind,
-): Trouble[] {
+  kindOf: (r: Rng) => FaultKind,
+): InjectedFault[] {
   const r = new World(seed ^ 0x5eed, undefined, [], 1).rng;
-  const out: Trouble[] = [];
+  const out: InjectedFault[] = [];
   for (let n = r.int(1, 2); n > 0; n--) {
     const at = r.real(12_000, 75_000);
     for (let k = r.int(2, most); k > 0; k--) {
@@ -606,10 +617,10 @@
 /** The fewest of these troubles that still break a rule: one after the other is left out for as long as that goes. */
 export function shrink(
   seed: number,
-  troubles: readonly Trouble[],
+  faults: readonly InjectedFault[],
   day: typeof play = play,
-): Trouble[] {
-  let left = [...troubles];
+): InjectedFault[] {
+  let left = [...faults];
   for (let i = 0; i < left.length;) {
     const fewer = left.filter((_, k) => k !== i);
     if (day(seed, fewer).world.checker.broken.length > 0) left = fewer;
@@ -627,14 +638,14 @@
  * reporting to the old leader. Around the edges: the leader stands still with answers on their way to it, its touches are
  * held, a slow service. Twice in a row on every second day.
  */
-export function gap(seed: number): Played {
-  const { world: w, met } = stage(seed, 8);
+export function gap(seed: number): PlayedWorkload {
+  const { world: w, occurred: met } = stage(seed, 8);
   const r = w.rng;
-  users(w, 60_000, (world, n) => ({
+  submitWorkload(w, 60_000, (world, n) => ({
     ...randomJob(world, n),
     cpus: world.rng.pick([1, 2]),
     gpus: 0,
-    types: null,
+    machineTypes: null,
     zone: null,
     deadlineS: null,
   }));
@@ -647,7 +658,7 @@
       // The same controller throughout: whoever leads shortly before it is refused.
       const node = w.names.indexOf(leader(w));
       const one = (
-        kind: Kind,
+        kind: FaultKind,
         delayMs: number,
         forMs: number,
         share = t.share,
@@ -669,7 +680,7 @@
       if (r.chance(0.6))
         one(
           "freeze",
-          r.real(0.7, 0.95) * holdMs(w.settings),
+          r.real(0.7, 0.95) * storeLeaseTtlMs(w.settings),
           r.real(4_000, 9_000),
         );
       if (r.chance(0.3))
@@ -685,5 +696,5 @@
   }
   w.at(at + 80_000, () => w.checker.remembers(at + 5_000));
   w.run(at + 85_000);
-  return { world: w, met };
+  return { world: w, occurred: met };
 }
--- a/test/sim/one.ts
+++ b/test/sim/one.ts
@@ -1,8 +1,8 @@
-import { night } from "./days.js";
+import { failureScenario } from "./days.js";
 
 // For looking into one seed of hunt.ts's nights: node target/test-build/test/sim/one.js SEED [FILTER]
 const [seed, filter] = process.argv.slice(2);
-const w = night(Number(seed));
+const w = failureScenario(Number(seed));
 for (const l of w.logs)
   if (!filter || new RegExp(filter).test(l)) console.log(l);
 console.log(w.checker.broken, w.starts);
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -11,12 +11,12 @@
 import type {
   JobSpec,
   MachineType,
-  Order,
-  Report,
+  Command,
+  Heartbeat,
   Tuning,
 } from "../../src/coordination/model.js";
 import type { StateCall, StateReply } from "../../src/protocol/state.js";
-import { Controller as ProductionController } from "../production/coordination/controller.js";
+import { ProductionController } from "./production-controller.js";
 import { type CheckedWorld, Checker } from "./checker.js";
 import { Cloud, type CloudWorld } from "./cloud.js";
 import type { CommandHold, SimTask, SimWorker } from "./machine.js";
@@ -31,10 +31,10 @@
   afterMs?: number;
 }
 /** Orders ride in the answer to a report, or are sent straight to the machine. */
-type OrderChannel = "answer" | "command";
+type CommandChannel = "answer" | "command";
 
 /** A controller's process. */
-interface Node {
+interface SimController {
   core: Controller;
   startedMs: number;
   life: number;
@@ -53,9 +53,9 @@
   now = 0;
   loss = 0.01;
   /** Part of the reports that are copied on their way. */
-  copies = 0;
+  duplicatedHeartbeats = 0;
   /** Users ask so many times as often. */
-  stormOf = 1;
+  queryRate = 1;
   /** Machines boot so many times as slowly. */
   bootFactor = 1;
   /** Part of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
@@ -74,16 +74,16 @@
   answersLost = 0;
   /** Part of the reports of which a copy is kept for whoever takes the group next; the copies. */
   forNext = 0;
-  kept: Report[] = [];
+  kept: Heartbeat[] = [];
   /** Called the moment that the last task of a job completes. */
   jobEnded: ((id: string) => void) | null = null;
   /** Commands with orders that reached a machine which could not report. */
   muteCommands = 0;
   /** Copies of reports that came late, and commands that were carried out more than a second after they were sent. */
-  lateReports = 0;
+  lateHeartbeats = 0;
   lateCommands = 0;
   /** Jobs submitted with a mistake: they fail on every machine. */
-  readonly broken = new Set<string>();
+  readonly faultyJobs = new Set<string>();
   stateDown = false;
   cloudDown = false;
   capacity = 3;
@@ -94,7 +94,7 @@
   readonly workers: SimWorker[] = [];
   readonly specs = new Map<string, JobSpec>();
   /** Jobs that a job needs, as its user named them. */
-  readonly awaits = new Map<string, readonly string[]>();
+  readonly dependsOn = new Map<string, readonly string[]>();
   readonly results = new Set<string>();
   readonly polled = new Set<string>();
   names: string[];
@@ -102,7 +102,7 @@
   private readonly areas: string[];
   readonly zones = ["east", "mid", "west", "attic"];
   readonly settings: Settings;
-  readonly nodes = new Map<string, Node | null>();
+  readonly nodes = new Map<string, SimController | null>();
   /** Zones that reach nobody outside and are not reached; packets into and out of them are held. */
   private readonly zoneCuts = new Set<string>();
   /** Nodes that the state service refuses, whose messages to it are held, or of whose messages only those are that change something, or that don't. */
@@ -117,7 +117,7 @@
   /** The teams' limits that the rule goes by: those of the settings, but while operators change them. */
   teamLimits: Settings["teams"] | null = null;
   /** Controllers that still run the version in production. */
-  readonly old = new Set<string>();
+  readonly production = new Set<string>();
   /** What befalls a transaction on its way, where a scenario wants something else than the day brings. */
   commitFate:
     ((name: string, commit: CommitCall) => CommitFate | undefined) | null =
@@ -128,7 +128,7 @@
         name: string,
         machine: SimWorker,
         token: number,
-        orders: readonly Order[],
+        commands: readonly Command[],
       ) => CommandHold | undefined)
     | null = null;
   /** Called when a transaction was carried out. */
@@ -138,14 +138,14 @@
     revision: number,
   ) => void)[] = [];
   /** Called when orders for a machine leave a controller. */
-  readonly onOrders: ((
+  readonly onCommands: ((
     name: string,
     machine: string,
-    orders: readonly Order[],
-    channel: OrderChannel,
+    commands: readonly Command[],
+    channel: CommandChannel,
   ) => void)[] = [];
   /** Called with each report that a machine makes. */
-  readonly onReport: ((report: Report) => void)[] = [];
+  readonly onHeartbeat: ((report: Heartbeat) => void)[] = [];
   /** Called with each step of a controller: what it was told and what it returned. */
   onStep:
     ((name: string, input: Input, effects: readonly Effect[]) => void) | null =
@@ -204,7 +204,7 @@
       0,
       controllers,
     );
-    for (const name of old) this.old.add(name);
+    for (const name of old) this.production.add(name);
     this.rng = new Rng(seed);
     this.settings = {
       label: "",
@@ -254,13 +254,13 @@
     let i = this.heap.push(e) - 1;
     while (i > 0) {
       const p = (i - 1) >> 1;
-      if (!World.less(e, this.heap[p]!)) break;
+      if (!World.shorten(e, this.heap[p]!)) break;
       this.heap[i] = this.heap[p]!;
       i = p;
     }
     this.heap[i] = e;
   }
-  private static less(
+  private static shorten(
     a: { at: number; seq: number },
     b: { at: number; seq: number },
   ): boolean {
@@ -276,10 +276,10 @@
       if (c >= this.heap.length) break;
       if (
         c + 1 < this.heap.length &&
-        World.less(this.heap[c + 1]!, this.heap[c]!)
+        World.shorten(this.heap[c + 1]!, this.heap[c]!)
       )
         c++;
-      if (!World.less(this.heap[c]!, last)) break;
+      if (!World.shorten(this.heap[c]!, last)) break;
       this.heap[i] = this.heap[c]!;
       i = c;
     }
@@ -321,7 +321,7 @@
         .filter((p) => p.label !== name),
     };
     const drift = 1 + this.rng.real(0, 0.0005);
-    const core = this.old.has(name)
+    const core = this.production.has(name)
       ? (new ProductionController(
           settings,
           this.tuning,
@@ -334,7 +334,7 @@
           this.now * drift,
           this.now,
         );
-    const node: Node = {
+    const node: SimController = {
       core,
       startedMs: this.now,
       life: ++this.lives,
@@ -347,14 +347,14 @@
     this.nodes.set(name, node);
     const tick = (): void => {
       if (this.nodes.get(name) !== node) return;
-      this.feed(name, node.life, { is: "tick" });
+      this.feed(name, node.life, { type: "tick" });
       this.at(200, tick);
     };
     tick();
     const peers = (): void => {
       if (this.nodes.get(name) !== node) return;
       this.feed(name, node.life, {
-        is: "peers",
+        type: "peers",
         up: this.names.filter(
           (n) => n !== name && this.nodes.get(n) && !this.meshCut(n, name),
         ),
@@ -383,7 +383,7 @@
     const node = this.nodes.get(name);
     if (node && !node.still) node.stillFor = forMs;
   }
-  private thaw(node: Node): void {
+  private thaw(node: SimController): void {
     // What queued up is worked off in order, at once: only then does the process wait for anything new.
     for (let next = node.still?.shift(); next; next = node.still?.shift())
       next();
@@ -415,7 +415,7 @@
   rollout(atMs: number, everyMs: number): void {
     this.names.forEach((name, i) =>
       this.at(atMs + i * everyMs, () => {
-        this.old.delete(name);
+        this.production.delete(name);
         this.crash(name);
         this.at(
           this.rng.real(1_000, 4_000),
@@ -436,26 +436,30 @@
   readonly meshCuts = new Set<string>();
 
   /** A worker's report at a node, passed on over the mesh where the node says so. */
-  report(name: string, r: Report, done: (a: Answer | null) => void): void {
+  heartbeat(
+    name: string,
+    r: Heartbeat,
+    done: (a: Answer | null) => void,
+  ): void {
     this.ask(
       name,
-      (req) => ({ is: "report", req, report: r, relayed: false }),
+      (req) => ({ type: "heartbeat", req, heartbeat: r, relayed: false }),
       (a) => {
-        this.noteOrders(name, r, a);
-        if (a?.is !== "relay") return done(a);
+        this.noteCommands(name, r, a);
+        if (a?.kind !== "relay") return done(a);
         const life = this.nodes.get(name)?.life ?? 0;
         const fail = (): void => {
-          this.feed(name, life, { is: "unserved", zone: r.zone });
-          done({ is: "elsewhere", master: null });
+          this.feed(name, life, { type: "leaderUnreachable", zone: r.zone });
+          done({ kind: "redirect", leader: null });
         };
-        if (this.meshCut(name, a.master)) return this.at(2_000, fail);
+        if (this.meshCut(name, a.leader)) return this.at(2_000, fail);
         this.at(this.rng.real(1, 5), () =>
           this.ask(
-            a.master,
-            (req) => ({ is: "report", req, report: r, relayed: true }),
+            a.leader,
+            (req) => ({ type: "heartbeat", req, heartbeat: r, relayed: true }),
             (b) => {
-              this.noteOrders(a.master, r, b);
-              if (b?.is === "orders") this.at(2, () => done(b));
+              this.noteCommands(a.leader, r, b);
+              if (b?.kind === "commands") this.at(2, () => done(b));
               else fail();
             },
           ),
@@ -464,10 +468,10 @@
     );
   }
 
-  private noteOrders(name: string, r: Report, a: Answer | null): void {
-    if (a?.is !== "orders") return;
-    for (const notify of this.onOrders)
-      notify(name, r.worker, a.orders, "answer");
+  private noteCommands(name: string, r: Heartbeat, a: Answer | null): void {
+    if (a?.kind !== "commands") return;
+    for (const notify of this.onCommands)
+      notify(name, r.worker, a.commands, "answer");
   }
 
   /** A line of the world's own in the log. */
@@ -497,7 +501,7 @@
       return void node.still.push(() => this.step(name, node, input));
     this.step(name, node, input);
   }
-  private step(name: string, node: Node, input: Input): void {
+  private step(name: string, node: SimController, input: Input): void {
     if (this.nodes.get(name) !== node) return;
     const effects = node.core.step(input, this.now * node.drift, this.now);
     this.onStep?.(name, input, effects);
@@ -506,21 +510,22 @@
     const looksFirst = node.stillFor > 0 && this.rng.chance(0.5);
     const carryOut = (): void => {
       for (const e of effects) {
-        if (looksFirst || this.old.has(name)) this.carryOut(name, node, e);
+        if (looksFirst || this.production.has(name))
+          this.carryOut(name, node, e);
         else if (node.core.mayLeave(e, this.now * node.drift)) {
           if (this.nodes.get(name) === node)
             this.checker.leaves(name, node.core, e);
           this.carryOut(name, node, e);
-        } else if (e.do === "command")
+        } else if (e.type === "command")
           this.feed(name, node.life, {
-            is: "command",
+            type: "command",
             op: e.op,
-            reply: { is: "refused" },
+            reply: { kind: "refused" },
           });
-        else if (e.do === "answer")
+        else if (e.type === "answer")
           this.carryOut(name, node, {
             ...e,
-            answer: { is: "later", afterS: 1, why: "no permit" },
+            answer: { kind: "retryLater", afterS: 1, why: "no permit" },
           });
       }
     };
@@ -531,12 +536,12 @@
   }
 
   /** The peer that carries a controller's calls to the state service at this moment, as `StateClient` chooses it; null: none. */
-  private carrier(name: string, node: Node): string | null {
+  private carrier(name: string, node: SimController): string | null {
     if (
       !this.carries ||
       node.failingMs === null ||
       this.now - node.failingMs < 1_200 ||
-      this.old.has(name)
+      this.production.has(name)
     )
       return null;
     const peer = this.names.find(
@@ -555,7 +560,7 @@
   /** A controller's own request to the state service. */
   private direct(
     name: string,
-    node: Node,
+    node: SimController,
     call: StateCall,
     done: (r: StateReply) => void,
   ): void {
@@ -623,11 +628,11 @@
     );
   }
 
-  private carryOut(name: string, node: Node, e: Effect): void {
+  private carryOut(name: string, node: SimController, e: Effect): void {
     if (this.nodes.get(name) !== node) return;
     const back = (i: Input): void =>
       this.at(this.rng.real(1, 10), () => this.feed(name, node.life, i));
-    switch (e.do) {
+    switch (e.type) {
       case "answer": {
         const done = this.answers.get(e.req);
         this.answers.delete(e.req);
@@ -640,11 +645,11 @@
         const reply = (r: StateReply): void => {
           if (over) return;
           over = true;
-          back({ is: "state", op: e.op, reply: r, sentMs });
+          back({ type: "state", op: e.op, reply: r, sentMs });
         };
         const wait = e.call.op === "changes" ? e.call.waitMs + 1500 : 1500;
         this.at(wait, () => reply({ is: "unknown", why: "timeout" }));
-        if (e.call.op === "commit" && !this.old.has(name))
+        if (e.call.op === "commit" && !this.production.has(name))
           this.checker.committed(name, e.call.writes);
         const peer = this.carrier(name, node);
         if (peer === null) this.direct(name, node, e.call, reply);
@@ -671,9 +676,9 @@
         const reply = (r: CloudReply): void => {
           if (over) return;
           over = true;
-          back({ is: "cloud", op: e.op, reply: r });
+          back({ type: "cloud", op: e.op, reply: r });
         };
-        this.at(4_000, () => reply({ is: "failed", why: "timeout" }));
+        this.at(4_000, () => reply({ kind: "failed", why: "timeout" }));
         const held =
           this.apart(this.zoneOf(name), null) || this.rng.chance(this.loss);
         this.at(held ? this.rng.real(5_000, 40_000) : 100, () => {
@@ -687,23 +692,23 @@
         const reply = (r: CommandReply): void => {
           if (over) return;
           over = true;
-          back({ is: "command", op: e.op, reply: r });
+          back({ type: "command", op: e.op, reply: r });
         };
-        this.at(3_000, () => reply({ is: "unknown" }));
+        this.at(3_000, () => reply({ kind: "unknown" }));
         const id = `n-${e.address.split(":")[1]}`;
-        for (const notify of this.onOrders)
-          notify(name, id, e.orders, "command");
+        for (const notify of this.onCommands)
+          notify(name, id, e.commands, "command");
         const w = this.workers.find((x) => x.id === id);
         if (!w || w.gone || !w.up) return;
-        w.command(name, e.token, e.session, e.orders, reply);
+        w.command(name, e.token, e.incarnation, e.commands, reply);
         break;
       }
       case "inspect": {
         let over = false;
-        const reply = (r: Report | null): void => {
+        const reply = (r: Heartbeat | null): void => {
           if (over) return;
           over = true;
-          back({ is: "inspected", op: e.op, report: r });
+          back({ type: "inspectReply", op: e.op, heartbeat: r });
         };
         this.at(3_000, () => reply(null));
         this.workers
@@ -712,7 +717,7 @@
         break;
       }
       case "wake":
-        this.at(e.afterMs, () => this.feed(name, node.life, { is: "wake" }));
+        this.at(e.afterMs, () => this.feed(name, node.life, { type: "wake" }));
         break;
       case "log":
         if (this.logs.length < 50_000)
--- a/test/software-limits.test.ts
+++ b/test/software-limits.test.ts
@@ -6,17 +6,17 @@
 import type { Controller } from "../src/coordination/controller.js";
 import type { Answer } from "../src/coordination/effects.js";
 import type { Context } from "../src/coordination/context.js";
-import { Mirror } from "../src/coordination/mirror.js";
-import type { JobSpec, Report } from "../src/coordination/model.js";
+import { StoreCache } from "../src/coordination/mirror.js";
+import type { JobSpec, Heartbeat } from "../src/coordination/model.js";
 import type { LogEvent } from "../src/logging/events.js";
 import { RateLimitedLog } from "../src/coordination/rate-limited-log.js";
 import { maxRedirects, Redirects } from "../src/coordination/redirects.js";
-import { Roster } from "../src/coordination/roster.js";
+import { MachineRegistry } from "../src/coordination/roster.js";
 import { Frame } from "../src/protocol/frames.js";
 import type { Write } from "../src/protocol/state.js";
-import { bytesOf, readRoster } from "../src/storage/records.js";
-import { Client } from "../src/transport/client.js";
-import { maxInFlight, Mesh } from "../src/transport/mesh.js";
+import { bytesOf, readRegistry } from "../src/storage/records.js";
+import { HttpClient } from "../src/transport/client.js";
+import { maxInFlight, PeerMesh } from "../src/transport/mesh.js";
 import { WorkerClient } from "../src/transport/workers.js";
 import { randomJob } from "./sim/days.js";
 import { World } from "./sim/world.js";
@@ -28,15 +28,15 @@
 
 // ---- workers sent to another controller ------------------------------------------------------------------
 
-function report(worker: string, zone: string): Report {
+function report(worker: string, zone: string): Heartbeat {
   return {
     worker,
     address: "127.0.0.1:1",
     type: "small",
     zone,
     spot: false,
-    session: 1,
-    tally: 1,
+    incarnation: 1,
+    sequence: 1,
     token: 0,
     noticeS: null,
     tasks: [],
@@ -48,7 +48,9 @@
   w.run(20_000);
   const core = w.nodes.get("node-a")!.core;
   const zone = w.zones.find(
-    (z) => core.mirror.groups.get(core.groups.of(z))?.owner === "node-b",
+    (z) =>
+      core.cache.partitions.get(core.partitions.partitionOf(z))?.owner ===
+      "node-b",
   );
   assert.ok(zone, "the other controller leads a group");
   const ask = (worker: string): string | undefined => {
@@ -56,17 +58,17 @@
     w.ask(
       "node-a",
       (req) => ({
-        is: "report",
+        type: "heartbeat",
         req,
-        report: report(worker, zone),
+        heartbeat: report(worker, zone),
         relayed: false,
       }),
       (a) => (answer = a ?? undefined),
     );
-    return answer?.is;
+    return answer?.kind;
   };
   for (const worker of names)
-    assert.equal(ask(worker), "elsewhere", `${worker}: first`);
+    assert.equal(ask(worker), "redirect", `${worker}: first`);
   for (const worker of names)
     assert.equal(ask(worker), "relay", `${worker}: back at once`);
 });
@@ -197,7 +199,7 @@
   senderSockets: number,
   receiverSockets: number,
   serve: () => Promise<{ status: number; body: string }>,
-): Promise<Mesh> {
+): Promise<PeerMesh> {
   const [portA, portB] = [await freePort(), await freePort()];
   const a = { label: "east", port: portA };
   const b = { label: "west", port: portB };
@@ -211,11 +213,11 @@
       "test.toml",
     );
   const never = (): Promise<never> => new Promise(() => {});
-  const sender = new Mesh(settings(a, b, senderSockets), {
+  const sender = new PeerMesh(settings(a, b, senderSockets), {
     serve: never,
     stateOk: () => true,
   });
-  const receiver = new Mesh(settings(b, a, receiverSockets), {
+  const receiver = new PeerMesh(settings(b, a, receiverSockets), {
     serve,
     stateOk: () => true,
   });
@@ -245,7 +247,7 @@
   });
   const answers = await Promise.all(
     names.map(() =>
-      sender.call("west", Frame.Report, REPORT_BODY, CALL_TIMEOUT_MS),
+      sender.call("west", Frame.Heartbeat, REPORT_BODY, CALL_TIMEOUT_MS),
     ),
   );
   assert.equal(held.length, MACHINES, "all at once");
@@ -269,7 +271,7 @@
     Array.from({ length: most + beyond }, async () => {
       const answer = await sender.call(
         "west",
-        Frame.Report,
+        Frame.Heartbeat,
         REPORT_BODY,
         CALL_TIMEOUT_MS,
       );
@@ -304,7 +306,7 @@
   const addresses = await servers(300);
   const workers = new WorkerClient(256);
   const command = async (address: string): Promise<string> =>
-    (await workers.command(address, 1, 1, [])).is;
+    (await workers.command(address, 1, 1, [])).kind;
   const startMs = performance.now();
   for (const address of addresses)
     assert.equal(await command(address), "answered", address);
@@ -317,11 +319,11 @@
 
 test("a client reuses idle connections and keeps no more of them than it may", async () => {
   const [first, ...others] = await servers(20);
-  const client = new Client(16, 8);
+  const client = new HttpClient(16, 8);
   const get = async (address: string): Promise<string> => {
     const [host, port] = address.split(":");
     return (await client.fetch(host!, Number(port), "GET", "/", undefined, 3e3))
-      .is;
+      .kind;
   };
   const { agent } = client as unknown as {
     agent: http.Agent & { totalSocketCount: number };
@@ -344,8 +346,8 @@
   const core = lead(w);
   const spec = randomJob(w, 1);
   for (let tasks = 1; tasks <= 3 * MACHINES; tasks++) {
-    core.noteHanded("node-b", spec, tasks);
-    const handed = core.handed.get("node-b")!;
+    core.notePendingAssignment("node-b", spec, tasks);
+    const handed = core.pendingAssignments.get("node-b")!;
     assert.ok(handed.length <= 2_000);
     assert.ok(handed.length >= Math.min(tasks, 1_000));
     assert.equal(handed.at(-1)!.tasks, tasks);
@@ -356,19 +358,19 @@
   const w = new World(3, undefined, [], 1);
   w.settings.objectives.push({ kind: "wait", class: "named", withinS: 1 });
   w.run(8_000);
-  const master = lead(w).masters.values().next().value!;
-  const { fleet } = master as unknown as {
-    fleet: {
+  const leader = lead(w).leaders.values().next().value!;
+  const { scaleIn } = leader as unknown as {
+    scaleIn: {
       noteJob(spec: JobSpec): void;
       classNeeds: Map<string, JobSpec>;
     };
   };
   const spec = randomJob(w, 1);
-  for (const name of names) fleet.noteJob({ ...spec, class: name });
-  fleet.noteJob({ ...spec, class: "named", cpus: 1 });
-  fleet.noteJob({ ...spec, class: "named", cpus: 2 });
-  assert.deepEqual([...fleet.classNeeds.keys()], ["named"]);
-  assert.equal(fleet.classNeeds.get("named")!.cpus, 2, "the latest");
+  for (const name of names) scaleIn.noteJob({ ...spec, jobClass: name });
+  scaleIn.noteJob({ ...spec, jobClass: "named", cpus: 1 });
+  scaleIn.noteJob({ ...spec, jobClass: "named", cpus: 2 });
+  assert.deepEqual([...scaleIn.classNeeds.keys()], ["named"]);
+  assert.equal(scaleIn.classNeeds.get("named")!.cpus, 2, "the latest");
 });
 
 // ---- the roster ------------------------------------------------------------------------------------------
@@ -389,11 +391,11 @@
   };
   const ctx = {
     nowMs: 0,
-    mirror: new Mirror(),
+    cache: new StoreCache(),
     settings: { state: { valueBytes, txnOps } },
     log: () => {},
   } as unknown as Context;
-  const roster = new Roster(
+  const registry = new MachineRegistry(
     ctx,
     "east",
     (_, writes, done) => {
@@ -402,11 +404,12 @@
     },
     () => {},
   );
-  for (const name of names) roster.set(name, { going: false, type: "small" });
-  for (const name of names) assert.ok(roster.has(name), name);
+  for (const name of names)
+    registry.set(name, { isReturning: false, type: "small" });
+  for (const name of names) assert.ok(registry.has(name), name);
   assert.ok(largestWrite <= valueBytes, `${largestWrite} bytes`);
   const listed = [...records.values()].flatMap((value) => [
-    ...readRoster(value)!.machines.keys(),
+    ...readRegistry(value)!.machines.keys(),
   ]);
   assert.deepEqual(listed.sort(), [...names].sort());
 });
--- a/test/transport.test.ts
+++ b/test/transport.test.ts
@@ -3,8 +3,12 @@
 import { DEFAULTS } from "../src/config/operator.js";
 import { parseSettings } from "../src/config/settings.js";
 import { Daemon } from "../src/daemon.js";
-import { Connections, KINDS, type Kind } from "../src/transport/connections.js";
-import { api, type Asked } from "../src/transport/server.js";
+import {
+  ConnectionTable,
+  CONNECTION_KINDS,
+  type ConnectionKind,
+} from "../src/transport/connections.js";
+import { api, type RequestHandler } from "../src/transport/server.js";
 import { Rng } from "./sim/rng.js";
 
 /** What stands between the sockets and the core. */
@@ -85,8 +89,8 @@
   const app = api({
     ask: (input) => {
       const i = input(1);
-      got.push(i.is === "submit" ? i.spec.tasks : -1);
-      return Promise.resolve({ is: "later", afterS: 1, why: "test" });
+      got.push(i.type === "submit" ? i.spec.tasks : -1);
+      return Promise.resolve({ kind: "retryLater", afterS: 1, why: "test" });
     },
     ready: () => true,
     relay: () => Promise.resolve(null),
@@ -126,10 +130,10 @@
   const silentMs = { fresh: 3_000, probe: 3_000, user: 60_000, worker: 8_000 };
   for (let seed = 1; seed <= 30; seed++) {
     const rng = new Rng(seed);
-    const table = new Connections<number>(most, silentMs);
+    const table = new ConnectionTable<number>(most, silentMs);
     const model = new Map<
       number,
-      { kind: Kind; busy: boolean; sinceMs: number }
+      { kind: ConnectionKind; busy: boolean; sinceMs: number }
     >();
     let now = 0;
     let ids = 0;
@@ -167,7 +171,7 @@
       } else if (what < 7 && open.length > 0) {
         const [s, c] = rng.pick(open);
         if (!c.busy) {
-          c.kind = rng.pick(KINDS.slice(1));
+          c.kind = rng.pick(CONNECTION_KINDS.slice(1));
           c.busy = true;
           table.asked(s, c.kind);
         }
@@ -193,7 +197,7 @@
     assert.ok(ids > 500);
   }
   // Workers that nobody hears of any more don't keep a user out, nor do users a worker.
-  const table = new Connections<string>(10, silentMs);
+  const table = new ConnectionTable<string>(10, silentMs);
   for (let i = 0; i < 10; i++) {
     table.opened(`w${i}`, i);
     table.asked(`w${i}`, "worker");
@@ -213,8 +217,8 @@
 
 test("who goes away in the middle of a body is no fault of the program", async () => {
   const faults: Error[] = [];
-  const core: Asked = {
-    ask: () => Promise.resolve({ is: "unknownJob" }),
+  const core: RequestHandler = {
+    ask: () => Promise.resolve({ kind: "unknownJob" }),
     ready: () => true,
     relay: () => Promise.resolve(null),
     malformed: () => {},
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -2,38 +2,47 @@
 import { test } from "node:test";
 import type { Context } from "../src/coordination/context.js";
 import type { JobSpec } from "../src/coordination/model.js";
-import type { GroupState } from "../src/coordination/group-state.js";
-import type { Renting } from "../src/coordination/renting.js";
-import type { Sharing } from "../src/coordination/limits/index.js";
+import type { PartitionState } from "../src/coordination/group-state.js";
+import type { ScaleOut } from "../src/coordination/renting.js";
+import type { QuotaAllocator } from "../src/coordination/limits/index.js";
 import { RangeSet } from "../src/coordination/ranges.js";
-import { Room } from "../src/coordination/room.js";
-import { Roster } from "../src/coordination/roster.js";
+import { CapacityReport } from "../src/coordination/room.js";
+import { MachineRegistry } from "../src/coordination/roster.js";
 import { RangeSet as OldRangeSet } from "./production/coordination/ranges.js";
 import {
   bytesOf,
-  FIN_BLOCK,
-  finBlock,
-  finKey,
+  COMPLETION_BLOCK,
+  completionBlock,
+  completionKey,
   inBlock,
   parseKey,
-  readFin,
+  readCompletion,
   readJob,
-  readRoom,
-  readRoster,
-  type RoomRecord,
-  type RosterEntry,
-  rosterKey,
+  readCapacity,
+  readRegistry,
+  type CapacityRecord,
+  type RegistryEntry,
+  registryKey,
   type TeamRow,
-  writeFin,
+  writeCompletion,
   writeJob,
-  writeRoom,
-  writeRoster,
+  writeCapacity,
+  writeRegistry,
 } from "../src/storage/records.js";
 import type { Condition, Write } from "../src/protocol/state.js";
 import * as old from "./production/storage/records.js";
-import { pipelines, randomJob, troubles, users } from "./sim/days.js";
+import {
+  pipelines,
+  randomJob,
+  injectFaults,
+  submitWorkload,
+} from "./sim/days.js";
 import { expectGuardNeeded } from "./sim/guards.js";
 import { Rng } from "./sim/rng.js";
+import {
+  productionRoster,
+  productionSpec,
+} from "./sim/production-controller.js";
 import { World } from "./sim/world.js";
 
 /** The version in production and the present one, on each other's records and side by side. */
@@ -50,14 +59,14 @@
   const released = {
     spec,
     acceptedAt: 5,
-    split: new Map([["g", RangeSet.of(pairs)]]),
-    awaits: [],
+    assignment: new Map([["g", RangeSet.of(pairs)]]),
+    dependsOn: [],
     releasedAt: 9,
   };
   const oldJob = old.readJob(stored(writeJob(released)))!;
   assert.deepEqual(
     [oldJob.spec, oldJob.acceptedAt, oldJob.split.get("g")!.pairs()],
-    [spec, 5, pairs],
+    [productionSpec(spec), 5, pairs],
   );
   // Rewritten by production, the time of release is lost and nothing else.
   assert.deepEqual(readJob(stored(old.writeJob(oldJob))), {
@@ -70,8 +79,8 @@
       stored(
         writeJob({
           ...released,
-          split: new Map(),
-          awaits: ["req-9"],
+          assignment: new Map(),
+          dependsOn: ["req-9"],
           releasedAt: null,
         }),
       ),
@@ -91,13 +100,16 @@
       stored(old.writeFin(OldRangeSet.of(half.pairs()), chunk)),
     );
   for (
-    let task = 20_000 - (20_000 % FIN_BLOCK);
+    let task = 20_000 - (20_000 % COMPLETION_BLOCK);
     task < 40_000;
-    task += FIN_BLOCK
+    task += COMPLETION_BLOCK
   ) {
-    const key = finKey("req-1", "g", finBlock(task));
+    const key = completionKey("req-1", "g", completionBlock(task));
     assert.ok(!kept.has(key));
-    kept.set(key, stored(writeFin(inBlock(finished, finBlock(task)))));
+    kept.set(
+      key,
+      stored(writeCompletion(inBlock(finished, completionBlock(task)))),
+    );
   }
   const byOld = RangeSet.empty();
   const byNew = RangeSet.empty();
@@ -105,32 +117,35 @@
     const k = old.parseKey(key)!;
     assert.ok(k.kind === "fin" && parseKey(key)?.kind === "fin");
     byOld.addAll(RangeSet.of(old.readFin(value, k.chunk)!.pairs()));
-    byNew.addAll(readFin(value, k.chunk)!);
+    byNew.addAll(readCompletion(value, k.chunk)!);
   }
   assert.deepEqual(byNew.pairs(), finished.pairs());
   assert.deepEqual(byOld.pairs(), finished.pairs());
 
   const machines = new Map([
-    ["n-1", { going: false, type: "a" }],
-    ["n-2", { going: true, type: "b" }],
+    ["n-1", { isReturning: false, type: "a" }],
+    ["n-2", { isReturning: true, type: "b" }],
   ]);
   for (const complete of [true, false])
     assert.deepEqual(
-      old.readRoster(stored(writeRoster({ machines, complete }))),
-      machines,
+      old.readRoster(stored(writeRegistry({ machines, complete }))),
+      productionRoster(machines),
     );
   assert.deepEqual(
-    readRoster(stored(writeRoster({ machines, complete: true }))),
+    readRegistry(stored(writeRegistry({ machines, complete: true }))),
     {
       machines,
       complete: true,
     },
   );
   // Production replaces a record whatever it holds: what it wrote may lack machines.
-  assert.deepEqual(readRoster(stored(old.writeRoster(machines))), {
-    machines,
-    complete: false,
-  });
+  assert.deepEqual(
+    readRegistry(stored(old.writeRoster(productionRoster(machines)))),
+    {
+      machines,
+      complete: false,
+    },
+  );
   const room = {
     rows: [
       {
@@ -162,9 +177,9 @@
   };
   const { teams: _, cut: __, ...asOld } = room;
   // Production reads a room without what teams use, and writes one that says nothing of it.
-  const more: RoomRecord = {
+  const more: CapacityRecord = {
     ...room,
-    rows: [{ ...room.rows[0]!, yields: [[8, 0, 16, 1, 2, 3]] }],
+    rows: [{ ...room.rows[0]!, reclaimable: [[8, 0, 16, 1, 2, 3]] }],
     queueFrom: [
       [3, 2],
       [1, 2],
@@ -175,10 +190,10 @@
     cut: true,
   };
   for (const r of [room, more]) {
-    assert.deepEqual(old.readRoom(stored(writeRoom(r))), asOld);
-    assert.deepEqual(readRoom(stored(writeRoom(r))), r);
+    assert.deepEqual(old.readRoom(stored(writeCapacity(r))), asOld);
+    assert.deepEqual(readCapacity(stored(writeCapacity(r))), r);
   }
-  assert.deepEqual(readRoom(stored(old.writeRoom(asOld))), room);
+  assert.deepEqual(readCapacity(stored(old.writeRoom(asOld))), room);
 });
 
 test("a roster record of production that is too large is divided, each machine being in one record at every moment; it is marked as complete only once nothing is missing", () => {
@@ -189,42 +204,49 @@
   ] as const) {
     const rng = new Rng(seed);
     const limits = { valueBytes: 2048, txnOps: 4 };
-    const machines = new Map<string, RosterEntry>(
+    const machines = new Map<string, RegistryEntry>(
       Array.from({ length: count }, (_, i) => [
         `n-${String(i).padStart(6, "0")}`,
-        { going: false, type: rng.pick(["stonerack", "faultglass"]) },
+        { isReturning: false, type: rng.pick(["stonerack", "faultglass"]) },
       ]),
     );
     const state = new Map([
       [
-        rosterKey("g", 0),
-        { value: stored(old.writeRoster(machines)), version: 1 },
+        registryKey("g", 0),
+        {
+          value: stored(old.writeRoster(productionRoster(machines))),
+          version: 1,
+        },
       ],
     ]);
-    assert.ok(bytesOf(old.writeRoster(machines)) > limits.valueBytes);
+    assert.ok(
+      bytesOf(old.writeRoster(productionRoster(machines))) > limits.valueBytes,
+    );
     let epoch = 1;
     const pending: (() => void)[] = [];
-    const mirror = {
-      rosters: new Map([
-        ["g", new Map([[0, readRoster(state.get(rosterKey("g", 0))!.value)!]])],
+    const cache = {
+      registries: new Map([
+        [
+          "g",
+          new Map([[0, readRegistry(state.get(registryKey("g", 0))!.value)!]]),
+        ],
       ]),
-      revisionOf: (key: string) => state.get(key)?.version ?? 0,
+      latestRevisionOf: (key: string) => state.get(key)?.version ?? 0,
     };
     const ctx = {
       nowMs: 0,
-      mirror,
+      cache,
       settings: { state: limits },
       log: () => {},
     };
     const everywhere = (): [string, boolean][] =>
       [...state.values()].flatMap((d) =>
-        [...readRoster(d.value)!.machines].map(([id, e]): [string, boolean] => [
-          id,
-          e.going,
-        ]),
+        [...readRegistry(d.value)!.machines].map(
+          ([id, e]): [string, boolean] => [id, e.isReturning],
+        ),
       );
     const allComplete = (): boolean =>
-      [...state.values()].every((d) => readRoster(d.value)!.complete);
+      [...state.values()].every((d) => readRegistry(d.value)!.complete);
     const commit = (
       conditions: Condition[],
       writes: Write[],
@@ -276,7 +298,12 @@
     let confirmed = false;
     /** Added before the records were confirmed. */
     const toBeListed = new Set<string>();
-    const r = new Roster(ctx as unknown as Context, "g", commit, () => {});
+    const r = new MachineRegistry(
+      ctx as unknown as Context,
+      "g",
+      commit,
+      () => {},
+    );
     r.flush();
     const marked = new Set<string>();
     for (let k = 0; k < 400; k++) {
@@ -288,7 +315,7 @@
           r.remove(id);
         } else if (!gone.has(id)) {
           marked.add(id);
-          r.set(id, { going: true, type: "stonerack" });
+          r.set(id, { isReturning: true, type: "stonerack" });
         }
       }
       if (k === 150) {
@@ -303,7 +330,7 @@
     const end = new Map(everywhere());
     for (const id of marked)
       if (!gone.has(id))
-        assert.ok(end.get(id) && r.goingWritten(id), `${id} is marked`);
+        assert.ok(end.get(id) && r.isReturnWritten(id), `${id} is marked`);
     for (const id of gone) assert.ok(!end.has(id) && !r.has(id));
   }
 });
@@ -319,10 +346,10 @@
         type: { cpus: 32 + k, gpus: 0, memGb: 64 },
         zone,
         spot: false,
-        kind: `${typeName}/${zone}`,
+        offerKey: `${typeName}/${zone}`,
         free: null,
         tasks: new Map(),
-        strays: new Map(),
+        unconfirmedTasks: new Map(),
       })),
     ),
   );
@@ -330,14 +357,14 @@
     ["zone-a", "zone-b"].map((z) => `${t}/${z}/spot`),
   );
   const own = {
-    group: "g",
+    partition: "g",
     usableWorkers: () => ({ usable: workers, reserved: new Set<string>() }),
-    isHeld: () => false,
+    isReservedForOther: () => false,
     jobs: new Map(),
-    runningOf: () => 0,
-    queue: () => ({ plain: 0, accelerated: 0 }),
+    runningTasksOf: () => 0,
+    backlog: () => ({ plain: 0, accelerated: 0 }),
   };
-  const renting = {
+  const scaleOut = {
     soldOut: () => [...offers],
     left: () => new Map(offers.map((o) => [o, 3])),
   };
@@ -353,32 +380,32 @@
       teams: new Map(),
     }),
   };
-  const room = new Room(
+  const room = new CapacityReport(
     {
       nowMs: 0,
-      mirror: { jobs: new Map() },
+      cache: { jobs: new Map() },
       settings: { state: limits },
     } as unknown as Context,
-    own as unknown as GroupState,
-    sharing as unknown as Sharing,
-    renting as unknown as Renting,
+    own as unknown as PartitionState,
+    sharing as unknown as QuotaAllocator,
+    scaleOut as unknown as ScaleOut,
   );
   const record = room.fitted();
   assert.ok(
-    bytesOf(writeRoom(record)) <= limits.valueBytes,
-    `${bytesOf(writeRoom(record))}`,
+    bytesOf(writeCapacity(record)) <= limits.valueBytes,
+    `${bytesOf(writeCapacity(record))}`,
   );
   assert.ok(
     record.rows.length > 10 && record.rows.every((r) => r.machines >= 5),
     "the rows of the most machines",
   );
   assert.equal(
-    room.now().rows.length,
+    room.current().rows.length,
     48,
     "the group itself goes by all of it",
   );
   const { teams: _, cut: __, queueFrom: ___, ...asOld } = record;
-  assert.deepEqual(old.readRoom(stored(writeRoom(record))), asOld);
+  assert.deepEqual(old.readRoom(stored(writeCapacity(record))), asOld);
 });
 
 test("written room fits a value to the byte, with what gives way on as many rows as there are", () => {
@@ -387,8 +414,8 @@
     const run = {
       job: {
         view: {
-          urgency: "best_effort",
-          spec: { shape: "batch", tasks: 9, cpus: 2, gpus: 0, memGb: 1 },
+          priority: "best_effort",
+          spec: { kind: "array", tasks: 9, cpus: 2, gpus: 0, memGb: 1 },
         },
       },
       phase: "running",
@@ -399,66 +426,69 @@
       type: { cpus: 32, gpus: 0, memGb: 64 },
       zone: "east",
       spot: false,
-      kind: `t${i}/east`,
+      offerKey: `t${i}/east`,
       free: null,
       tasks: new Map([["a", run]]),
-      strays: new Map(),
+      unconfirmedTasks: new Map(),
     }));
     const jobs = new Map(
-      ["normal", "best_effort"].map((urgency, i) => [`req-${i}`, { urgency }]),
+      ["normal", "best_effort"].map((priority, i) => [
+        `req-${i}`,
+        { priority: priority },
+      ]),
     );
     const own = {
-      group: "g",
+      partition: "g",
       usableWorkers: () => ({ usable: workers, reserved: new Set<string>() }),
-      isHeld: () => false,
+      isReservedForOther: () => false,
       jobs: new Map(),
-      runningOf: () => 0,
+      runningTasksOf: () => 0,
     };
     const sharing = {
       headroom: () => new Map(),
       rows: () => ({ wants: new Map(), teams: new Map() }),
     };
-    const renting = { soldOut: () => [], left: () => new Map() };
-    const room = new Room(
+    const scaleOut = { soldOut: () => [], left: () => new Map() };
+    const room = new CapacityReport(
       {
         nowMs: 5_000,
-        mirror: { jobs },
+        cache: { jobs },
         settings: { state: limits },
       } as unknown as Context,
-      own as unknown as GroupState,
-      sharing as unknown as Sharing,
-      renting as unknown as Renting,
+      own as unknown as PartitionState,
+      sharing as unknown as QuotaAllocator,
+      scaleOut as unknown as ScaleOut,
     );
     const record = room.fitted();
-    const bytes = bytesOf(writeRoom(record));
+    const bytes = bytesOf(writeCapacity(record));
     // The list of what gives way was counted without its own name: up to 7 bytes too many for each row.
     assert.ok(
       bytes <= limits.valueBytes && bytes > limits.valueBytes - 60,
       `${bytes} of ${limits.valueBytes}`,
     );
-    const n = record.rows.filter((r) => r.yields !== undefined).length;
+    const n = record.rows.filter((r) => r.reclaimable !== undefined).length;
     assert.ok(n > 0 && n < 24, `${n} rows say what gives way`);
   }
 });
 
 /** A day that begins with production's version and data; waiting jobs come once all controllers are new. */
-function upgradeDay(seed: number, withTroubles: boolean): World {
+function upgradeDay(seed: number, withFaults: boolean): World {
   const w = new World(seed, undefined, ["node-a", "node-b", "node-c"]);
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  users(w, 150_000);
+  submitWorkload(w, 150_000);
   w.rollout(30_000, 12_000);
   const afterRollout = 75_000;
   w.at(w.rng.real(afterRollout, 110_000), () => (w.limitsFell = true));
   pipelines(w, afterRollout, 170_000);
-  if (withTroubles) troubles(w, 190_000);
-  w.run(withTroubles ? 250_000 : 330_000);
+  if (withFaults) injectFaults(w, 190_000);
+  w.run(withFaults ? 250_000 : 330_000);
   return w;
 }
 const report = (w: World, seed: number): string =>
   `seed ${seed}: ${w.checker.broken.join("; ")}\n${w.logs.slice(-30).join("\n")}`;
 const stages = (w: World, status: string): string[] =>
   [...w.checker.told]
-    .filter(([id, s]) => s === status && w.awaits.has(id))
+    .filter(([id, s]) => s === status && w.dependsOn.has(id))
     .map(([id]) => id);
 
 test("a quiet upgrade keeps the rules, and every line of jobs comes to its end", () => {
@@ -469,7 +499,7 @@
     assert.deepEqual(
       open,
       [],
-      `seed ${seed}: ${open.map((id) => `${id} needs ${w.awaits.get(id)!.join()}`).join("; ")}\n${w.logs.slice(-20).join("\n")}`,
+      `seed ${seed}: ${open.map((id) => `${id} needs ${w.dependsOn.get(id)!.join()}`).join("; ")}\n${w.logs.slice(-20).join("\n")}`,
     );
     assert.ok(
       stages(w, "done").length > 20 && stages(w, "cancelled").length > 3,
@@ -488,13 +518,13 @@
  * A day on which a roster commit of production, which is conditional on its token alone, is carried out 15 s late, after newer ones: the
  * machines that these named are off the list, and the present version, taking the group, does not wait for them.
  */
-const LATE_ROSTER = 730;
+const LATE_REGISTRY = 730;
 
 test("upgrades full of troubles keep the rules: kills during them, old data, lowered limits, cancelled lines", () => {
   let done = 0;
   for (let seed = 720; seed < 740; seed++) {
     // A test of its own, below.
-    if (seed === LATE_ROSTER) continue;
+    if (seed === LATE_REGISTRY) continue;
     const w = upgradeDay(seed, true);
     assert.deepEqual(w.checker.broken, [], report(w, seed));
     done += stages(w, "done").length;
@@ -503,15 +533,15 @@
 });
 
 test("an upgrade on which production's roster is put back by a late commit of its own: what runs is not started twice", () => {
-  const w = upgradeDay(LATE_ROSTER, true);
-  assert.deepEqual(w.checker.broken, [], report(w, LATE_ROSTER));
+  const w = upgradeDay(LATE_REGISTRY, true);
+  assert.deepEqual(w.checker.broken, [], report(w, LATE_REGISTRY));
 });
 
 /**
  * A master of production lists two machines; its first roster commit, which names one of them, is carried out after that. It is replaced
  * by one of the present version while the other machine, with tasks on it, can't be reached for some seconds.
  */
-function rosterPutBack(): World {
+function registryPutBack(): World {
   const world = new World(3, undefined, ["node-a"], 2);
   world.loss = 0;
   world.runFactor = 20;
@@ -521,22 +551,22 @@
   world.at(3_000, () => {
     second = world.cloud.add(world.types[0]!, "east", false, 0);
   });
-  let rosterCommits = 0;
+  let registryCommits = 0;
   world.commitFate = (name, commit) => {
-    const isRoster = commit.writes.some(
-      (w) => w.key === rosterKey("node-a", 0) && name === "node-a",
+    const isRegistry = commit.writes.some(
+      (w) => w.key === registryKey("node-a", 0) && name === "node-a",
     );
-    if (!isRoster || ++rosterCommits > 1) return undefined;
+    if (!isRegistry || ++registryCommits > 1) return undefined;
     return { beforeMs: 12_000, answered: false };
   };
   world.at(5_000, () => {
     const spec: JobSpec = {
       ...randomJob(world, 1),
-      shape: "batch",
+      kind: "array",
       tasks: 8,
       cpus: 2,
       gpus: 0,
-      types: null,
+      machineTypes: null,
       zone: "east",
       samePlace: false,
       spread: false,
@@ -545,20 +575,20 @@
     world.specs.set(spec.id, spec);
     world.ask(
       "node-a",
-      (req) => ({ is: "submit", req, spec }),
+      (req) => ({ type: "submit", req, spec }),
       () => {},
     );
   });
   world.at(14_000, () => {
     assert.ok(second.tasks.size > 0, "tasks run on the second machine");
-    const roster = world.state.data.get(rosterKey("node-a", 0));
+    const registry = world.state.data.get(registryKey("node-a", 0));
     assert.deepEqual(
-      [...readRoster(roster!.value)!.machines.keys()],
+      [...readRegistry(registry!.value)!.machines.keys()],
       [first.id],
       "the list is put back",
     );
     for (const name of world.names) second.cut.add(name);
-    world.old.delete("node-a");
+    world.production.delete("node-a");
     world.crash("node-a");
     world.at(300, () => world.boot("node-a"));
     // Room for what runs on the machine out of reach.
@@ -570,21 +600,25 @@
 }
 
 test("a roster of production that is put back does not make its successor start what runs on a machine that it lacks", () => {
-  const world = rosterPutBack();
+  const world = registryPutBack();
   assert.deepEqual(world.checker.broken, [], report(world, 3));
 });
 
 test("guard: a new master also waits for machines that a roster written by production may lack", () => {
-  expectGuardNeeded(rosterPutBack, [0], "ran_twice", () => {
+  expectGuardNeeded(registryPutBack, [0], "ran_twice", () => {
     const before = Object.getOwnPropertyDescriptor(
-      Roster.prototype,
+      MachineRegistry.prototype,
       "mayLackMachines",
     )!;
-    Object.defineProperty(Roster.prototype, "mayLackMachines", {
+    Object.defineProperty(MachineRegistry.prototype, "mayLackMachines", {
       get: () => false,
       configurable: true,
     });
     return () =>
-      Object.defineProperty(Roster.prototype, "mayLackMachines", before);
+      Object.defineProperty(
+        MachineRegistry.prototype,
+        "mayLackMachines",
+        before,
+      );
   });
 });
