--- a/src/cli.ts
+++ b/src/cli/cli.ts
@@ -1,9 +1,13 @@
 import { readFileSync } from "node:fs";
 import { Command, CommanderError, InvalidArgumentError } from "commander";
-import { DEFAULTS, type Operator, parseOperator } from "./config/operator.js";
-import { parseSettings, SettingsError } from "./config/settings.js";
-import { JOB_ID, parseJob } from "./protocol/jobs.js";
-import { HttpClient, parseJson, type Method } from "./transport/client.js";
+import { DEFAULTS, type Operator, parseOperator } from "../config/operator.js";
+import { parseSettings, SettingsError } from "../config/settings.js";
+import { JOB_ID, parseJob } from "../protocol/jobs.js";
+import {
+  HttpClient,
+  parseJson,
+  type Method,
+} from "../transport/http-client.js";
 
 /** A refusal or an unreachable service: exit 1. */
 class RequestRefusedError extends Error {}
@@ -259,10 +263,10 @@
           "error: --config FILE or a command expected; see --help",
         );
       const { settings, operator } = await loadSettings(o.config, o.operator);
-      const { Daemon } = await import("./daemon.js");
+      const { Daemon } = await import("../daemon/daemon.js");
       const daemon = new Daemon(settings, operator.tuning);
       if (operator.hooks || operator.metrics) {
-        const { turnOn } = await import("./extras.js");
+        const { turnOn } = await import("../daemon/extensions.js");
         await turnOn(daemon, settings, operator, o.operator!, VERSION);
       }
       await daemon.run();
@@ -313,7 +317,7 @@
           operator: { tuning, hooks: webhooks, metrics },
         } = await loadSettings(config, operator);
         if (webhooks)
-          (await import("./hooks/index.js")).checkWebhookSettings(
+          (await import("../webhooks/index.js")).checkWebhookSettings(
             webhooks,
             operator!,
           );
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -7,9 +7,9 @@
   CommandReply,
   CallPriority,
 } from "./effects.js";
-import type { PartitionMap } from "./groups.js";
-import type { PendingAssignment } from "./splitter.js";
-import type { StoreCache } from "./mirror.js";
+import type { PartitionMap } from "./leadership/partition-map.js";
+import type { PendingAssignment } from "./jobs/job-partitioner.js";
+import type { StoreCache } from "./store/store-cache.js";
 import type {
   JobSpec,
   MachineType,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -8,7 +8,7 @@
   type Write,
 } from "../protocol/state.js";
 import { bytesOf, parseKey, FINAL_PREFIX } from "../storage/records.js";
-import { DependencyTracker } from "./awaiting.js";
+import { DependencyTracker } from "./jobs/dependency-tracker.js";
 import type { TransactionOutcome, Context } from "./context.js";
 import {
   type Answer,
@@ -20,11 +20,11 @@
   type Input,
   CallPriority,
 } from "./effects.js";
-import { PartitionMap } from "./groups.js";
-import { NO_USE } from "./ledger.js";
-import { ObservedLimits, type ResourceAmounts } from "./limits/index.js";
-import { PartitionLeader } from "./master.js";
-import { StoreCache, type StoreEvent } from "./mirror.js";
+import { PartitionMap } from "./leadership/partition-map.js";
+import { NO_USE } from "./machines/resource-ledger.js";
+import { ObservedLimits, type ResourceAmounts } from "./quota/index.js";
+import { PartitionLeader } from "./scheduling/partition-leader.js";
+import { StoreCache, type StoreEvent } from "./store/store-cache.js";
 import type {
   JobSpec,
   MachineType,
@@ -32,20 +32,20 @@
   Heartbeat,
   Tuning,
 } from "./model.js";
-import { OrphanedTasks } from "./orphans.js";
-import { Leadership } from "./ownership.js";
-import { maxRedirects, Redirects } from "./redirects.js";
-import { StoreWatcher } from "./state-reader.js";
+import { OrphanedTasks } from "./leadership/orphaned-tasks.js";
+import { Leadership } from "./leadership/leadership.js";
+import { maxRedirects, Redirects } from "./machines/redirects.js";
+import { StoreWatcher } from "./store/store-watcher.js";
 import {
   type LogEvent,
   type LogEventFields,
   logEntry,
 } from "../logging/events.js";
-import { RateLimitedLog } from "./rate-limited-log.js";
-import type { PendingAssignment } from "./splitter.js";
-import { IndeterminateTransactions } from "./unanswered-commits.js";
-import { JobRequests, MAX_CANCEL_ATTEMPTS } from "./users.js";
-import { LeaderlessPartitions } from "./unowned-groups.js";
+import { RateLimitedLog } from "../logging/rate-limited-log.js";
+import type { PendingAssignment } from "./jobs/job-partitioner.js";
+import { IndeterminateTransactions } from "./store/indeterminate-transactions.js";
+import { JobRequests, MAX_CANCEL_ATTEMPTS } from "./jobs/job-requests.js";
+import { LeaderlessPartitions } from "./leadership/leaderless-partitions.js";
 
 /** Who waits for the end of a call, which comes once. */
 function ended<F>(ops: Map<number, F>, op: number): F | undefined {
--- a/src/coordination/awaiting.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -4,15 +4,15 @@
   type JobRecord,
   type FinalRecord,
   writeJob,
-} from "../storage/records.js";
-import type { Condition, Write } from "../protocol/state.js";
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
-import { finalRecordOf } from "./finishing.js";
-import { type JobView, ownDueAt } from "./mirror.js";
-import { type JobSpec, PRIORITIES } from "./model.js";
-import type { RangeSet } from "./ranges.js";
-import { turnOf } from "./splitter.js";
+} from "../../storage/records.js";
+import type { Condition, Write } from "../../protocol/state.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import { finalRecordOf } from "./job-completion.js";
+import { type JobView, ownDueAt } from "../store/store-cache.js";
+import { type JobSpec, PRIORITIES } from "../model.js";
+import type { RangeSet } from "./range-set.js";
+import { turnOf } from "./job-partitioner.js";
 
 /** Whoever comes next for a job acts this much later than the one before. */
 const TURN_INTERVAL_MS = 1_000;
--- a/src/coordination/finishing.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -6,12 +6,12 @@
   jobKey,
   type FinalRecord,
   writeCompletion,
-} from "../storage/records.js";
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
-import type { PartitionState } from "./group-state.js";
-import type { JobSpec } from "./model.js";
-import type { JobRun } from "./tasks.js";
+} from "../../storage/records.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
+import type { JobSpec } from "../model.js";
+import type { JobRun } from "../machines/worker-state.js";
 
 /** What a group has finished of a job is written at most this often, until its part is complete. */
 const COMPLETION_WRITE_INTERVAL_MS = 1_500;
--- a/src/coordination/splitter.ts
+++ b/src/coordination/jobs/job-partitioner.ts
@@ -1,6 +1,6 @@
-import type { CapacityRecord, CapacityRow } from "../storage/records.js";
-import type { PartitionMap } from "./groups.js";
-import { type JobSpec, type MachineType, PRIORITIES } from "./model.js";
+import type { CapacityRecord, CapacityRow } from "../../storage/records.js";
+import type { PartitionMap } from "../leadership/partition-map.js";
+import { type JobSpec, type MachineType, PRIORITIES } from "../model.js";
 import {
   isAllowedOn,
   canRunOn,
@@ -9,8 +9,8 @@
   offerKey,
   isSuitable,
   maxTasksPerZone,
-} from "./placement.js";
-import { RangeSet } from "./ranges.js";
+} from "../scheduling/placement.js";
+import { RangeSet } from "./range-set.js";
 
 /** How a job is cut over the groups: by the room that each group last wrote (Pigeon's suggestion, section 2.2). */
 
--- a/src/coordination/users.ts
+++ b/src/coordination/jobs/job-requests.ts
@@ -1,4 +1,4 @@
-import type { StateCall, StateReply, Write } from "../protocol/state.js";
+import type { StateCall, StateReply, Write } from "../../protocol/state.js";
 import {
   bytesOf,
   endWrites,
@@ -8,20 +8,20 @@
   type FinalRecord,
   writeJob,
   writeFinal,
-} from "../storage/records.js";
-import type { DependencyTracker } from "./awaiting.js";
-import type { Context } from "./context.js";
-import { type Answer, CallPriority } from "./effects.js";
-import { finalRecordOf } from "./finishing.js";
-import { FinalStatusReader } from "./lookups.js";
-import type { PartitionLeader } from "./master.js";
-import type { JobSpec } from "./model.js";
-import type { Leadership } from "./ownership.js";
-import { EPSILON } from "./placement.js";
-import { isShort } from "./queues.js";
-import { RangeSet } from "./ranges.js";
-import type { StoreWatcher } from "./state-reader.js";
-import { capablePartitions, partitionJob } from "./splitter.js";
+} from "../../storage/records.js";
+import type { DependencyTracker } from "./dependency-tracker.js";
+import type { Context } from "../context.js";
+import { type Answer, CallPriority } from "../effects.js";
+import { finalRecordOf } from "./job-completion.js";
+import { FinalStatusReader } from "../store/final-status-reader.js";
+import type { PartitionLeader } from "../scheduling/partition-leader.js";
+import type { JobSpec } from "../model.js";
+import type { Leadership } from "../leadership/leadership.js";
+import { EPSILON } from "../scheduling/placement.js";
+import { isShort } from "../scheduling/scheduling-round.js";
+import { RangeSet } from "./range-set.js";
+import type { StoreWatcher } from "../store/store-watcher.js";
+import { capablePartitions, partitionJob } from "./job-partitioner.js";
 
 export const MAX_CANCEL_ATTEMPTS = 4;
 /** A copy read within this time tells a new job's user of every cancellation that was told cancel_s ago. */
--- a/src/coordination/unowned-groups.ts
+++ b/src/coordination/leadership/leaderless-partitions.ts
@@ -1,6 +1,10 @@
-import { type Context, CLOCK_DRIFT_FACTOR, STALE_CACHE_MS } from "./context.js";
-import type { Leadership } from "./ownership.js";
-import { turnOf } from "./splitter.js";
+import {
+  type Context,
+  CLOCK_DRIFT_FACTOR,
+  STALE_CACHE_MS,
+} from "../context.js";
+import type { Leadership } from "./leadership.js";
+import { turnOf } from "../jobs/job-partitioner.js";
 
 const LEASE_SLACK_MS = 2_000;
 /** Nobody's for so long before it is taken: a controller that goes by other settings may be about to. */
--- a/src/coordination/ownership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -1,7 +1,7 @@
-import type { Settings } from "../config/settings.js";
-import { leadershipBidKey, partitionKey } from "../storage/records.js";
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
+import type { Settings } from "../../config/settings.js";
+import { leadershipBidKey, partitionKey } from "../../storage/records.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
 
 /** Time left, of cancel_s, for a lease that ends after the permit and for clocks that differ. */
 const CANCEL_MARGIN_MS = 2_000;
--- a/src/coordination/orphans.ts
+++ b/src/coordination/leadership/orphaned-tasks.ts
@@ -1,11 +1,16 @@
-import { bytesOf, partitionKey, jobKey, writeJob } from "../storage/records.js";
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
-import type { JobView } from "./mirror.js";
-import type { JobSpec } from "./model.js";
-import type { RangeSet } from "./ranges.js";
-import { reassigned } from "./splitter.js";
-import type { LeaderlessPartitions } from "./unowned-groups.js";
+import {
+  bytesOf,
+  partitionKey,
+  jobKey,
+  writeJob,
+} from "../../storage/records.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import type { JobView } from "../store/store-cache.js";
+import type { JobSpec } from "../model.js";
+import type { RangeSet } from "../jobs/range-set.js";
+import { reassigned } from "../jobs/job-partitioner.js";
+import type { LeaderlessPartitions } from "./leaderless-partitions.js";
 
 const CHECK_INTERVAL_MS = 5_000;
 
--- a/src/coordination/groups.ts
+++ b/src/coordination/leadership/partition-map.ts
@@ -1,4 +1,4 @@
-import type { Settings } from "../config/settings.js";
+import type { Settings } from "../../config/settings.js";
 
 /**
  * Which group a zone belongs to: a pure function of settings and zone, the same on every controller, so that
--- a/src/coordination/handover.ts
+++ b/src/coordination/leadership/pending-transfer.ts
@@ -1,4 +1,4 @@
-import type { TransactionOutcome } from "./context.js";
+import type { TransactionOutcome } from "../context.js";
 
 /**
  * A change of a shared record by which this group gives something away: waiting tasks, or part of a team's limit. What
--- a/src/coordination/receipt.ts
+++ b/src/coordination/machines/delivery-tracker.ts
@@ -1,6 +1,6 @@
-import type { Context } from "./context.js";
-import type { Heartbeat } from "./model.js";
-import type { DeliveryState, Worker } from "./tasks.js";
+import type { Context } from "../context.js";
+import type { Heartbeat } from "../model.js";
+import type { DeliveryState, Worker } from "./worker-state.js";
 
 /** Reports in a row that contradict receipt before a machine gets nothing new; one answer may be lost on any network. */
 const MAX_MISSED = 2;
--- a/src/coordination/failures.ts
+++ b/src/coordination/machines/failure-tracker.ts
@@ -1,7 +1,7 @@
-import type { Context } from "./context.js";
-import type { PartitionState } from "./group-state.js";
-import { taskKey } from "./model.js";
-import type { JobRun, TaskRun, Worker } from "./tasks.js";
+import type { Context } from "../context.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
+import { taskKey } from "../model.js";
+import type { JobRun, TaskRun, Worker } from "./worker-state.js";
 
 /** Failures of one job within this time are of one try: a gang's tasks fail together. */
 const ONE_TRY_MS = 5_000;
--- a/src/coordination/roster.ts
+++ b/src/coordination/machines/machine-registry.ts
@@ -4,9 +4,9 @@
   type RegistryRecord,
   registryKey,
   writeRegistry,
-} from "../storage/records.js";
-import type { Condition, Write } from "../protocol/state.js";
-import type { TransactionOutcome, Context } from "./context.js";
+} from "../../storage/records.js";
+import type { Condition, Write } from "../../protocol/state.js";
+import type { TransactionOutcome, Context } from "../context.js";
 
 /** Left free in each record, for what a mark or another machine type adds. */
 const SLACK_BYTES = 100;
--- a/src/coordination/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -1,16 +1,16 @@
-import type { Context } from "./context.js";
-import type { FailureTracker } from "./failures.js";
-import type { JobCompletion } from "./finishing.js";
-import type { PartitionState } from "./group-state.js";
-import { type ExitCause, type ReportedTask, taskKey } from "./model.js";
-import { isAllowedOn } from "./placement.js";
-import type { DeliveryTracker } from "./receipt.js";
+import type { Context } from "../context.js";
+import type { FailureTracker } from "./failure-tracker.js";
+import type { JobCompletion } from "../jobs/job-completion.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
+import { type ExitCause, type ReportedTask, taskKey } from "../model.js";
+import { isAllowedOn } from "../scheduling/placement.js";
+import type { DeliveryTracker } from "./delivery-tracker.js";
 import {
   attemptKey,
   type UnconfirmedTask,
   type TaskRun,
   type Worker,
-} from "./tasks.js";
+} from "./worker-state.js";
 
 /** A machine that refused a task for want of room, or a job that is not known there, is left alone for so long. */
 const REFUSED_PAUSE_MS = 2_000;
--- a/src/coordination/ledger.ts
+++ b/src/coordination/machines/resource-ledger.ts
@@ -3,7 +3,7 @@
   attemptKey,
   type TaskRun,
   type Worker,
-} from "./tasks.js";
+} from "./worker-state.js";
 
 export interface ResourceUse {
   cpus: number;
--- a/src/coordination/fleet.ts
+++ b/src/coordination/machines/scale-in.ts
@@ -1,11 +1,11 @@
-import { type Context, CLOCK_DRIFT_FACTOR } from "./context.js";
-import { CallPriority } from "./effects.js";
-import type { PartitionState } from "./group-state.js";
-import type { JobSpec, ListedMachine, MachineType } from "./model.js";
-import { isAllowedOn, fits, isSuitable } from "./placement.js";
-import { ScaleOut } from "./renting.js";
-import type { QuotaAllocator } from "./limits/index.js";
-import { saveTimeS, type Worker } from "./tasks.js";
+import { type Context, CLOCK_DRIFT_FACTOR } from "../context.js";
+import { CallPriority } from "../effects.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
+import type { JobSpec, ListedMachine, MachineType } from "../model.js";
+import { isAllowedOn, fits, isSuitable } from "../scheduling/placement.js";
+import { ScaleOut } from "./scale-out.js";
+import type { QuotaAllocator } from "../quota/index.js";
+import { saveTimeS, type Worker } from "./worker-state.js";
 
 /** The window over which the most machines in use are remembered is cut into so many periods. */
 const PEAK_PERIODS = 6;
--- a/src/coordination/renting.ts
+++ b/src/coordination/machines/scale-out.ts
@@ -1,12 +1,12 @@
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
-import type { PartitionState } from "./group-state.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
 import type {
   JobSpec,
   MachineType,
   EffectivePriority,
   Tuning,
-} from "./model.js";
+} from "../model.js";
 import {
   isAllowedOn,
   type Resources,
@@ -19,11 +19,11 @@
   requestKeyOf,
   isSuitable,
   maxTasksPerZone,
-} from "./placement.js";
-import { isShort } from "./queues.js";
-import type { QuotaAllocator } from "./limits/index.js";
-import { backlogKindOf } from "./splitter.js";
-import { freeOn, type JobRun, subtract } from "./tasks.js";
+} from "../scheduling/placement.js";
+import { isShort } from "../scheduling/scheduling-round.js";
+import type { QuotaAllocator } from "../quota/index.js";
+import { backlogKindOf } from "../jobs/job-partitioner.js";
+import { freeOn, type JobRun, subtract } from "./worker-state.js";
 
 /** What the cloud has: machines of a type in a zone, spot or ordinary. */
 interface CapacityOffer {
--- a/src/coordination/tasks.ts
+++ b/src/coordination/machines/worker-state.ts
@@ -1,8 +1,8 @@
-import type { PendingTransfer } from "./handover.js";
-import type { JobView } from "./mirror.js";
-import type { ExitCause, MachineType, TaskState } from "./model.js";
-import type { Resources } from "./placement.js";
-import { RangeSet } from "./ranges.js";
+import type { PendingTransfer } from "../leadership/pending-transfer.js";
+import type { JobView } from "../store/store-cache.js";
+import type { ExitCause, MachineType, TaskState } from "../model.js";
+import type { Resources } from "../scheduling/placement.js";
+import { RangeSet } from "../jobs/range-set.js";
 
 /** One task on one machine, from the start order until the machine is known not to have it any more. */
 export interface TaskRun {
--- a/src/coordination/limits/reclaims.ts
+++ b/src/coordination/quota/guarantee-reclaims.ts
@@ -6,11 +6,11 @@
 } from "../../storage/records.js";
 import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
-import type { PartitionState } from "../group-state.js";
-import { NO_USE } from "../ledger.js";
-import { EPSILON } from "../placement.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
+import { NO_USE } from "../machines/resource-ledger.js";
+import { EPSILON } from "../scheduling/placement.js";
 import type { Guarantees } from "./guarantees.js";
-import { DIMENSIONS, type ResourceAmounts } from "./shares.js";
+import { DIMENSIONS, type ResourceAmounts } from "./quota-records.js";
 
 /** Until what is stopped for a claim is gone and what it was stopped for is published as started. */
 const CLAIM_TTL_S = 6;
--- a/src/coordination/limits/shortfall.ts
+++ b/src/coordination/quota/guarantee-shortfall-log.ts
@@ -1,11 +1,11 @@
 import type { Context } from "../context.js";
-import type { PartitionState } from "../group-state.js";
-import { NO_USE } from "../ledger.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
+import { NO_USE } from "../machines/resource-ledger.js";
 import type { JobSpec } from "../model.js";
-import { EPSILON } from "../placement.js";
+import { EPSILON } from "../scheduling/placement.js";
 import { type Guarantees, guaranteeOf } from "./guarantees.js";
-import type { GuaranteeReclaims } from "./reclaims.js";
-import type { QuotaAllocator } from "./sharing.js";
+import type { GuaranteeReclaims } from "./guarantee-reclaims.js";
+import type { QuotaAllocator } from "./quota-allocator.js";
 
 /** Work within a guarantee that waits for longer than this is spoken of, and no more often than that for each team. */
 const LOG_AFTER_MS = 10_000;
--- a/src/coordination/limits/guarantees.ts
+++ b/src/coordination/quota/guarantees.ts
@@ -1,9 +1,9 @@
 import type { Team } from "../../config/settings.js";
 import { type Context, STALE_CACHE_MS } from "../context.js";
-import type { PartitionState } from "../group-state.js";
-import type { ResourceUse } from "../ledger.js";
-import { EPSILON } from "../placement.js";
-import { DIMENSIONS, entryOf, type ResourceAmounts } from "./shares.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
+import type { ResourceUse } from "../machines/resource-ledger.js";
+import { EPSILON } from "../scheduling/placement.js";
+import { DIMENSIONS, entryOf, type ResourceAmounts } from "./quota-records.js";
 
 /** What is guaranteed, where anything is: a dimension without a guarantee does not count where the other has one. */
 export function guaranteeOf(t: Team): ResourceAmounts | null {
--- a/src/coordination/limits/sharing.ts
+++ b/src/coordination/quota/quota-allocator.ts
@@ -8,17 +8,17 @@
 } from "../../storage/records.js";
 import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
-import { PendingTransfer } from "../handover.js";
-import type { PartitionState } from "../group-state.js";
-import type { ResourceUse } from "../ledger.js";
+import { PendingTransfer } from "../leadership/pending-transfer.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
+import type { ResourceUse } from "../machines/resource-ledger.js";
 import type { JobSpec } from "../model.js";
-import { EPSILON } from "../placement.js";
-import { QuotaDemand } from "./demand.js";
+import { EPSILON } from "../scheduling/placement.js";
+import { QuotaDemand } from "./quota-demand.js";
 import {
   type PartitionDemand,
   planQuotas,
   type QuotaSituation,
-} from "./plan.js";
+} from "./quota-plan.js";
 import {
   CAPS_NAME,
   DIMENSIONS,
@@ -28,7 +28,7 @@
   limitOf,
   mayUse,
   type ResourceAmounts,
-} from "./shares.js";
+} from "./quota-records.js";
 
 /** Parts are given no more often than this: what comes together goes together. */
 const TRANSFER_INTERVAL_MS = 600;
--- a/src/coordination/limits/demand.ts
+++ b/src/coordination/quota/quota-demand.ts
@@ -1,5 +1,5 @@
 import type { Context } from "../context.js";
-import type { PartitionState } from "../group-state.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
 import type { JobSpec } from "../model.js";
 import {
   isAllowedOn,
@@ -7,10 +7,10 @@
   fitCount,
   startsWhole,
   isSuitable,
-} from "../placement.js";
-import { isShort, turnAt } from "../queues.js";
-import { freeOn, type JobRun } from "../tasks.js";
-import type { ResourceAmounts } from "./shares.js";
+} from "../scheduling/placement.js";
+import { isShort, turnAt } from "../scheduling/scheduling-round.js";
+import { freeOn, type JobRun } from "../machines/worker-state.js";
+import type { ResourceAmounts } from "./quota-records.js";
 
 /** Tasks of one job that wait for a part of a limit. */
 interface WaitingTasks {
--- a/src/coordination/limits/plan.ts
+++ b/src/coordination/quota/quota-plan.ts
@@ -1,6 +1,6 @@
 import type { Team } from "../../config/settings.js";
 import type { Shares } from "../../storage/records.js";
-import { EPSILON } from "../placement.js";
+import { EPSILON } from "../scheduling/placement.js";
 import {
   DIMENSIONS,
   type QuotaEntry,
@@ -14,7 +14,7 @@
   type ResourceAmounts,
   SLACK,
   withEntries,
-} from "./shares.js";
+} from "./quota-records.js";
 
 /** What a group's waiting tasks of a team want beyond its part of the limit. */
 export interface PartitionDemand {
--- a/src/coordination/limits/shares.ts
+++ b/src/coordination/quota/quota-records.ts
@@ -5,7 +5,7 @@
   QUOTA_KEY,
   type Shares,
 } from "../../storage/records.js";
-import { EPSILON } from "../placement.js";
+import { EPSILON } from "../scheduling/placement.js";
 
 /**
  * The records of the teams' limits, as a pure matter of values. For each team a record holds the parts of its limit
--- a/src/coordination/backlog.ts
+++ b/src/coordination/scheduling/backlog.ts
@@ -1,7 +1,7 @@
-import type { ResourceUse } from "./ledger.js";
+import type { ResourceUse } from "../machines/resource-ledger.js";
 import { fitWithinLimit, startsWhole } from "./placement.js";
-import { backlogKindOf } from "./splitter.js";
-import type { JobRun } from "./tasks.js";
+import { backlogKindOf } from "../jobs/job-partitioner.js";
+import type { JobRun } from "../machines/worker-state.js";
 
 /** Waiting tasks, by the kind of machine that they need. */
 export interface Backlog {
--- a/src/coordination/room.ts
+++ b/src/coordination/scheduling/capacity-report.ts
@@ -7,17 +7,20 @@
   type CapacityRow,
   tenth,
   writeCapacity,
-} from "../storage/records.js";
+} from "../../storage/records.js";
 import { backlogOf } from "./backlog.js";
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
-import type { PartitionState } from "./group-state.js";
-import { type JobSpec, PRIORITIES } from "./model.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import type { PartitionState } from "./partition-state.js";
+import { type JobSpec, PRIORITIES } from "../model.js";
 import { EPSILON } from "./placement.js";
-import type { ScaleOut } from "./renting.js";
-import type { QuotaAllocator } from "./limits/index.js";
-import { type PendingAssignment, backlogKindOf } from "./splitter.js";
-import { freeOn, type Worker } from "./tasks.js";
+import type { ScaleOut } from "../machines/scale-out.js";
+import type { QuotaAllocator } from "../quota/index.js";
+import {
+  type PendingAssignment,
+  backlogKindOf,
+} from "../jobs/job-partitioner.js";
+import { freeOn, type Worker } from "../machines/worker-state.js";
 
 /** Which urgencies there are is looked at this often. */
 const LEVELS_REFRESH_MS = 2_000;
--- a/src/coordination/gathering.ts
+++ b/src/coordination/scheduling/gang-assembly.ts
@@ -1,7 +1,7 @@
-import type { Context } from "./context.js";
-import type { PartitionState } from "./group-state.js";
-import type { QuotaAllocator } from "./limits/index.js";
-import type { JobSpec } from "./model.js";
+import type { Context } from "../context.js";
+import type { PartitionState } from "./partition-state.js";
+import type { QuotaAllocator } from "../quota/index.js";
+import type { JobSpec } from "../model.js";
 import {
   isAllowedOn,
   fitCount,
@@ -9,14 +9,14 @@
   requestKeyOf,
   isSuitable,
 } from "./placement.js";
-import type { Precedence } from "./queues.js";
+import type { Precedence } from "./scheduling-round.js";
 import {
   freeOn,
   type JobRun,
   subtract,
   type TaskRun,
   type Worker,
-} from "./tasks.js";
+} from "../machines/worker-state.js";
 
 /** Looked at no more often than this: it reads all running tasks of a group. */
 const CHECK_INTERVAL_MS = 1_000;
--- a/src/coordination/master.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -1,27 +1,34 @@
-import type { Context } from "./context.js";
-import type { Answer } from "./effects.js";
-import { FailureTracker } from "./failures.js";
-import { JobCompletion } from "./finishing.js";
-import { ScaleIn } from "./fleet.js";
-import { PartitionState } from "./group-state.js";
+import type { Context } from "../context.js";
+import type { Answer } from "../effects.js";
+import { FailureTracker } from "../machines/failure-tracker.js";
+import { JobCompletion } from "../jobs/job-completion.js";
+import { ScaleIn } from "../machines/scale-in.js";
+import { PartitionState } from "./partition-state.js";
 import {
   Guarantees,
   GuaranteeReclaims,
   QuotaAllocator,
   GuaranteeShortfallLog,
-} from "./limits/index.js";
-import type { JobView } from "./mirror.js";
-import type { Command, Heartbeat } from "./model.js";
-import { Rebalancer } from "./moves.js";
+} from "../quota/index.js";
+import type { JobView } from "../store/store-cache.js";
+import type { Command, Heartbeat } from "../model.js";
+import { Rebalancer } from "./rebalancer.js";
 import { offerKey } from "./placement.js";
-import { Scheduler } from "./placing.js";
+import { Scheduler } from "./scheduler.js";
 import { Preemption } from "./preemption.js";
-import { RangeSet } from "./ranges.js";
-import { newDeliveryState, DeliveryTracker } from "./receipt.js";
-import { Reconciliation } from "./reconciliation.js";
-import { CapacityReport } from "./room.js";
-import { RateLimitedLog } from "./rate-limited-log.js";
-import { newJobRun, attemptKey, type Worker } from "./tasks.js";
+import { RangeSet } from "../jobs/range-set.js";
+import {
+  newDeliveryState,
+  DeliveryTracker,
+} from "../machines/delivery-tracker.js";
+import { Reconciliation } from "../machines/reconciliation.js";
+import { CapacityReport } from "./capacity-report.js";
+import { RateLimitedLog } from "../../logging/rate-limited-log.js";
+import {
+  newJobRun,
+  attemptKey,
+  type Worker,
+} from "../machines/worker-state.js";
 
 /**
  * The master of one group under one token. It alone starts tasks on the group's machines. It begins with what
--- a/src/coordination/group-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -1,17 +1,20 @@
-import type { Condition, Write } from "../protocol/state.js";
-import { heartbeatGapMs } from "../protocol/workers.js";
-import { partitionKey } from "../storage/records.js";
+import type { Condition, Write } from "../../protocol/state.js";
+import { heartbeatGapMs } from "../../protocol/workers.js";
+import { partitionKey } from "../../storage/records.js";
 import { type Backlog, backlogOf } from "./backlog.js";
 import {
   type TransactionOutcome,
   type Context,
   CLOCK_DRIFT_FACTOR,
-} from "./context.js";
-import { CallPriority } from "./effects.js";
-import { ResourceLedger, type ResourceUse } from "./ledger.js";
-import { type ListedMachine, taskKey } from "./model.js";
-import { MachineRegistry } from "./roster.js";
-import type { JobRun, TaskRun, Worker } from "./tasks.js";
+} from "../context.js";
+import { CallPriority } from "../effects.js";
+import {
+  ResourceLedger,
+  type ResourceUse,
+} from "../machines/resource-ledger.js";
+import { type ListedMachine, taskKey } from "../model.js";
+import { MachineRegistry } from "../machines/machine-registry.js";
+import type { JobRun, TaskRun, Worker } from "../machines/worker-state.js";
 
 /** What the tasks that a machine is known to have take. */
 function usageListedOn(w: Worker | undefined): ResourceUse {
--- a/src/coordination/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,4 +1,4 @@
-import type { JobSpec, MachineType } from "./model.js";
+import type { JobSpec, MachineType } from "../model.js";
 
 /** Amounts are sums of decimal numbers: compare them with some slack. */
 export const EPSILON = 1e-6;
--- a/src/coordination/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,13 +1,13 @@
-import type { Context } from "./context.js";
-import type { PartitionState } from "./group-state.js";
-import type { ResourceUse } from "./ledger.js";
+import type { Context } from "../context.js";
+import type { PartitionState } from "./partition-state.js";
+import type { ResourceUse } from "../machines/resource-ledger.js";
 import {
   type ResourceAmounts,
   type GuaranteeReclaims,
   type QuotaAllocator,
   withinShare,
-} from "./limits/index.js";
-import { PRIORITIES } from "./model.js";
+} from "../quota/index.js";
+import { PRIORITIES } from "../model.js";
 import {
   isAllowedOn,
   type Resources,
@@ -16,8 +16,13 @@
   fits,
   isSuitable,
 } from "./placement.js";
-import type { ScaleOut } from "./renting.js";
-import { saveTimeS, type JobRun, type TaskRun, type Worker } from "./tasks.js";
+import type { ScaleOut } from "../machines/scale-out.js";
+import {
+  saveTimeS,
+  type JobRun,
+  type TaskRun,
+  type Worker,
+} from "../machines/worker-state.js";
 
 /** Which running tasks are stopped for a waiting job that comes first. */
 export class Preemption {
--- a/src/coordination/moves.ts
+++ b/src/coordination/scheduling/rebalancer.ts
@@ -3,19 +3,19 @@
   jobKey,
   type CapacityRecord,
   writeJob,
-} from "../storage/records.js";
+} from "../../storage/records.js";
 import { type Backlog, backlogOf } from "./backlog.js";
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
-import { PendingTransfer } from "./handover.js";
-import type { PartitionState } from "./group-state.js";
-import type { ResourceUse } from "./ledger.js";
-import type { QuotaAllocator } from "./limits/index.js";
-import type { JobSpec } from "./model.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import { PendingTransfer } from "../leadership/pending-transfer.js";
+import type { PartitionState } from "./partition-state.js";
+import type { ResourceUse } from "../machines/resource-ledger.js";
+import type { QuotaAllocator } from "../quota/index.js";
+import type { JobSpec } from "../model.js";
 import { fitWithinLimit, startsWhole } from "./placement.js";
-import { isShort } from "./queues.js";
-import type { RangeSet } from "./ranges.js";
-import type { ScaleOut } from "./renting.js";
+import { isShort } from "./scheduling-round.js";
+import type { RangeSet } from "../jobs/range-set.js";
+import type { ScaleOut } from "../machines/scale-out.js";
 import {
   canRent,
   capablePartitions,
@@ -25,8 +25,8 @@
   placesLeft,
   waitingBefore,
   placesForWhole,
-} from "./splitter.js";
-import type { JobRun } from "./tasks.js";
+} from "../jobs/job-partitioner.js";
+import type { JobRun } from "../machines/worker-state.js";
 
 /** A task waits this long for its own group before it may move. */
 const REBALANCE_INTERVAL_MS = 400;
--- a/src/coordination/placing.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,12 +1,12 @@
-import { gangKey, jobKey, readyKey } from "../storage/records.js";
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
-import type { PartitionState } from "./group-state.js";
-import { NO_USE, type ResourceUse } from "./ledger.js";
-import { GangAssembly } from "./gathering.js";
-import type { Guarantees, QuotaAllocator } from "./limits/index.js";
-import { type JobSpec, taskKey } from "./model.js";
-import { isSpreadOverPartitions, nextGangStep } from "./parts.js";
+import { gangKey, jobKey, readyKey } from "../../storage/records.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import type { PartitionState } from "./partition-state.js";
+import { NO_USE, type ResourceUse } from "../machines/resource-ledger.js";
+import { GangAssembly } from "./gang-assembly.js";
+import type { Guarantees, QuotaAllocator } from "../quota/index.js";
+import { type JobSpec, taskKey } from "../model.js";
+import { isSpreadOverPartitions, nextGangStep } from "./spread-gangs.js";
 import {
   isAllowedOn,
   type Resources,
@@ -17,14 +17,19 @@
   maxTasksPerZone,
 } from "./placement.js";
 import type { Preemption } from "./preemption.js";
-import { type Precedence, isLate, isShort, SchedulingRound } from "./queues.js";
+import {
+  type Precedence,
+  isLate,
+  isShort,
+  SchedulingRound,
+} from "./scheduling-round.js";
 import {
   freeOn,
   type JobRun,
   subtract,
   type TaskRun,
   type Worker,
-} from "./tasks.js";
+} from "../machines/worker-state.js";
 
 /** Attempts of one token: with a token below 2^33 they stay below 2^53. */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
--- a/src/coordination/queues.ts
+++ b/src/coordination/scheduling/scheduling-round.ts
@@ -3,7 +3,7 @@
   type EffectivePriority,
   type Tuning,
   PRIORITIES,
-} from "./model.js";
+} from "../model.js";
 
 /** Whether a job has to begin now, and what it comes before for that: see `Gathering`. */
 export type Precedence =
--- a/src/coordination/parts.ts
+++ b/src/coordination/scheduling/spread-gangs.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from "./model.js";
+import type { JobSpec } from "../model.js";
 
 /**
  * A gang with `spread` whose groups have one zone each has a part in several groups, and all parts must start under
--- a/src/coordination/lookups.ts
+++ b/src/coordination/store/final-status-reader.ts
@@ -1,8 +1,12 @@
-import type { StateCall, StateReply } from "../protocol/state.js";
-import { finalKey, type FinalRecord, readFinal } from "../storage/records.js";
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
-import { FairQueue } from "./fairness.js";
+import type { StateCall, StateReply } from "../../protocol/state.js";
+import {
+  finalKey,
+  type FinalRecord,
+  readFinal,
+} from "../../storage/records.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import { FairQueue } from "./fair-queue.js";
 
 /** Reads on their way at once, and questions that wait for one: users also ask for what nobody submitted. */
 const MAX_READS = 12;
--- a/src/coordination/unanswered-commits.ts
+++ b/src/coordination/store/indeterminate-transactions.ts
@@ -1,4 +1,4 @@
-import type { Change, Write } from "../protocol/state.js";
+import type { Change, Write } from "../../protocol/state.js";
 
 /**
  * Keys whose last transaction without an answer is remembered; beyond it the oldest is forgotten, and its log line is missing.
--- a/src/coordination/mirror.ts
+++ b/src/coordination/store/store-cache.ts
@@ -1,4 +1,4 @@
-import type { Change, Item } from "../protocol/state.js";
+import type { Change, Item } from "../../protocol/state.js";
 import {
   type LeadershipBidRecord,
   type PartitionRecord,
@@ -19,11 +19,11 @@
   readObservedLimits,
   readReclaims,
   type Reclaim,
-} from "../storage/records.js";
-import type { QuotaRecord } from "./limits/shares.js";
-import type { JobSpec, EffectivePriority } from "./model.js";
-import { type GangView, NO_GANG } from "./parts.js";
-import { RangeSet } from "./ranges.js";
+} from "../../storage/records.js";
+import type { QuotaRecord } from "../quota/quota-records.js";
+import type { JobSpec, EffectivePriority } from "../model.js";
+import { type GangView, NO_GANG } from "../scheduling/spread-gangs.js";
+import { RangeSet } from "../jobs/range-set.js";
 
 export interface JobView extends EffectivePriority {
   id: string;
--- a/src/coordination/state-reader.ts
+++ b/src/coordination/store/store-watcher.ts
@@ -1,11 +1,16 @@
-import type { Change, Item, StateCall, StateReply } from "../protocol/state.js";
-import { LIVE_PREFIX, ROOT_PREFIX } from "../storage/records.js";
-import type { Context } from "./context.js";
-import { CallPriority } from "./effects.js";
-import { FairQueue } from "./fairness.js";
-import type { StoreEvent } from "./mirror.js";
-import type { Leadership } from "./ownership.js";
-import { RateLimitedLog } from "./rate-limited-log.js";
+import type {
+  Change,
+  Item,
+  StateCall,
+  StateReply,
+} from "../../protocol/state.js";
+import { LIVE_PREFIX, ROOT_PREFIX } from "../../storage/records.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import { FairQueue } from "./fair-queue.js";
+import type { StoreEvent } from "./store-cache.js";
+import type { Leadership } from "../leadership/leadership.js";
+import { RateLimitedLog } from "../../logging/rate-limited-log.js";
 
 /** A watch is renewed at least this often: its age is part of the permit. */
 const WATCH_RENEWAL_MS = 2_000;
--- a/src/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -2,32 +2,32 @@
 import { getHeapStatistics } from "node:v8";
 import { pino } from "pino";
 import type { Hono, MiddlewareHandler } from "hono";
-import type { Settings } from "./config/settings.js";
-import { Controller } from "./coordination/controller.js";
-import { RateLimitedLog } from "./coordination/rate-limited-log.js";
+import type { Settings } from "../config/settings.js";
+import { Controller } from "../coordination/controller.js";
+import { RateLimitedLog } from "../logging/rate-limited-log.js";
 import type {
   Answer,
   CloudCall,
   CloudReply,
   Effect,
   Input,
-} from "./coordination/effects.js";
-import { type LogEntry, type LogEvent, logEntry } from "./logging/events.js";
-import type { Tuning } from "./coordination/model.js";
-import { StoreClient } from "./storage/client.js";
-import { CloudClient } from "./transport/cloud.js";
-import { Frame } from "./protocol/frames.js";
-import type { StateCall, StateReply } from "./protocol/state.js";
-import { parseHeartbeat } from "./protocol/workers.js";
-import { parseJson } from "./transport/client.js";
-import { PeerMesh } from "./transport/mesh.js";
+} from "../coordination/effects.js";
+import { type LogEntry, type LogEvent, logEntry } from "../logging/events.js";
+import type { Tuning } from "../coordination/model.js";
+import { StoreClient } from "../storage/store-client.js";
+import { CloudClient } from "../transport/cloud-client.js";
+import { Frame } from "../protocol/frames.js";
+import type { StateCall, StateReply } from "../protocol/state.js";
+import { parseHeartbeat } from "../protocol/workers.js";
+import { parseJson } from "../transport/http-client.js";
+import { PeerMesh } from "../transport/peer-mesh.js";
 import {
   api,
   type RequestHandler,
   listen,
   toHttp,
-} from "./transport/server.js";
-import { WorkerClient } from "./transport/workers.js";
+} from "../transport/http-server.js";
+import { WorkerClient } from "../transport/worker-client.js";
 
 const TICK_MS = 200;
 /** What a permit that ended kept from leaving is logged at most this often. */
--- a/src/extras.ts
+++ b/src/daemon/extensions.ts
@@ -1,5 +1,5 @@
-import type { Operator } from "./config/operator.js";
-import type { Settings } from "./config/settings.js";
+import type { Operator } from "../config/operator.js";
+import type { Settings } from "../config/settings.js";
 import type { Daemon } from "./daemon.js";
 
 /** Adds what the operators' file turns on to a controller that does not run yet. `file`: where its settings come from. */
@@ -11,7 +11,7 @@
   version: string,
 ): Promise<void> {
   const metrics = operator.metrics
-    ? new (await import("./metrics/index.js")).Metrics(
+    ? new (await import("../metrics/index.js")).Metrics(
         () => daemon.statistics,
         () => daemon.leadershipLease.untilMs - performance.now(),
       )
@@ -19,7 +19,7 @@
   metrics?.watchTeams(() => daemon.teamStatistics);
   if (metrics) daemon.add(metrics);
   if (!operator.hooks) return;
-  const { Webhooks } = await import("./hooks/index.js");
+  const { Webhooks } = await import("../webhooks/index.js");
   const webhooks = new Webhooks(
     operator.hooks,
     settings,
--- a/src/coordination/rate-limited-log.ts
+++ b/src/logging/rate-limited-log.ts
@@ -3,7 +3,7 @@
   LogEventFields,
   RateLimitedEvent,
   RateLimitedFields,
-} from "../logging/events.js";
+} from "./events.js";
 
 /** Each subject is logged at most this often. */
 const GAP_MS = 60_000;
--- a/src/main.ts
+++ b/src/main.ts
@@ -16,7 +16,7 @@
   try {
     const file = args[1]!;
     const settings = parseSettings(readFileSync(file, "utf8"), file);
-    const { Daemon } = await import("./daemon.js");
+    const { Daemon } = await import("./daemon/daemon.js");
     await new Daemon(settings, { ...DEFAULTS }).run();
   } catch (e) {
     process.stderr.write(
@@ -25,6 +25,6 @@
     process.exitCode = 1;
   }
 } else {
-  const { cli } = await import("./cli.js");
+  const { cli } = await import("./cli/cli.js");
   process.exitCode = await cli(args);
 }
--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -3,7 +3,7 @@
 import { Hono } from "hono";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Controller, TeamStatistics } from "../coordination/controller.js";
-import type { WebhookCore } from "../hooks/core.js";
+import type { WebhookCore } from "../webhooks/webhook-core.js";
 
 const CALL_BUCKETS_S = [
   0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5,
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -4,7 +4,7 @@
   type JobSpec,
   PRIORITIES,
 } from "../coordination/model.js";
-import { RangeSet } from "../coordination/ranges.js";
+import { RangeSet } from "../coordination/jobs/range-set.js";
 import type { Write } from "../protocol/state.js";
 
 /**
--- a/src/storage/client.ts
+++ b/src/storage/store-client.ts
@@ -7,8 +7,8 @@
 } from "../protocol/state.js";
 import * as v from "valibot";
 import { Frame } from "../protocol/frames.js";
-import { HttpClient, parseJson } from "../transport/client.js";
-import { RateLimiter } from "../transport/limiter.js";
+import { HttpClient, parseJson } from "../transport/http-client.js";
+import { RateLimiter } from "../transport/rate-limiter.js";
 
 /** Our own requests must have failed for this long before a peer is asked. */
 const UNAVAILABLE_AFTER_MS = 1_200;
--- a/src/transport/cloud.ts
+++ b/src/transport/cloud-client.ts
@@ -12,8 +12,8 @@
   rentBody,
   returnBody,
 } from "../protocol/cloud.js";
-import { HttpClient, parseJson } from "./client.js";
-import { RateLimiter } from "./limiter.js";
+import { HttpClient, parseJson } from "./http-client.js";
+import { RateLimiter } from "./rate-limiter.js";
 
 function toRequest(call: CloudCall): {
   method: "GET" | "POST";
--- a/src/transport/server.ts
+++ b/src/transport/http-server.ts
@@ -12,7 +12,7 @@
   heartbeatGapMs,
 } from "../protocol/workers.js";
 import type { Settings } from "../config/settings.js";
-import { ConnectionTable, type ConnectionKind } from "./connections.js";
+import { ConnectionTable, type ConnectionKind } from "./connection-table.js";
 
 const MAX_BODY = 64 * 1024;
 
--- a/src/transport/workers.ts
+++ b/src/transport/worker-client.ts
@@ -1,7 +1,7 @@
 import type { CommandReply } from "../coordination/effects.js";
 import type { Command, Heartbeat } from "../coordination/model.js";
 import { commandBody, parseHeartbeat } from "../protocol/workers.js";
-import { HttpClient, type HttpOutcome, type Method } from "./client.js";
+import { HttpClient, type HttpOutcome, type Method } from "./http-client.js";
 
 /** Of all connections of the process, what those to workers may take; requests beyond it wait for one. */
 const SOCKETS_SHARE = 0.25;
--- a/src/lab/limits-model.ts
+++ b/src/verification/quota-model.ts
@@ -3,14 +3,14 @@
   type PartitionDemand,
   planQuotas,
   type QuotaPlan,
-} from "../coordination/limits/plan.js";
+} from "../coordination/quota/quota-plan.js";
 import {
   CAPS_NAME,
   entryOf,
   type QuotaRecords,
   mayUse,
   type ResourceAmounts,
-} from "../coordination/limits/shares.js";
+} from "../coordination/quota/quota-records.js";
 import { QUOTA_KEY, type Shares } from "../storage/records.js";
 import type { Model, Step } from "./explore.js";
 
--- a/src/hooks/delivery.ts
+++ b/src/webhooks/delivery.ts
@@ -13,7 +13,7 @@
   type BackoffLimits,
   mayHave,
   type Reason,
-} from "./breaker.js";
+} from "./circuit-breaker.js";
 import {
   after,
   AT_HEAD,
@@ -42,7 +42,7 @@
   jobEndOf,
   jobEndsOf,
   type ChangeFeed,
-} from "./tail.js";
+} from "./change-feed.js";
 
 /** What an attempt came to. */
 export type AttemptResult =
--- a/src/hooks/index.ts
+++ b/src/webhooks/index.ts
@@ -7,11 +7,15 @@
 import type { Effect } from "../coordination/effects.js";
 import type { LogEntry } from "../logging/events.js";
 import type { StateCall, StateReply } from "../protocol/state.js";
-import { WebhookCore, type WebhookEffect, type WebhookInput } from "./core.js";
-import { webhookRoutes } from "./http.js";
-import { WebhookSender } from "./sender.js";
+import {
+  WebhookCore,
+  type WebhookEffect,
+  type WebhookInput,
+} from "./webhook-core.js";
+import { webhookRoutes } from "./routes.js";
+import { WebhookSender } from "./webhook-sender.js";
 import { webhookLimits, senderSettings } from "./settings.js";
-import type { WebhookRequest } from "./requests.js";
+import type { WebhookRequest } from "./subscription-requests.js";
 
 export { checkWebhookSettings } from "./settings.js";
 
--- a/src/hooks/http.ts
+++ b/src/webhooks/routes.ts
@@ -1,6 +1,6 @@
 import { Hono, type MiddlewareHandler } from "hono";
-import { parseJson } from "../transport/client.js";
-import type { WebhookRequest } from "./requests.js";
+import { parseJson } from "../transport/http-client.js";
+import type { WebhookRequest } from "./subscription-requests.js";
 
 type AskWebhooks = (
   request: WebhookRequest,
--- a/src/hooks/settings.ts
+++ b/src/webhooks/settings.ts
@@ -1,10 +1,10 @@
 import { readFileSync } from "node:fs";
 import type { HooksFile } from "../config/operator.js";
 import { type Settings, SettingsError } from "../config/settings.js";
-import type { WebhookLimits } from "./core.js";
-import { AllowedNetworks, parseNetwork } from "./networks.js";
+import type { WebhookLimits } from "./webhook-core.js";
+import { AllowedNetworks, parseNetwork } from "./allowed-networks.js";
 import { parseSecret } from "./signing.js";
-import type { SenderSettings } from "./sender.js";
+import type { SenderSettings } from "./webhook-sender.js";
 
 /** Reads the secrets that the operators' file names: from files or variables, never from the file itself. */
 function readKeys(s: HooksFile, file: string): Map<string, Uint8Array> {
--- a/src/hooks/core.ts
+++ b/src/webhooks/webhook-core.ts
@@ -13,7 +13,11 @@
   Write,
 } from "../protocol/state.js";
 import { CallPriority } from "../coordination/effects.js";
-import { Breaker, type BackoffLimits, type BreakerState } from "./breaker.js";
+import {
+  Breaker,
+  type BackoffLimits,
+  type BreakerState,
+} from "./circuit-breaker.js";
 import {
   type AttemptResult,
   Delivery,
@@ -21,7 +25,7 @@
   type DeliveryHost,
   type AttemptRequest,
 } from "./delivery.js";
-import { chosenController, laneOf } from "./lanes.js";
+import { chosenController, laneOf } from "./delivery-lanes.js";
 import {
   presenceKey,
   WEBHOOKS_LIVE_PREFIX,
@@ -37,8 +41,11 @@
   SETTLED_UP_TO_KEY,
   writeSubscription,
 } from "./records.js";
-import { type WebhookRequest, SubscriptionRequests } from "./requests.js";
-import { ChangeFeed } from "./tail.js";
+import {
+  type WebhookRequest,
+  SubscriptionRequests,
+} from "./subscription-requests.js";
+import { ChangeFeed } from "./change-feed.js";
 
 /** What the core of hooks is told. */
 export type WebhookInput =
--- a/src/hooks/sender.ts
+++ b/src/webhooks/webhook-sender.ts
@@ -3,7 +3,10 @@
 import { isIP } from "node:net";
 import { rootCertificates } from "node:tls";
 import type { AttemptResult, AttemptRequest } from "./delivery.js";
-import { BlockedAddressError, type AllowedNetworks } from "./networks.js";
+import {
+  BlockedAddressError,
+  type AllowedNetworks,
+} from "./allowed-networks.js";
 import { messageBody, signature, webhookId } from "./signing.js";
 
 export interface SenderSettings {
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { PartitionLeader } from "../src/coordination/master.js";
-import { Scheduler } from "../src/coordination/placing.js";
-import { StoreWatcher } from "../src/coordination/state-reader.js";
-import { JobRequests } from "../src/coordination/users.js";
+import { PartitionLeader } from "../src/coordination/scheduling/partition-leader.js";
+import { Scheduler } from "../src/coordination/scheduling/scheduler.js";
+import { StoreWatcher } from "../src/coordination/store/store-watcher.js";
+import { JobRequests } from "../src/coordination/jobs/job-requests.js";
 import {
   plainJob,
   runToEnd,
--- a/test/golden/metrics.ts
+++ b/test/golden/metrics.ts
@@ -3,7 +3,7 @@
   Controller,
   TeamStatistics,
 } from "../../src/coordination/controller.js";
-import type { WebhookCore } from "../../src/hooks/core.js";
+import type { WebhookCore } from "../../src/webhooks/webhook-core.js";
 import { Metrics } from "../../src/metrics/index.js";
 import { expectText } from "./expect.js";
 
--- a/test/golden/records.ts
+++ b/test/golden/records.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { RangeSet } from "../../src/coordination/ranges.js";
+import { RangeSet } from "../../src/coordination/jobs/range-set.js";
 import type { Item } from "../../src/protocol/state.js";
-import * as hooks from "../../src/hooks/records.js";
-import { jobEndOf } from "../../src/hooks/tail.js";
+import * as hooks from "../../src/webhooks/records.js";
+import { jobEndOf } from "../../src/webhooks/change-feed.js";
 import * as records from "../../src/storage/records.js";
 import { expectJson, expectStored, expectText } from "./expect.js";
 import { JOB } from "./protocol.js";
--- a/test/golden/transport.ts
+++ b/test/golden/transport.ts
@@ -8,20 +8,27 @@
   Input,
 } from "../../src/coordination/effects.js";
 import type { Settings } from "../../src/config/settings.js";
-import type { AttemptRequest } from "../../src/hooks/delivery.js";
-import { AllowedNetworks } from "../../src/hooks/networks.js";
-import type { JobEnd, Subscription } from "../../src/hooks/records.js";
-import { WebhookCore, type WebhookInput } from "../../src/hooks/core.js";
-import { webhookRoutes } from "../../src/hooks/http.js";
-import { WebhookSender } from "../../src/hooks/sender.js";
-import { messageBody, signature, webhookId } from "../../src/hooks/signing.js";
-import { CloudClient } from "../../src/transport/cloud.js";
+import type { AttemptRequest } from "../../src/webhooks/delivery.js";
+import { AllowedNetworks } from "../../src/webhooks/allowed-networks.js";
+import type { JobEnd, Subscription } from "../../src/webhooks/records.js";
+import {
+  WebhookCore,
+  type WebhookInput,
+} from "../../src/webhooks/webhook-core.js";
+import { webhookRoutes } from "../../src/webhooks/routes.js";
+import { WebhookSender } from "../../src/webhooks/webhook-sender.js";
+import {
+  messageBody,
+  signature,
+  webhookId,
+} from "../../src/webhooks/signing.js";
+import { CloudClient } from "../../src/transport/cloud-client.js";
 import {
   api,
   type RequestHandler,
   toHttp,
-} from "../../src/transport/server.js";
-import { WorkerClient } from "../../src/transport/workers.js";
+} from "../../src/transport/http-server.js";
+import { WorkerClient } from "../../src/transport/worker-client.js";
 import { LIMITS } from "../hooks/days.js";
 import { Store } from "../hooks/store.js";
 import { World } from "../sim/world.js";
--- a/test/hooks-sending.test.ts
+++ b/test/hooks-sending.test.ts
@@ -5,13 +5,20 @@
 import type { AddressInfo } from "node:net";
 import { test, type TestContext } from "node:test";
 import { Webhook } from "standardwebhooks";
-import { Breaker } from "../src/hooks/breaker.js";
-import type { AttemptRequest } from "../src/hooks/delivery.js";
-import { chosenController } from "../src/hooks/lanes.js";
-import { AllowedNetworks, parseNetwork } from "../src/hooks/networks.js";
-import { LANE_COUNT, Packer } from "../src/hooks/records.js";
-import { WebhookSender } from "../src/hooks/sender.js";
-import { messageBody, parseSecret, signature } from "../src/hooks/signing.js";
+import { Breaker } from "../src/webhooks/circuit-breaker.js";
+import type { AttemptRequest } from "../src/webhooks/delivery.js";
+import { chosenController } from "../src/webhooks/delivery-lanes.js";
+import {
+  AllowedNetworks,
+  parseNetwork,
+} from "../src/webhooks/allowed-networks.js";
+import { LANE_COUNT, Packer } from "../src/webhooks/records.js";
+import { WebhookSender } from "../src/webhooks/webhook-sender.js";
+import {
+  messageBody,
+  parseSecret,
+  signature,
+} from "../src/webhooks/signing.js";
 import { certificate, Deployment, kills } from "./hooks/processes.js";
 import { WebhookWorld, LIMITS } from "./hooks/days.js";
 import { Rng } from "./sim/rng.js";
--- a/test/hooks/days.ts
+++ b/test/hooks/days.ts
@@ -5,12 +5,12 @@
   type WebhookEffect,
   type WebhookInput,
   type WebhookLimits,
-} from "../../src/hooks/core.js";
+} from "../../src/webhooks/webhook-core.js";
 import type {
   AttemptResult,
   AttemptRequest,
-} from "../../src/hooks/delivery.js";
-import { WEBHOOKS_PREFIX } from "../../src/hooks/records.js";
+} from "../../src/webhooks/delivery.js";
+import { WEBHOOKS_PREFIX } from "../../src/webhooks/records.js";
 import { Rng } from "../sim/rng.js";
 import { Store } from "./store.js";
 
--- a/test/imports.test.ts
+++ b/test/imports.test.ts
@@ -5,29 +5,124 @@
 
 /** Folders of src that the modules of a folder may import from, or single modules of such a folder; "." is src itself. */
 const MAY_IMPORT: Readonly<Record<string, readonly string[]>> = {
-  ".": [
+  ".": ["cli", "config", "daemon"],
+  cli: ["config", "daemon", "protocol", "transport", "webhooks"],
+  config: ["coordination/model"],
+  coordination: [
+    "config",
+    "coordination/jobs",
+    "coordination/leadership",
+    "coordination/machines",
+    "coordination/quota",
+    "coordination/scheduling",
+    "coordination/store",
+    "logging",
+    "protocol",
+    "storage/records",
+  ],
+  "coordination/jobs": [
+    "coordination/context",
+    "coordination/effects",
+    "coordination/leadership",
+    "coordination/machines",
+    "coordination/model",
+    "coordination/scheduling",
+    "coordination/store",
+    "protocol",
+    "storage/records",
+  ],
+  "coordination/leadership": [
+    "config",
+    "coordination/context",
+    "coordination/effects",
+    "coordination/jobs",
+    "coordination/model",
+    "coordination/store",
+    "storage/records",
+  ],
+  "coordination/machines": [
+    "coordination/context",
+    "coordination/effects",
+    "coordination/jobs",
+    "coordination/leadership",
+    "coordination/model",
+    "coordination/quota",
+    "coordination/scheduling",
+    "coordination/store",
+    "protocol",
+    "storage/records",
+  ],
+  "coordination/quota": [
+    "config",
+    "coordination/context",
+    "coordination/effects",
+    "coordination/leadership",
+    "coordination/machines",
+    "coordination/model",
+    "coordination/scheduling",
+    "storage/records",
+  ],
+  "coordination/scheduling": [
+    "coordination/context",
+    "coordination/effects",
+    "coordination/jobs",
+    "coordination/leadership",
+    "coordination/machines",
+    "coordination/model",
+    "coordination/quota",
+    "coordination/store",
+    "logging",
+    "protocol",
+    "storage/records",
+  ],
+  "coordination/store": [
+    "coordination/context",
+    "coordination/effects",
+    "coordination/jobs",
+    "coordination/leadership",
+    "coordination/model",
+    "coordination/quota",
+    "coordination/scheduling",
+    "logging",
+    "protocol",
+    "storage/records",
+  ],
+  daemon: [
     "config",
-    "coordination",
-    "hooks",
+    "coordination/controller",
+    "coordination/effects",
+    "coordination/model",
+    "logging",
     "metrics",
     "protocol",
     "storage",
     "transport",
+    "webhooks",
   ],
-  config: ["coordination"],
-  coordination: [
+  metrics: ["coordination/controller", "logging", "webhooks"],
+  protocol: ["coordination/model"],
+  storage: [
     "config",
-    "coordination/limits",
+    "coordination/jobs",
+    "coordination/model",
+    "protocol",
+    "transport",
+  ],
+  transport: [
+    "config",
+    "coordination/effects",
+    "coordination/model",
     "protocol",
-    "storage/records",
   ],
-  "coordination/limits": ["config", "coordination", "storage/records"],
-  hooks: ["config", "coordination", "protocol", "storage", "transport"],
-  lab: ["config", "coordination/limits", "storage/records"],
-  metrics: ["coordination", "hooks"],
-  protocol: ["coordination"],
-  storage: ["config", "coordination", "protocol", "transport"],
-  transport: ["config", "coordination", "protocol"],
+  verification: ["config", "coordination/quota", "storage"],
+  webhooks: [
+    "config",
+    "coordination/effects",
+    "logging",
+    "protocol",
+    "storage",
+    "transport",
+  ],
 };
 
 const RELATIVE_IMPORT = /(?:from |import\(|import )"(\.[^"]+)\.js"/g;
@@ -83,8 +178,14 @@
 });
 
 test("an import from a folder that the table does not name is seen", () => {
-  const source = 'import { Client } from "../storage/client.js";';
-  const [imported] = importsOf("coordination/master.ts", source);
-  assert.equal(imported, "storage/client");
-  assert.equal(allowedBy("coordination/master.ts", imported), undefined);
+  const source = 'import { StoreClient } from "../../storage/store-client.js";';
+  const [imported] = importsOf(
+    "coordination/scheduling/partition-leader.ts",
+    source,
+  );
+  assert.equal(imported, "storage/store-client");
+  assert.equal(
+    allowedBy("coordination/scheduling/partition-leader.ts", imported),
+    undefined,
+  );
 });
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -7,11 +7,11 @@
   type PartitionDemand,
   planQuotas,
   type QuotaSituation,
-} from "../src/coordination/limits/plan.js";
+} from "../src/coordination/quota/quota-plan.js";
 import {
   GuaranteeReclaims,
   QuotaAllocator,
-} from "../src/coordination/limits/index.js";
+} from "../src/coordination/quota/index.js";
 import {
   entryIn,
   entryOf,
@@ -19,16 +19,16 @@
   mayUse,
   overdrawn,
   type ResourceAmounts,
-} from "../src/coordination/limits/shares.js";
+} from "../src/coordination/quota/quota-records.js";
 import type { JobSpec } from "../src/coordination/model.js";
-import { SchedulingRound } from "../src/coordination/queues.js";
-import { explore } from "../src/lab/explore.js";
+import { SchedulingRound } from "../src/coordination/scheduling/scheduling-round.js";
+import { explore } from "../src/verification/explore.js";
 import {
   type Guard,
   GUARDS,
   quotaModel,
   type QuotaScope,
-} from "../src/lab/limits-model.js";
+} from "../src/verification/quota-model.js";
 import { bytesOf, QUOTA_KEY, type Shares } from "../src/storage/records.js";
 import { farm } from "./limits/farm.js";
 import {
--- a/test/meetings-more.test.ts
+++ b/test/meetings-more.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DeliveryTracker } from "../src/coordination/receipt.js";
+import { DeliveryTracker } from "../src/coordination/machines/delivery-tracker.js";
 import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
 import {
   drawMore,
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -3,10 +3,13 @@
 import type { Context } from "../src/coordination/context.js";
 import { Controller } from "../src/coordination/controller.js";
 import type { Input } from "../src/coordination/effects.js";
-import { PartitionState } from "../src/coordination/group-state.js";
+import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
 import type { JobSpec } from "../src/coordination/model.js";
-import { storeLeaseTtlMs, Leadership } from "../src/coordination/ownership.js";
-import { StoreWatcher } from "../src/coordination/state-reader.js";
+import {
+  storeLeaseTtlMs,
+  Leadership,
+} from "../src/coordination/leadership/leadership.js";
+import { StoreWatcher } from "../src/coordination/store/store-watcher.js";
 import type { StateCall } from "../src/protocol/state.js";
 import {
   observedLimitsKey,
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -2,15 +2,15 @@
 import { test } from "node:test";
 import { DEFAULTS, parseOperator } from "../src/config/operator.js";
 import { parseSettings } from "../src/config/settings.js";
-import { PartitionMap } from "../src/coordination/groups.js";
+import { PartitionMap } from "../src/coordination/leadership/partition-map.js";
 import type { JobSpec, MachineType } from "../src/coordination/model.js";
-import { storeLeaseTtlMs } from "../src/coordination/ownership.js";
-import { SchedulingRound } from "../src/coordination/queues.js";
-import { RangeSet } from "../src/coordination/ranges.js";
+import { storeLeaseTtlMs } from "../src/coordination/leadership/leadership.js";
+import { SchedulingRound } from "../src/coordination/scheduling/scheduling-round.js";
+import { RangeSet } from "../src/coordination/jobs/range-set.js";
 import {
   capablePartitions,
   partitionJob,
-} from "../src/coordination/splitter.js";
+} from "../src/coordination/jobs/job-partitioner.js";
 import {
   encode,
   encodeReply,
@@ -30,7 +30,7 @@
   writeCompletion,
   writeJob,
 } from "../src/storage/records.js";
-import { RateLimiter } from "../src/transport/limiter.js";
+import { RateLimiter } from "../src/transport/rate-limiter.js";
 import { Rng } from "./sim/rng.js";
 
 const JOB = {
--- a/test/receipts.test.ts
+++ b/test/receipts.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Answer } from "../src/coordination/effects.js";
-import type { PartitionLeader } from "../src/coordination/master.js";
+import type { PartitionLeader } from "../src/coordination/scheduling/partition-leader.js";
 import type { Heartbeat } from "../src/coordination/model.js";
 import { randomJob, submitWorkload } from "./sim/days.js";
 import { World } from "./sim/world.js";
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -3,21 +3,27 @@
 import { DEFAULTS } from "../src/config/operator.js";
 import type { Context } from "../src/coordination/context.js";
 import type { CloudCall, CloudReply } from "../src/coordination/effects.js";
-import { ownDueAt } from "../src/coordination/mirror.js";
-import { PartitionState } from "../src/coordination/group-state.js";
+import { ownDueAt } from "../src/coordination/store/store-cache.js";
+import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
 import type { JobSpec, MachineType } from "../src/coordination/model.js";
-import { UnplaceableCache, isSuitable } from "../src/coordination/placement.js";
-import { isShort } from "../src/coordination/queues.js";
-import { RangeSet } from "../src/coordination/ranges.js";
-import { MachineRegistry } from "../src/coordination/roster.js";
-import { ScaleOut } from "../src/coordination/renting.js";
-import type { QuotaAllocator } from "../src/coordination/limits/index.js";
-import { partitionJob, placesForWhole } from "../src/coordination/splitter.js";
+import {
+  UnplaceableCache,
+  isSuitable,
+} from "../src/coordination/scheduling/placement.js";
+import { isShort } from "../src/coordination/scheduling/scheduling-round.js";
+import { RangeSet } from "../src/coordination/jobs/range-set.js";
+import { MachineRegistry } from "../src/coordination/machines/machine-registry.js";
+import { ScaleOut } from "../src/coordination/machines/scale-out.js";
+import type { QuotaAllocator } from "../src/coordination/quota/index.js";
+import {
+  partitionJob,
+  placesForWhole,
+} from "../src/coordination/jobs/job-partitioner.js";
 import {
   type JobRun,
   newJobRun,
   type Worker,
-} from "../src/coordination/tasks.js";
+} from "../src/coordination/machines/worker-state.js";
 import type { Write } from "../src/protocol/state.js";
 import type { CapacityRecord } from "../src/storage/records.js";
 
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Controller } from "../src/coordination/controller.js";
-import { PartitionState } from "../src/coordination/group-state.js";
-import { Leadership } from "../src/coordination/ownership.js";
-import { QuotaAllocator } from "../src/coordination/limits/index.js";
-import { freeOn } from "../src/coordination/tasks.js";
+import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
+import { Leadership } from "../src/coordination/leadership/leadership.js";
+import { QuotaAllocator } from "../src/coordination/quota/index.js";
+import { freeOn } from "../src/coordination/machines/worker-state.js";
 import type { JobSpec } from "../src/coordination/model.js";
 import {
   largeJob,
--- a/test/scenario-cancelled-in-handover.test.ts
+++ b/test/scenario-cancelled-in-handover.test.ts
@@ -1,5 +1,5 @@
 import { test } from "node:test";
-import { PartitionLeader } from "../src/coordination/master.js";
+import { PartitionLeader } from "../src/coordination/scheduling/partition-leader.js";
 import { cancelledInTransfer } from "./scenarios/cancelled-in-handover.js";
 import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 
--- a/test/scenario-close-questions.test.ts
+++ b/test/scenario-close-questions.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
-import { FinalStatusReader } from "../src/coordination/lookups.js";
-import { StoreWatcher } from "../src/coordination/state-reader.js";
+import { FinalStatusReader } from "../src/coordination/store/final-status-reader.js";
+import { StoreWatcher } from "../src/coordination/store/store-watcher.js";
 import { closeQuestions } from "./scenarios/close-questions.js";
 import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 
--- a/test/scenario-late-transactions.test.ts
+++ b/test/scenario-late-transactions.test.ts
@@ -1,5 +1,5 @@
 import { test } from "node:test";
-import { PartitionState } from "../src/coordination/group-state.js";
+import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
 import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 import { lateTransactions } from "./scenarios/late-transactions.js";
 
--- a/test/scenario-old-reports.test.ts
+++ b/test/scenario-old-reports.test.ts
@@ -1,5 +1,5 @@
 import { test } from "node:test";
-import { DeliveryTracker } from "../src/coordination/receipt.js";
+import { DeliveryTracker } from "../src/coordination/machines/delivery-tracker.js";
 import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 import { oldReports } from "./scenarios/old-reports.js";
 
--- a/test/scenario-quick-machines.test.ts
+++ b/test/scenario-quick-machines.test.ts
@@ -1,5 +1,5 @@
 import { test } from "node:test";
-import { MachineRegistry } from "../src/coordination/roster.js";
+import { MachineRegistry } from "../src/coordination/machines/machine-registry.js";
 import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 import { quickMachines } from "./scenarios/quick-machines.js";
 
--- a/test/scenario-zones.test.ts
+++ b/test/scenario-zones.test.ts
@@ -1,5 +1,5 @@
 import { test } from "node:test";
-import { Leadership } from "../src/coordination/ownership.js";
+import { Leadership } from "../src/coordination/leadership/leadership.js";
 import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
 import { zones } from "./scenarios/zones.js";
 
--- a/test/sim/limits.ts
+++ b/test/sim/limits.ts
@@ -1,6 +1,6 @@
 import type { Team } from "../../src/config/settings.js";
-import { QuotaAllocator } from "../../src/coordination/limits/index.js";
-import type { PartitionLeader } from "../../src/coordination/master.js";
+import { QuotaAllocator } from "../../src/coordination/quota/index.js";
+import type { PartitionLeader } from "../../src/coordination/scheduling/partition-leader.js";
 import {
   injectLargeFaults,
   randomJob,
--- a/test/sim/meetings.ts
+++ b/test/sim/meetings.ts
@@ -1,4 +1,4 @@
-import { storeLeaseTtlMs } from "../../src/coordination/ownership.js";
+import { storeLeaseTtlMs } from "../../src/coordination/leadership/leadership.js";
 import {
   cancel,
   askAllControllers,
--- a/test/software-limits.test.ts
+++ b/test/software-limits.test.ts
@@ -6,18 +6,21 @@
 import type { Controller } from "../src/coordination/controller.js";
 import type { Answer } from "../src/coordination/effects.js";
 import type { Context } from "../src/coordination/context.js";
-import { StoreCache } from "../src/coordination/mirror.js";
+import { StoreCache } from "../src/coordination/store/store-cache.js";
 import type { JobSpec, Heartbeat } from "../src/coordination/model.js";
 import type { LogEvent } from "../src/logging/events.js";
-import { RateLimitedLog } from "../src/coordination/rate-limited-log.js";
-import { maxRedirects, Redirects } from "../src/coordination/redirects.js";
-import { MachineRegistry } from "../src/coordination/roster.js";
+import { RateLimitedLog } from "../src/logging/rate-limited-log.js";
+import {
+  maxRedirects,
+  Redirects,
+} from "../src/coordination/machines/redirects.js";
+import { MachineRegistry } from "../src/coordination/machines/machine-registry.js";
 import { Frame } from "../src/protocol/frames.js";
 import type { Write } from "../src/protocol/state.js";
 import { bytesOf, readRegistry } from "../src/storage/records.js";
-import { HttpClient } from "../src/transport/client.js";
-import { maxInFlight, PeerMesh } from "../src/transport/mesh.js";
-import { WorkerClient } from "../src/transport/workers.js";
+import { HttpClient } from "../src/transport/http-client.js";
+import { maxInFlight, PeerMesh } from "../src/transport/peer-mesh.js";
+import { WorkerClient } from "../src/transport/worker-client.js";
 import { randomJob } from "./sim/days.js";
 import { World } from "./sim/world.js";
 
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -2,12 +2,12 @@
 import { test } from "node:test";
 import type { Context } from "../src/coordination/context.js";
 import type { JobSpec } from "../src/coordination/model.js";
-import type { PartitionState } from "../src/coordination/group-state.js";
-import type { ScaleOut } from "../src/coordination/renting.js";
-import type { QuotaAllocator } from "../src/coordination/limits/index.js";
-import { RangeSet } from "../src/coordination/ranges.js";
-import { CapacityReport } from "../src/coordination/room.js";
-import { MachineRegistry } from "../src/coordination/roster.js";
+import type { PartitionState } from "../src/coordination/scheduling/partition-state.js";
+import type { ScaleOut } from "../src/coordination/machines/scale-out.js";
+import type { QuotaAllocator } from "../src/coordination/quota/index.js";
+import { RangeSet } from "../src/coordination/jobs/range-set.js";
+import { CapacityReport } from "../src/coordination/scheduling/capacity-report.js";
+import { MachineRegistry } from "../src/coordination/machines/machine-registry.js";
 import { RangeSet as OldRangeSet } from "./production/coordination/ranges.js";
 import {
   bytesOf,
