--- a/src/coordination/store/store-cache.ts
+++ b/src/coordination/store/store-cache.ts
@@ -152,8 +152,8 @@
   reload(items: readonly Item[], revision: number): StoreEvent[] {
     const seen: StoreEvent[] = [];
     const present = new Set(items.map((i) => i.key));
-    for (const [key, revision] of this.revisions)
-      if (!present.has(key) && revision <= revision)
+    for (const [key, keyRevision] of this.revisions)
+      if (!present.has(key) && keyRevision <= revision)
         seen.push(...this.drop(key, revision));
     // Groups first, jobs last: a master that starts on its group's record then finds all its jobs as old ones.
     for (const i of items) seen.push(...this.put(i.key, i.value, i.version));
