--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -166,15 +166,13 @@
       (spec) => this.jobRequests.partitionJob(spec),
       (id) => this.jobRequests.readFinalRecord(id, () => {}),
     );
-    this.leadership = new Leadership(
-      this,
-      (call, done) =>
-        this.state(call, CallPriority.Lease, (r, sentMs) => done(r, sentMs)),
-      () => this.dropLeaders(),
-      () => this.updateLeaders(),
-      (partition) =>
+    this.leadership = new Leadership(this, {
+      callStore: (call, done) => this.state(call, CallPriority.Lease, done),
+      onStoreLeaseLost: () => this.dropLeaders(),
+      onLeadershipChanged: () => this.updateLeaders(),
+      isUnreachable: (partition) =>
         this.leaders.get(partition)?.state.unreachableIn() ?? false,
-    );
+    });
     this.leaderlessPartitions = new LeaderlessPartitions(this, this.leadership);
     this.orphanedTasks = new OrphanedTasks(
       this,
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -1,292 +1,279 @@
-import type { Settings } from "../../config/settings.js";
-import { leadershipBidKey, partitionKey } from "../../storage/records.js";
+/**
+ * Which partitions this controller leads, and until when it may act on them. Owns the store lease and its renewal, the leadership
+ * lease that follows from it, and the acquisition and release of partitions.
+ */
+import type { StateCall, StateReply } from "../../protocol/state.js";
+import { type PartitionRecord, partitionKey } from "../../storage/records.js";
 import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
+import { BID_INTERVAL_MS, LeadershipBids } from "./leadership-bids.js";
+import { storeLeaseTtlMs } from "./store-lease-ttl.js";
 
-/** Time left, of cancel_s, for a lease that ends after the permit and for clocks that differ. */
-const CANCEL_MARGIN_MS = 2_000;
-/** Workers of a group must have gone unserved for this long before a peer asks for the group. */
-const BID_AFTER_MS = 3_000;
-/** Claims come no faster than this, and after a hand-over the claimant has this long to take the group. */
-const BID_INTERVAL_MS = 6_000;
-/** The home controller must have been in touch with the owner for this long before it asks for its group. */
-const HOME_BID_AFTER_MS = 8_000;
+/** The store lease is renewed this many times within its duration. */
+const RENEWALS_PER_TTL = 8;
+/** A store lease that was not granted is asked for again after this time. */
+const GRANT_RETRY_MS = 400;
+/** A renewal that failed is repeated after this time. */
+const RENEWAL_RETRY_MS = 500;
+/** The store's clock may run faster than this controller's by up to the rest of this. */
+const LEASE_DRIFT_FACTOR = 0.998;
+/** What is sent at the last moment still has to leave the process. */
+const LEASE_MARGIN_MS = 100;
+/** Between the turns of two controllers to acquire a partition that nobody leads. */
+const TURN_INTERVAL_MS = 1_500;
+/** For so long after its start a controller leaves others' partitions to home controllers that may be starting as well. */
+const STARTUP_MS = 12_000;
+/** By so much a controller that has just started waits longer for others' partitions. */
+const STARTUP_DELAY_MS = 10_000;
 
-/** A hold this long rides out most short outages of the state service. */
-const MIN_LEASE_TTL_MS = 12_000;
-/** Until a worker whose master is gone has found the new one: an unanswered report, its retry, a takeover. */
-const REDISCOVERY_MS = 5_000;
+/** The calls that grant and renew a store lease. */
+type StoreLeaseCall = Extract<StateCall, { op: "newHold" | "touch" }>;
 
-/**
- * How long a hold lasts. Rule `ran_cancelled`: a master that can't read cancellations goes on for at most this
- * long; then its workers' leases run out; both together must lie within cancel_s. Within that there are two
- * wishes: a short outage of the state service should not stop a group (long), and a peer should take over from
- * a hung or cut-off master before its workers' leases end (short). Where leases are long enough for both, the
- * hold ends so much before them; where they are not, only the first can be had. An outage is survived for hold
- * and lease together in any case.
- */
-export function storeLeaseTtlMs(
-  s: Pick<Settings, "cancelS" | "leaseS" | "reportS">,
-): number {
-  const most = Math.max(
-    1_000,
-    Math.floor((s.cancelS - s.leaseS) * 1000 - CANCEL_MARGIN_MS),
-  );
-  const bridged = Math.floor(
-    (s.leaseS - s.reportS * 1.25) * 1000 - REDISCOVERY_MS,
-  );
-  return bridged >= MIN_LEASE_TTL_MS ? Math.min(most, bridged) : most;
+/** Who owns a partition, under which store lease and fencing token. */
+type OwnerRecord = PartitionRecord & { version: number };
+
+/** What leadership needs from the controller around it. */
+export interface LeadershipPorts {
+  /** Sends a call to the store; `done` gets its reply, and the steady time at which the call was sent. */
+  callStore(
+    call: StoreLeaseCall,
+    done: (reply: StateReply, sentMs: number) => void,
+  ): void;
+  /** The store lease is over: nothing is led any more. */
+  onStoreLeaseLost(): void;
+  /** The partitions that this controller leads have changed. */
+  onLeadershipChanged(): void;
+  /** Whether the workers of a partition cannot reach this controller, which leads it. */
+  isUnreachable(partition: string): boolean;
 }
 
-/** Which groups are this controller's, and until when it may act on them. */
+/** Which partitions are this controller's, and until when it may act on them. */
 export class Leadership {
+  /** Duration of the store lease. */
+  readonly leaseTtlMs: number;
   private storeLease: number | null = null;
+  /** When the last renewal that succeeded was sent. */
   private renewedMs = -Infinity;
+  /** When the last read that succeeded was sent. */
   private readMs = -Infinity;
-  private renewing = false;
+  private isRenewing = false;
   private nextRenewalMs = 0;
-  private readonly acquiring = new Set<string>();
-  private readonly absentSince = new Map<string, number>();
-  readonly leaseTtlMs: number;
+  private wasAllowedToAct = false;
   private readonly startMs: number;
+  private readonly bids: LeadershipBids;
+  private readonly acquiring = new Set<string>();
+  private readonly absentSinceMs = new Map<string, number>();
+  /** Partitions being released, by token: nothing is done under it any more, whatever becomes of the transaction. */
+  private readonly releasing = new Map<string, number>();
+  private readonly releasesSent = new Set<string>();
 
   constructor(
     private readonly ctx: Context,
-    private readonly state: (
-      call: { op: "newHold"; ttlMs: number } | { op: "touch"; hold: number },
-      done: (r: { is: string; hold?: number }, sentMs: number) => void,
-    ) => void,
-    private readonly onLeaseLost: () => void,
-    private readonly onChanged: () => void,
-    private readonly isUnreachable: (partition: string) => boolean,
+    private readonly ports: LeadershipPorts,
   ) {
     this.leaseTtlMs = storeLeaseTtlMs(ctx.settings);
     this.startMs = ctx.nowMs;
+    this.bids = new LeadershipBids(ctx);
   }
 
-  /** The copy of the state service's records is as new as a request sent then. */
+  // ---- leadership lease ----------------------------------------------------------------------------------
+
+  /** The cache of the store's records is as new as a request sent then. */
   noteRead(sentMs: number): void {
     this.readMs = Math.max(this.readMs, sentMs);
   }
 
   /**
-   * Invariant (ran_cancelled, and one master a group): workers are answered and orders issued only while both
-   * the last touch of the hold and the last read of cancellations, counted from their sending, are younger than
-   * the hold's length. The state service ends no hold earlier, whatever it answers to whom.
+   * End of the leadership lease, in steady time.
+   *
+   * Invariant (ran_cancelled, and one leader a partition): workers are answered and commands issued only while both the last renewal
+   * of the store lease and the last read of cancellations, counted from their sending, are younger than the duration of the
+   * store lease. The store ends no lease earlier, whatever it answers to whom.
    */
   get leadershipLeaseUntilMs(): number {
-    return this.storeLease === null
-      ? -Infinity
-      : Math.min(this.renewedMs, this.readMs) + this.leaseTtlMs * 0.998 - 100;
+    if (this.storeLease === null) return -Infinity;
+    const confirmedMs = Math.min(this.renewedMs, this.readMs);
+    return confirmedMs + this.leaseTtlMs * LEASE_DRIFT_FACTOR - LEASE_MARGIN_MS;
   }
+
+  /** The store's number of the present store lease; null: there is none. */
   get storeLeaseId(): number | null {
     return this.storeLease;
   }
+
+  /** Whether the leadership lease lasts. */
   mayAct(): boolean {
     return this.ctx.nowMs < this.leadershipLeaseUntilMs;
   }
-  /** Age of the older of touch and read: how long the state service has been out of reach. */
+
+  /** Age of the older of renewal and read: how long the store has been out of reach. */
   get storeSilenceMs(): number {
     return this.ctx.nowMs - Math.min(this.renewedMs, this.readMs);
   }
-  /** Age of the copy of the state service's records. */
+
+  /** Age of the cache of the store's records. */
   get readAgeMs(): number {
     return this.ctx.nowMs - this.readMs;
   }
 
-  /** Says once when a permit ends while there is a hold, with the age of each of its terms, and when there is one again. */
+  /** Logs once when the leadership lease ends under a store lease, with the age of each of its terms, and when there is one again. */
   private logLeadershipLease(): void {
-    const permitted = this.mayAct();
-    if (this.storeLease === null || permitted === this.couldAct) return;
-    this.couldAct = permitted;
+    const { storeLease } = this;
+    const isAllowedToAct = this.mayAct();
+    if (storeLease === null || isAllowedToAct === this.wasAllowedToAct) return;
+    this.wasAllowedToAct = isAllowedToAct;
     const { nowMs } = this.ctx;
-    if (permitted)
-      this.ctx.log("leadership lease acquired", {
-        storeLease: this.storeLease,
-      });
+    if (isAllowedToAct)
+      this.ctx.log("leadership lease acquired", { storeLease });
     else
       this.ctx.log("leadership lease expired", {
         renewalAgeMs: Math.round(nowMs - this.renewedMs),
         readAgeMs: Math.round(nowMs - this.readMs),
         ttlMs: this.leaseTtlMs,
-        storeLease: this.storeLease,
+        storeLease,
       });
   }
-  private couldAct = false;
+
+  // ---- store lease ---------------------------------------------------------------------------------------
 
   private keepStoreLease(): void {
-    if (this.renewing || this.ctx.nowMs < this.nextRenewalMs) return;
-    this.renewing = true;
-    const storeLease = this.storeLease;
-    if (storeLease === null) {
-      this.state({ op: "newHold", ttlMs: this.leaseTtlMs }, (r, sentMs) => {
-        this.renewing = false;
-        if (r.is === "hold") {
-          this.storeLease = r.hold!;
-          this.renewedMs = sentMs;
-          this.nextRenewalMs = this.ctx.nowMs + this.leaseTtlMs / 8;
-        } else this.nextRenewalMs = this.ctx.nowMs + 400;
-      });
-      return;
-    }
-    this.state({ op: "touch", hold: storeLease }, (r, sentMs) => {
-      this.renewing = false;
-      // It was over before this answer came: a put that it was attached to has said so.
+    if (this.isRenewing || this.ctx.nowMs < this.nextRenewalMs) return;
+    this.isRenewing = true;
+    if (this.storeLease === null) this.requestStoreLease();
+    else this.renewStoreLease(this.storeLease);
+  }
+
+  private requestStoreLease(): void {
+    this.ports.callStore(
+      { op: "newHold", ttlMs: this.leaseTtlMs },
+      (reply, sentMs) => {
+        this.isRenewing = false;
+        if (reply.is !== "hold") {
+          this.nextRenewalMs = this.ctx.nowMs + GRANT_RETRY_MS;
+          return;
+        }
+        this.storeLease = reply.hold;
+        this.renewedMs = sentMs;
+        this.scheduleRenewal();
+      },
+    );
+  }
+
+  private renewStoreLease(storeLease: number): void {
+    this.ports.callStore({ op: "touch", hold: storeLease }, (reply, sentMs) => {
+      this.isRenewing = false;
+      // It ended before this answer came: a put that it was attached to has said so.
       if (storeLease !== this.storeLease) return this.keepStoreLease();
-      this.nextRenewalMs = this.ctx.nowMs + 500;
-      if (r.is === "touched") {
+      this.nextRenewalMs = this.ctx.nowMs + RENEWAL_RETRY_MS;
+      if (reply.is === "touched") {
         this.renewedMs = Math.max(this.renewedMs, sentMs);
-        this.nextRenewalMs = this.ctx.nowMs + this.leaseTtlMs / 8;
-      } else if (r.is === "gone") this.storeLeaseEnded(storeLease);
+        this.scheduleRenewal();
+      } else if (reply.is === "gone") this.storeLeaseEnded(storeLease);
     });
   }
 
+  private scheduleRenewal(): void {
+    this.nextRenewalMs = this.ctx.nowMs + this.leaseTtlMs / RENEWALS_PER_TTL;
+  }
+
   /**
-   * The state service has said that a hold is over: to its touch, or to a put that is attached to it. After a process stood
-   * still the put may well come first, and it goes on under a new hold at once.
+   * The store has said that a store lease is over: to its renewal, or to a put that is attached to it. After a process stood still the
+   * put may well come first, and the controller goes on under a new lease at once.
    */
   storeLeaseEnded(storeLease: number): void {
     if (storeLease !== this.storeLease) return;
     this.storeLease = null;
     this.nextRenewalMs = 0;
-    this.ctx.log("store lease expired", {
-      storeLease: storeLease,
-    });
-    this.onLeaseLost();
+    this.ctx.log("store lease expired", { storeLease });
+    this.ports.onStoreLeaseLost();
     this.keepStoreLease();
   }
 
-  /** Token of a group that is this controller's under its present hold. */
+  /** Fencing token of a partition that this controller leads under its present store lease; null: it does not. */
   tokenOf(partition: string): number | null {
-    const r = this.ctx.cache.partitions.get(partition);
-    if (!r || r.owner !== this.ctx.settings.label || r.hold !== this.storeLease)
+    const record = this.ctx.cache.partitions.get(partition);
+    if (
+      !record ||
+      record.owner !== this.ctx.settings.label ||
+      record.hold !== this.storeLease
+    )
       return null;
-    return this.releasing.get(partition) === r.version ? null : r.version;
+    const isReleasing = this.releasing.get(partition) === record.version;
+    return isReleasing ? null : record.version;
   }
 
-  // ---- handing over --------------------------------------------------------------------------------------
-
-  /** Groups being given up, by token: nothing is done under it any more, whatever becomes of the commit. */
-  private readonly releasing = new Map<string, number>();
-  private readonly releaseSent = new Set<string>();
-  private readonly unservedSince = new Map<
-    string,
-    { first: number; last: number }
-  >();
-  private readonly lastBidMs = new Map<string, number>();
-  private readonly reachableSince = new Map<string, number>();
+  // ---- bids and releases ---------------------------------------------------------------------------------
 
   /** No other controller answers. */
   get isIsolated(): boolean {
-    return this.reachableSince.size === 0;
+    return this.bids.isIsolated;
   }
 
-  setReachablePeers(up: readonly string[]): void {
-    for (const p of this.reachableSince.keys())
-      if (!up.includes(p)) this.reachableSince.delete(p);
-    for (const p of up)
-      if (!this.reachableSince.has(p))
-        this.reachableSince.set(p, this.ctx.nowMs);
+  /** Notes which of the other controllers answer now. */
+  setReachablePeers(reachable: readonly string[]): void {
+    this.bids.setReachablePeers(reachable);
   }
 
-  /** A worker of another's group can't be served there: if that lasts, this controller asks for the group. */
+  /** A worker of another's partition cannot be served there: if that lasts, this controller bids for the partition. */
   noteUnserved(partition: string): void {
-    const r = this.ctx.cache.partitions.get(partition);
-    if (!r || r.owner === this.ctx.settings.label) return;
-    const now = this.ctx.nowMs;
-    const u = this.unservedSince.get(partition);
-    if (!u || now - u.last > BID_INTERVAL_MS) {
-      this.unservedSince.set(partition, { first: now, last: now });
-      return;
-    }
-    u.last = now;
-    if (now - u.first > BID_AFTER_MS) this.bid(partition, r.version);
-  }
-
-  private bid(partition: string, token: number): void {
-    if (
-      this.ctx.nowMs - (this.lastBidMs.get(partition) ?? -Infinity) <
-      BID_INTERVAL_MS
-    )
-      return;
-    this.lastBidMs.set(partition, this.ctx.nowMs);
-    this.ctx.log("leadership bid placed", { partition: partition, token });
-    this.ctx.commit(
-      [{ key: partitionKey(partition), version: token }],
-      [
-        {
-          op: "put",
-          key: leadershipBidKey(partition),
-          value: { by: this.ctx.settings.label, token },
-        },
-      ],
-      CallPriority.Lease,
-      () => {},
-    );
+    this.bids.noteUnserved(partition);
   }
 
-  /** Gives a group up for a peer that hears its workers, or for its home controller that is back. */
+  /** Releases each partition for a peer that its workers reach, or for its home controller that is back. */
   private honourBids(): void {
-    for (const [partition, c] of this.ctx.cache.leadershipBids) {
+    for (const [partition, bid] of this.ctx.cache.leadershipBids) {
       const token = this.tokenOf(partition);
       if (
         token === null ||
-        c.token !== token ||
-        c.by === this.ctx.settings.label
+        bid.token !== token ||
+        bid.by === this.ctx.settings.label
       )
         continue;
-      if (c.by !== partition && !this.isUnreachable(partition)) continue;
+      const isHomeController = bid.by === partition;
+      if (!isHomeController && !this.ports.isUnreachable(partition)) continue;
       this.ctx.log("transferring leadership", {
-        partition: partition,
+        partition,
         token,
-        to: c.by,
+        to: bid.by,
       });
       this.releasing.set(partition, token);
-      this.onChanged();
+      this.ports.onLeadershipChanged();
     }
+  }
+
+  /** Deletes the records of partitions being released, and forgets those that are gone. */
+  private sendReleases(): void {
     for (const [partition, token] of this.releasing) {
       if (this.ctx.cache.partitions.get(partition)?.version !== token) {
         this.releasing.delete(partition);
         continue;
       }
-      if (this.releaseSent.has(partition)) continue;
-      this.releaseSent.add(partition);
+      if (this.releasesSent.has(partition)) continue;
+      this.releasesSent.add(partition);
       this.ctx.commit(
         [{ key: partitionKey(partition), version: token }],
         [{ op: "delete", key: partitionKey(partition) }],
         CallPriority.Lease,
-        () => this.releaseSent.delete(partition),
+        () => this.releasesSent.delete(partition),
       );
     }
   }
 
-  /** The home controller asks for its group back once it has been in touch with the owner for a while. */
-  private bidForHomePartition(
-    partition: string,
-    owner: string,
-    token: number,
-  ): void {
-    const since = this.reachableSince.get(owner);
-    if (
-      since !== undefined &&
-      this.ctx.nowMs - since > HOME_BID_AFTER_MS &&
-      this.mayAct()
-    )
-      this.bid(partition, token);
+  /** Nothing is done for the partition from now on, whatever becomes of the transaction. */
+  release(partition: string): void {
+    const token = this.tokenOf(partition);
+    if (token !== null) this.releasing.set(partition, token);
   }
 
-  /** A group that no settings name and nobody has: taken like any other, without a master. */
+  // ---- acquisition ---------------------------------------------------------------------------------------
+
+  /** Acquires a partition that no settings name and nobody owns: like any other, but it gets no leader. */
   acquireLeaderless(partition: string): void {
     if (this.mayAct()) this.acquire(partition, 0);
   }
-  /** Nothing is done for it from now on, whatever becomes of the commit. */
-  release(partition: string): void {
-    const token = this.tokenOf(partition);
-    if (token !== null) this.releasing.set(partition, token);
-  }
 
   private acquire(partition: string, version: number): void {
-    const storeLease = this.storeLease;
+    const { storeLease } = this;
     if (storeLease === null || this.acquiring.has(partition)) return;
     this.acquiring.add(partition);
     this.ctx.commit(
@@ -304,56 +291,61 @@
     );
   }
 
-  /** Its claim was written under the last token that this controller saw for the group. */
-  private hasCurrentBid(partition: string): boolean {
-    const c = this.ctx.cache.leadershipBids.get(partition);
-    return c !== undefined && c.token === this.lastToken.get(partition);
-  }
-  private readonly lastToken = new Map<string, number>();
-
+  /** Keeps the store lease, honours bids and acquires partitions whose turn it is. */
   tick(): void {
     this.logLeadershipLease();
     this.keepStoreLease();
     if (this.storeLease === null || !this.ctx.cache.ready) return;
     this.honourBids();
-    for (const [partition, r] of this.ctx.cache.partitions)
-      this.lastToken.set(partition, r.version);
-    const me = this.ctx.settings.label;
-    const names = this.ctx.partitions.names;
-    for (const partition of names) {
-      const r = this.ctx.cache.partitions.get(partition);
-      if (r) {
-        this.absentSince.delete(partition);
-        // Left by this controller before it was started again: nobody else acts on it.
-        if (r.owner === me && r.hold !== this.storeLease)
-          this.acquire(partition, r.version);
-        else if (partition === me && r.owner !== me)
-          this.bidForHomePartition(partition, r.owner, r.version);
-        continue;
-      }
-      let since = this.absentSince.get(partition);
-      if (since === undefined)
-        this.absentSince.set(partition, (since = this.ctx.nowMs));
-      // Handed over: whoever asked for it comes first. Else nobody's: its home controller does, then the others
-      // by turns.
-      const heir =
-        this.hasCurrentBid(partition) &&
-        this.ctx.nowMs - since < BID_INTERVAL_MS
-          ? this.ctx.cache.leadershipBids.get(partition)!.by
-          : partition;
-      if (heir === me) {
-        this.acquire(partition, 0);
-        continue;
-      }
-      if (heir !== partition) continue;
-      const rank =
-        (names.indexOf(me) - names.indexOf(partition) + names.length) %
-        names.length;
-      if (
-        this.ctx.nowMs - since >
-        1_500 * rank + (this.ctx.nowMs - this.startMs < 12_000 ? 10_000 : 0)
-      )
-        this.acquire(partition, 0);
+    this.sendReleases();
+    this.bids.noteTokens();
+    for (const partition of this.ctx.partitions.names) {
+      const record = this.ctx.cache.partitions.get(partition);
+      if (record) this.checkOwned(partition, record);
+      else this.checkAbsent(partition);
     }
   }
+
+  /** A partition that somebody owns: acquired again after a restart, bid for if it is this controller's home partition. */
+  private checkOwned(partition: string, record: OwnerRecord): void {
+    this.absentSinceMs.delete(partition);
+    const { label } = this.ctx.settings;
+    // Left by this controller before it was started again: nobody else acts on it.
+    if (record.owner === label && record.hold !== this.storeLease)
+      this.acquire(partition, record.version);
+    else if (partition === label && record.owner !== label && this.mayAct())
+      this.bids.bidForHomePartition(partition, record.owner, record.version);
+  }
+
+  /** A partition that nobody owns: a current bidder comes first, else its home controller, then the others by turns. */
+  private checkAbsent(partition: string): void {
+    const absentMs = this.noteAbsent(partition);
+    const bidder =
+      absentMs < BID_INTERVAL_MS ? this.bids.currentBidder(partition) : null;
+    const successor = bidder ?? partition;
+    if (successor === this.ctx.settings.label) this.acquire(partition, 0);
+    else if (
+      successor === partition &&
+      absentMs > this.acquisitionDelayMs(partition)
+    )
+      this.acquire(partition, 0);
+  }
+
+  /** For how long a partition has had no owner, as far as this controller has seen. */
+  private noteAbsent(partition: string): number {
+    const { nowMs } = this.ctx;
+    const sinceMs = this.absentSinceMs.get(partition) ?? nowMs;
+    this.absentSinceMs.set(partition, sinceMs);
+    return nowMs - sinceMs;
+  }
+
+  /** How long this controller leaves a partition that nobody owns to its home controller and those before it. */
+  private acquisitionDelayMs(partition: string): number {
+    const { names } = this.ctx.partitions;
+    const ownIndex = names.indexOf(this.ctx.settings.label);
+    const turn =
+      (ownIndex - names.indexOf(partition) + names.length) % names.length;
+    const isStarting = this.ctx.nowMs - this.startMs < STARTUP_MS;
+    return TURN_INTERVAL_MS * turn + (isStarting ? STARTUP_DELAY_MS : 0);
+  }
 }
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -5,10 +5,8 @@
 import type { Input } from "../src/coordination/effects.js";
 import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
 import type { JobSpec } from "../src/coordination/model.js";
-import {
-  storeLeaseTtlMs,
-  Leadership,
-} from "../src/coordination/leadership/leadership.js";
+import { Leadership } from "../src/coordination/leadership/leadership.js";
+import { storeLeaseTtlMs } from "../src/coordination/leadership/store-lease-ttl.js";
 import { StoreWatcher } from "../src/coordination/store/store-watcher.js";
 import type { StateCall } from "../src/protocol/state.js";
 import {
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -4,7 +4,7 @@
 import { parseSettings } from "../src/config/settings.js";
 import { PartitionMap } from "../src/coordination/leadership/partition-map.js";
 import type { JobSpec, MachineType } from "../src/coordination/model.js";
-import { storeLeaseTtlMs } from "../src/coordination/leadership/leadership.js";
+import { storeLeaseTtlMs } from "../src/coordination/leadership/store-lease-ttl.js";
 import { SchedulingRound } from "../src/coordination/scheduling/scheduling-round.js";
 import { RangeSet } from "../src/coordination/jobs/range-set.js";
 import {
--- a/test/sim/meetings.ts
+++ b/test/sim/meetings.ts
@@ -1,4 +1,4 @@
-import { storeLeaseTtlMs } from "../../src/coordination/leadership/leadership.js";
+import { storeLeaseTtlMs } from "../../src/coordination/leadership/store-lease-ttl.js";
 import {
   cancel,
   askAllControllers,
