--- a/src/coordination/machines/delivery-tracker.ts
+++ b/src/coordination/machines/delivery-tracker.ts
@@ -1,6 +1,6 @@
 import type { Context } from "../context.js";
 import type { Heartbeat } from "../model.js";
-import type { DeliveryState, Worker } from "./worker-state.js";
+import { newDeliveryState, type Worker } from "./worker-state.js";
 
 /** Reports in a row that contradict receipt before a machine gets nothing new; one answer may be lost on any network. */
 const MAX_MISSED = 2;
@@ -13,21 +13,6 @@
 const INSPECT_INTERVAL_MS = 2_000;
 const PROBE_INTERVAL_MS = 10_000;
 
-export const newDeliveryState = (
-  proven: boolean,
-  nowMs: number,
-): DeliveryState => ({
-  proven,
-  unreachableSinceMs: null,
-  timesUnreachable: 0,
-  missed: 0,
-  incarnationSinceMs: nowMs,
-  inspectedMs: -Infinity,
-  inspecting: false,
-  formerLife: null,
-  lastCommandMs: -Infinity,
-});
-
 /**
  * Which reports are older than what is known, and whether a machine receives. Reports arrive late, doubled and out of
  * order, from seconds to several leases after they were made, and a machine whose reports arrive may get neither
--- a/src/coordination/machines/worker-state.ts
+++ b/src/coordination/machines/worker-state.ts
@@ -1,7 +1,7 @@
 import type { PendingTransfer } from "../leadership/pending-transfer.js";
 import type { JobView } from "../store/store-cache.js";
-import type { ExitCause, MachineType, TaskState } from "../model.js";
-import type { Resources } from "../scheduling/placement.js";
+import type { ExitCause, Heartbeat, MachineType, TaskState } from "../model.js";
+import { offerKey, type Resources } from "../scheduling/placement.js";
 import { RangeSet } from "../jobs/range-set.js";
 
 /** One task on one machine, from the start order until the machine is known not to have it any more. */
@@ -88,6 +88,21 @@
   lastCommandMs: number;
 }
 
+export const newDeliveryState = (
+  proven: boolean,
+  nowMs: number,
+): DeliveryState => ({
+  proven,
+  unreachableSinceMs: null,
+  timesUnreachable: 0,
+  missed: 0,
+  incarnationSinceMs: nowMs,
+  inspectedMs: -Infinity,
+  inspecting: false,
+  formerLife: null,
+  lastCommandMs: -Infinity,
+});
+
 export interface Worker {
   id: string;
   address: string;
@@ -148,7 +163,11 @@
   attempt: number,
 ): string => `${job}/${index}#${attempt}`;
 
-export function newJobRun(view: JobView, old: boolean, nowMs: number): JobRun {
+export function newJobRun(
+  view: JobView,
+  predatesLeader: boolean,
+  nowMs: number,
+): JobRun {
   return {
     id: view.id,
     view,
@@ -160,7 +179,7 @@
     writing: false,
     isComplete: false,
     lastWrittenMs: -Infinity,
-    predatesLeader: old,
+    predatesLeader,
     isOver: false,
     finalizing: false,
     waitingSinceMs: nowMs,
@@ -175,6 +194,52 @@
   };
 }
 
+/** What a leader knows of a worker before it takes in its first heartbeat. */
+export interface WorkerOrigin {
+  /** From the catalog; null: not known yet. */
+  type: MachineType | null;
+  /** Known to run for this partition: it need not show first that it receives. */
+  isProven: boolean;
+  isReturning: boolean;
+  nowMs: number;
+}
+
+/** A worker as its first heartbeat describes it, before any of that heartbeat's numbers or tasks count. */
+export function newWorker(heartbeat: Heartbeat, origin: WorkerOrigin): Worker {
+  const { type, zone, spot } = heartbeat;
+  const { nowMs } = origin;
+  return {
+    id: heartbeat.worker,
+    address: heartbeat.address,
+    typeName: type,
+    type: origin.type,
+    zone,
+    spot,
+    offerKey: offerKey(type, zone, spot),
+    free: null,
+    incarnation: heartbeat.incarnation,
+    sequence: -1,
+    token: 0,
+    lastAnsweredMs: nowMs,
+    leaseExpired: false,
+    lastHeardMs: nowMs,
+    delivery: newDeliveryState(origin.isProven, nowMs),
+    firstSeenMs: nowMs,
+    reclaimedAtMs: null,
+    tasks: new Map(),
+    unconfirmedTasks: new Map(),
+    exited: [],
+    images: new Map(),
+    isReturning: origin.isReturning,
+    idleSinceMs: nowMs,
+    failedJobs: new Set(),
+    avoidUntilMs: 0,
+    reservedFor: null,
+    unansweredStarts: new Map(),
+    commandInFlight: false,
+  };
+}
+
 /** What is free on a machine, counting all that is or may be on it. The ledger forgets the count when that changes. */
 export function freeOn(w: Worker): Resources {
   w.free ??= countFree(w);
--- a/src/coordination/scheduling/partition-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -248,6 +248,21 @@
     this.noteIdle(w);
   }
 
+  /** A new incarnation: the worker has killed and forgotten all its tasks, and takes no older message any more. */
+  startIncarnation(worker: Worker, incarnation: number): void {
+    this.releaseAll(worker, "new incarnation");
+    worker.incarnation = incarnation;
+    worker.sequence = -1;
+    worker.unansweredStarts.clear();
+    worker.exited = [];
+  }
+
+  /** Lists a machine in the registry, which it must be in before its first task starts. */
+  registerUnlessReturning(worker: Worker): void {
+    if (worker.isReturning) return;
+    this.registry.set(worker.id, { isReturning: false, type: worker.typeName });
+  }
+
   /** Heard lately enough to expect that it takes orders. */
   private isReachable(w: Worker): boolean {
     return (
