--- a/src/coordination/machines/scale-in.ts
+++ b/src/coordination/machines/scale-in.ts
@@ -4,6 +4,7 @@
 import type { JobSpec, ListedMachine, MachineType } from "../model.js";
 import { isAllowedOn, fits, isSuitable } from "../scheduling/placement.js";
 import { ScaleOut } from "./scale-out.js";
+import type { WarmCapacity } from "./scale-out-planner.js";
 import type { QuotaAllocator } from "../quota/index.js";
 import { saveTimeS, type Worker } from "./worker-state.js";
 
@@ -385,8 +386,8 @@
   }
 
   /** Places to keep free where a class is expected to start sooner than a machine boots. */
-  private warmCapacity(): { spec: JobSpec; places: number }[] {
-    const out: { spec: JobSpec; places: number }[] = [];
+  private warmCapacity(): WarmCapacity[] {
+    const out: WarmCapacity[] = [];
     for (const o of this.ctx.settings.objectives) {
       const spec =
         o.kind === "wait" && o.class !== undefined
