--- /dev/null
+++ b/src/coordination/machines/warm-capacity.ts
@@ -0,0 +1,170 @@
+/**
+ * Warm capacity: machines kept free for classes of jobs that an objective expects to start sooner than a machine boots. Owns
+ * the last job of each such class and the most machines of each type that were in use at once of late.
+ */
+import type { Context } from "../context.js";
+import type { JobSpec } from "../model.js";
+import { fits, isAllowedOn } from "../scheduling/placement.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
+import { memoizeByOffer } from "./memoize-by-offer.js";
+import type { WarmCapacity } from "./scale-out-planner.js";
+import type { Worker } from "./worker-state.js";
+
+/** The window over which the most machines in use are remembered is cut into so many periods. */
+const PEAK_PERIODS = 6;
+
+/** Follows what a partition uses and how much of it is to be kept free. */
+export class WarmCapacityTracker {
+  /** By machine type: the most machines in use at once, in each of the last periods, the present one first. */
+  private readonly peaks = new Map<string, number[]>();
+  private periodStartMs: number;
+  private readonly objectiveClasses: ReadonlySet<string>;
+  /** The last job of each class that an objective names: machines for its like are kept. */
+  private readonly classNeeds = new Map<string, JobSpec>();
+
+  constructor(
+    private readonly context: Context,
+    private readonly state: PartitionState,
+  ) {
+    this.periodStartMs = context.nowMs;
+    this.objectiveClasses = new Set(
+      context.settings.objectives.flatMap((objective) => objective.class ?? []),
+    );
+  }
+
+  /** Remembers what jobs of this class need, if an objective names it. */
+  noteJob(spec: JobSpec): void {
+    if (this.objectiveClasses.has(spec.jobClass))
+      this.classNeeds.set(spec.jobClass, spec);
+  }
+
+  /** A machine was found running that this leader did not rent: somebody had a use for all there are of its type. */
+  noteFoundMachine(type: string): void {
+    this.notePeak(type, this.countMachines(type));
+  }
+
+  /** Takes in how many machines of each type run tasks now. */
+  noteUse(): void {
+    this.startPeriodIfDue();
+    const busy = new Map<string, number>();
+    for (const worker of this.state.workers.values())
+      if (worker.tasks.size > 0)
+        busy.set(worker.typeName, (busy.get(worker.typeName) ?? 0) + 1);
+    for (const [type, count] of busy) this.notePeak(type, count);
+  }
+
+  /** Whether a class that this machine serves is expected to start in less than `bootS` seconds. */
+  isExpectedSoonerThan(worker: Worker, bootS: number): boolean {
+    return this.context.settings.objectives.some(
+      (objective) =>
+        objective.kind === "wait" &&
+        (objective.withinS ?? Infinity) < bootS &&
+        this.serves(objective.class, worker),
+    );
+  }
+
+  /** How many machines of a type there are beyond the most in use of late and those to keep free. */
+  countSurplus(type: string): number {
+    return (
+      this.countMachines(type) - this.peakOf(type) - this.countToKeepFree(type)
+    );
+  }
+
+  /** Places to keep free, by objective. */
+  placesToKeepFree(): WarmCapacity[] {
+    const capacity: WarmCapacity[] = [];
+    for (const { kind, class: jobClass, withinS } of this.context.settings
+      .objectives) {
+      if (kind !== "wait" || jobClass === undefined) continue;
+      const spec = this.classNeeds.get(jobClass);
+      if (!spec) continue;
+      let places = 0;
+      for (const type of this.typesBootingSlowerThan(withinS, spec.jobClass))
+        places += this.countToKeepFree(type);
+      if (places > 0)
+        capacity.push({
+          spec: { ...spec, zone: null, deadlineS: null },
+          places,
+        });
+    }
+    return capacity;
+  }
+
+  /** Types of the present machines that serve the class and boot for longer than it is expected to wait. */
+  private typesBootingSlowerThan(
+    withinS: number | undefined,
+    jobClass: string,
+  ): Set<string> {
+    const types = new Set<string>();
+    const serves = memoizeByOffer((worker) => this.serves(jobClass, worker));
+    for (const worker of this.state.workers.values())
+      if (
+        !worker.leaseExpired &&
+        !worker.isReturning &&
+        worker.type &&
+        (withinS ?? Infinity) < worker.type.bootS &&
+        !types.has(worker.typeName) &&
+        serves(worker)
+      )
+        types.add(worker.typeName);
+    return types;
+  }
+
+  private serves(jobClass: string | undefined, worker: Worker): boolean {
+    const spec =
+      jobClass === undefined ? undefined : this.classNeeds.get(jobClass);
+    return (
+      spec !== undefined &&
+      worker.type !== null &&
+      isAllowedOn(
+        { ...spec, zone: null },
+        worker.typeName,
+        worker.zone,
+        worker.spot,
+      ) &&
+      fits(spec, worker.type) &&
+      spec.gpus > 0 === worker.type.gpus > 0
+    );
+  }
+
+  /** Machines of a type to have free beyond those in use, for the next job that is expected to start at once. */
+  private countToKeepFree(type: string): number {
+    return Math.ceil(this.peakOf(type) * this.context.tuning.spareShare);
+  }
+
+  private countMachines(type: string): number {
+    let count = 0;
+    for (const worker of this.state.workers.values())
+      if (
+        worker.typeName === type &&
+        !worker.leaseExpired &&
+        !worker.isReturning
+      )
+        count++;
+    return count;
+  }
+
+  private peakOf(type: string): number {
+    return Math.max(0, ...(this.peaks.get(type) ?? []));
+  }
+
+  private notePeak(type: string, count: number): void {
+    let peaks = this.peaks.get(type);
+    if (!peaks) {
+      peaks = Array.from({ length: PEAK_PERIODS }, () => 0);
+      this.peaks.set(type, peaks);
+    }
+    peaks[0] = Math.max(peaks[0] ?? 0, count);
+  }
+
+  private startPeriodIfDue(): void {
+    const { nowMs, tuning } = this.context;
+    const periodMs = (tuning.warmWindowS * 1000) / PEAK_PERIODS;
+    if (nowMs - this.periodStartMs <= periodMs) return;
+    this.periodStartMs = nowMs;
+    for (const peaks of this.peaks.values()) {
+      peaks.pop();
+      peaks.unshift(0);
+    }
+  }
+}
--- a/test/software-limits.test.ts
+++ b/test/software-limits.test.ts
@@ -374,15 +374,16 @@
   const { scaleIn } = leader as unknown as {
     scaleIn: {
       noteJob(spec: JobSpec): void;
-      classNeeds: Map<string, JobSpec>;
+      warmCapacity: { classNeeds: Map<string, JobSpec> };
     };
   };
   const spec = randomJob(w, 1);
   for (const name of names) scaleIn.noteJob({ ...spec, jobClass: name });
   scaleIn.noteJob({ ...spec, jobClass: "named", cpus: 1 });
   scaleIn.noteJob({ ...spec, jobClass: "named", cpus: 2 });
-  assert.deepEqual([...scaleIn.classNeeds.keys()], ["named"]);
-  assert.equal(scaleIn.classNeeds.get("named")!.cpus, 2, "the latest");
+  const { classNeeds } = scaleIn.warmCapacity;
+  assert.deepEqual([...classNeeds.keys()], ["named"]);
+  assert.equal(classNeeds.get("named")!.cpus, 2, "the latest");
 });
 
 // ---- the roster ------------------------------------------------------------------------------------------
