--- /dev/null
+++ b/test/architecture.test.ts
@@ -0,0 +1,68 @@
+import assert from "node:assert/strict";
+import { existsSync, readFileSync } from "node:fs";
+import test from "node:test";
+
+/** A file or function that the page names, in the order of the page. */
+interface Reference {
+  /** null: no file is named before the function. */
+  path: string | null;
+  /** null: the reference is to the file alone. */
+  functionName: string | null;
+}
+
+const IN_BACKTICKS = /`([^`\n]+)`/g;
+const PATH = /^(?:src|test|docs|deploy)(?:\/[\w.-]+)+$/;
+const FUNCTION = /^(\w+)\(\)$/;
+
+/** Paths in backticks, and functions written as `name()`: these belong to the path before them in their paragraph or list item. */
+function referencesOf(page: string): Reference[] {
+  const references: Reference[] = [];
+  for (const item of page.split(/\n\s*\n|\n(?=- |\d+\. |\| )/)) {
+    let path: string | null = null;
+    for (const [, text] of item.matchAll(IN_BACKTICKS)) {
+      const functionName = FUNCTION.exec(text!)?.[1] ?? null;
+      if (functionName === null && !PATH.test(text!)) continue;
+      if (functionName === null) path = text!;
+      references.push({ path, functionName });
+    }
+  }
+  return references;
+}
+
+/** Whether a file has a name as a whole word. */
+function occursIn(path: string, name: string): boolean {
+  return new RegExp(`\\b${name}\\b`).test(readFileSync(path, "utf8"));
+}
+
+/** What is wrong with a reference; null: nothing. */
+function faultOf({ path, functionName }: Reference): string | null {
+  if (path === null) return `${functionName}(): no file is named before it`;
+  if (!existsSync(path)) return `${path}: no such file`;
+  if (functionName === null || occursIn(path, functionName)) return null;
+  return `${path}: no ${functionName}`;
+}
+
+test("the architecture page names files and functions that exist", () => {
+  const references = referencesOf(readFileSync("docs/architecture.md", "utf8"));
+  assert.ok(references.length > 0);
+  assert.deepEqual(
+    references.map(faultOf).filter((fault) => fault !== null),
+    [],
+  );
+});
+
+test("a missing file, a missing function and a function without a file are seen", () => {
+  const page = [
+    "- `src/no-such.ts` `step()`",
+    "- `src/coordination/controller.ts` `noSuchFunction()`, `step()`",
+    "- `step()`",
+  ].join("\n");
+  assert.deepEqual(referencesOf(page).map(faultOf), [
+    "src/no-such.ts: no such file",
+    "src/no-such.ts: no such file",
+    null,
+    "src/coordination/controller.ts: no noSuchFunction",
+    null,
+    "step(): no file is named before it",
+  ]);
+});
