--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -24,7 +24,8 @@
 import { NO_USE } from "./machines/resource-ledger.js";
 import { ObservedLimits, type ResourceAmounts } from "./quota/index.js";
 import { PartitionLeader } from "./scheduling/partition-leader.js";
-import { StoreCache, type StoreEvent } from "./store/store-cache.js";
+import { StoreCache } from "./store/store-cache.js";
+import type { StoreEvent } from "./store/store-events.js";
 import type {
   JobSpec,
   MachineType,
@@ -386,27 +387,25 @@
   private onStoreEvents(seen: readonly StoreEvent[]): void {
     for (const s of seen) {
       switch (s.kind) {
-        case "group":
-          break;
         case "job":
           for (const m of this.leaders.values()) m.syncJob(s.job);
           this.dependencies.onJob(s.job);
           break;
-        case "jobGone":
+        case "jobRemoved":
           for (const m of this.leaders.values()) m.removeJob(s.id);
           this.dependencies.onJobRemoved(s.id);
           break;
-        case "past":
-          this.dependencies.onFinalRecord(s.id, s.past);
+        case "final":
+          this.dependencies.onFinalRecord(s.id, s.record);
           break;
-        case "fin": {
+        case "completion": {
           const job = this.cache.jobs.get(s.id);
           if (job)
             for (const m of this.leaders.values())
               if (m.state.jobs.has(s.id)) m.syncJob(job);
           break;
         }
-        case "room":
+        case "capacity":
           this.pendingAssignments.delete(s.partition);
           break;
         case "unreadable":
--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -9,7 +9,7 @@
 import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
 import { finalRecordOf } from "./job-completion.js";
-import { type JobView, ownDueAt } from "../store/store-cache.js";
+import { type JobView, ownDueAt } from "../store/job-view.js";
 import { type JobSpec, PRIORITIES } from "../model.js";
 import type { RangeSet } from "./range-set.js";
 import { turnOf } from "./job-partitioner.js";
--- a/src/coordination/leadership/orphaned-tasks.ts
+++ b/src/coordination/leadership/orphaned-tasks.ts
@@ -6,7 +6,7 @@
 } from "../../storage/records.js";
 import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
-import type { JobView } from "../store/store-cache.js";
+import type { JobView } from "../store/job-view.js";
 import type { JobSpec } from "../model.js";
 import type { RangeSet } from "../jobs/range-set.js";
 import { reassigned } from "../jobs/job-partitioner.js";
--- a/src/coordination/machines/worker-state.ts
+++ b/src/coordination/machines/worker-state.ts
@@ -1,5 +1,5 @@
 import type { PendingTransfer } from "../leadership/pending-transfer.js";
-import type { JobView } from "../store/store-cache.js";
+import type { JobView } from "../store/job-view.js";
 import type { ExitCause, MachineType, TaskState } from "../model.js";
 import type { Resources } from "../scheduling/placement.js";
 import { RangeSet } from "../jobs/range-set.js";
--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -10,7 +10,7 @@
   QuotaAllocator,
   GuaranteeShortfallLog,
 } from "../quota/index.js";
-import type { JobView } from "../store/store-cache.js";
+import type { JobView } from "../store/job-view.js";
 import type { Command, Heartbeat } from "../model.js";
 import { Rebalancer } from "./rebalancer.js";
 import { offerKey } from "./placement.js";
--- a/src/coordination/store/store-cache.ts
+++ b/src/coordination/store/store-cache.ts
@@ -1,357 +1,387 @@
+/**
+ * The controller's replica of the live records in the state service, and of recent final records. It is kept up to date by
+ * one watch and by reads (see `StoreWatcher`), and reports each change that it takes in as a `StoreEvent`.
+ */
 import type { Change, Item } from "../../protocol/state.js";
 import {
+  type CapacityRecord,
+  type FinalRecord,
   type LeadershipBidRecord,
   type PartitionRecord,
-  type JobRecord,
-  type FinalRecord,
+  type Reclaim,
+  type RegistryRecord,
+  type StoreKey,
+  type StoreKeyKind,
   parseKey,
   readAttempt,
-  readLeadershipBid,
+  readCapacity,
   readCompletion,
-  readPartition,
-  readJob,
   readFinal,
-  readQuota,
-  readCapacity,
-  readRegistry,
-  type CapacityRecord,
-  type RegistryRecord,
+  readJob,
+  readLeadershipBid,
   readObservedLimits,
+  readPartition,
+  readQuota,
   readReclaims,
-  type Reclaim,
+  readRegistry,
 } from "../../storage/records.js";
-import type { QuotaRecord } from "../quota/quota-records.js";
-import type { JobSpec, EffectivePriority } from "../model.js";
-import { type GangView, NO_GANG } from "../scheduling/spread-gangs.js";
 import { RangeSet } from "../jobs/range-set.js";
+import type { QuotaRecord } from "../quota/quota-records.js";
+import type { GangView } from "../scheduling/spread-gangs.js";
+import { JobProgressCache } from "./job-progress-cache.js";
+import { type JobView, newJobView, updateJobView } from "./job-view.js";
+import type { StoreEvent } from "./store-events.js";
 
-export interface JobView extends EffectivePriority {
-  id: string;
-  spec: JobSpec;
-  assignment: Map<string, RangeSet>;
-  /** Jobs that it waits for, as its record names them; empty once it may start. */
-  dependsOn: readonly string[];
-  releasedAt: number | null;
-  revision: number;
-}
+/** About 150 bytes each: a question about any of these costs no read. */
+const MAX_FINAL_RECORDS = 20_000;
 
-/** What changed in the mirror, for those who act on it. */
-export type StoreEvent =
-  | { kind: "job"; job: JobView; fresh: boolean }
-  | { kind: "jobGone"; id: string }
-  | { kind: "past"; id: string; past: FinalRecord }
-  | { kind: "group" | "claim"; partition: string }
-  | { kind: "fin"; id: string }
-  | { kind: "room"; partition: string }
-  | { kind: "limits" | "belief" }
-  | { kind: "unreadable"; key: string };
+/** Final records never change, and are neither dropped nor compared by revision. */
+type LiveKeyKind = Exclude<StoreKeyKind, "past">;
 
-/** When its own deadline is, as time of day. */
-export const ownDueAt = (spec: JobSpec, acceptedAt: number): number =>
-  spec.deadlineS === null ? Infinity : acceptedAt + spec.deadlineS * 1000;
+interface RecordChange<Kind extends LiveKeyKind> {
+  /** The key as it is stored. */
+  key: string;
+  /** The same key, parsed. */
+  parsed: StoreKey<Kind>;
+  revision: number;
+}
 
-/** About 150 bytes each: a question about any of these costs no read. */
-const MAX_FINAL_RECORDS = 20_000;
+/** How the cache takes in the records of one kind. */
+interface RecordHandler<Kind extends LiveKeyKind> {
+  /** The record was written; null: its value can't be read, and nothing was changed. */
+  put(change: RecordChange<Kind>, value: unknown): StoreEvent[] | null;
+  /** The record was deleted. */
+  drop(change: RecordChange<Kind>): StoreEvent[];
+}
+type RecordHandlers = {
+  readonly [Kind in LiveKeyKind]: RecordHandler<Kind>;
+};
 
 /**
- * A controller's copy of everything alive in the state service, kept up to date by one watch. `epoch` says
- * how far it goes; it never shows a key older than it has shown before (a late answer changes nothing).
+ * Live records as of `revision`. Invariant: the cache never shows a record older than one it has shown before; an answer
+ * that arrives late changes nothing.
  */
 export class StoreCache {
+  /** Store revision up to which all changes are taken in. */
   revision = 0;
+  /** Whether all live records have been read once. */
   ready = false;
+  /** Who leads each partition; `version` is the record's store revision. */
   readonly partitions = new Map<
     string,
     PartitionRecord & { version: number }
   >();
+  /** Bids for the leadership of partitions; `version` is the record's store revision. */
   readonly leadershipBids = new Map<
     string,
     LeadershipBidRecord & { version: number }
   >();
   readonly jobs = new Map<string, JobView>();
+  /** Capacity records by partition. */
   readonly capacities = new Map<string, CapacityRecord>();
-  /** group -> chunk -> machines */
+  /** Machine registries by partition and chunk. */
   readonly registries = new Map<string, Map<number, RegistryRecord>>();
-  /** Counts changes of `limits`. */
+  /** Counts changes of `quotaRecords`. */
   quotaRecordsSequence = 0;
-  /** Parts of the teams' limits, by key. */
+  /** The partitions' shares of the teams' quotas, by key. */
   readonly quotaRecords = new Map<string, QuotaRecord>();
-  /** Which limits the live controllers go by, as their hash. */
+  /** Which limits the live controllers go by, as their hash; by controller label. */
   readonly observedLimits = new Map<string, string>();
+  /** What partition leaders stop for teams below their guarantee, by partition. */
   reclaims: ReadonlyMap<string, readonly Reclaim[]> = new Map();
-  /** By group: the revision of the last change of who owns it, its end included. */
+  /** By partition: the revision of the last change of its leader, the end of a leadership included. */
   readonly leaderChangedRevision = new Map<string, number>();
-  /** Final states: never change, so they may be kept; the most recent ones only. */
+  /** Final records never change, so they may be kept; only the most recent ones are. */
   readonly finalRecords = new Map<string, FinalRecord>();
-  private readonly gangs = new Map<
-    string,
-    GangView & { ready: Map<string, number> }
-  >();
-  private readonly completions = new Map<string, Map<string, RangeSet>>();
-  private readonly sideKeysByJob = new Map<string, Set<string>>();
+  private readonly progress = new JobProgressCache();
+  /** Revision of the last change of each live key. */
   private readonly revisions = new Map<string, number>();
+  /** By key: the revision of this controller's own last commit, as long as the cache has not reached it. */
+  private readonly ownCommits = new Map<string, number>();
 
-  /** Finished tasks of a job, by group, as far as they are written. */
+  /** Finished tasks of a job by partition, as far as they are written. */
   finished(id: string): ReadonlyMap<string, RangeSet> {
-    return this.completions.get(id) ?? new Map<string, RangeSet>();
+    return this.progress.finished(id);
   }
-  /** Tasks of a job that are written as finished, in all groups. */
+
+  /** Tasks of a job that are written as finished, in all partitions. */
   finishedCount(id: string): number {
-    return this.completionCounts.get(id) ?? 0;
+    return this.progress.finishedCount(id);
+  }
+
+  /** The finished tasks of a job in all partitions, as a new set. */
+  allFinished(id: string): RangeSet {
+    const all = RangeSet.empty();
+    for (const tasks of this.finished(id).values()) all.addAll(tasks);
+    return all;
   }
-  private readonly completionCounts = new Map<string, number>();
+
+  /** The attempts of a gang, as far as they are written. */
   gang(id: string): GangView {
-    return this.gangs.get(id) ?? NO_GANG;
+    return this.progress.gang(id);
   }
-  /** Records that belong to a job beside its own: they go when it is over. */
+
+  /** Keys of the records that a job has beside its own: they are deleted when it is over. */
   sideKeys(id: string): string[] {
-    return [...(this.sideKeysByJob.get(id) ?? [])];
+    return this.progress.keysOf(id);
+  }
+
+  /** Jobs that are over but left such records behind. */
+  leftovers(): string[] {
+    return [...this.progress.jobIds()].filter((id) => !this.jobs.has(id));
   }
+
   /** Revision of a key's last change, as far as seen; 0: it does not exist. */
   observedRevisionOf(key: string): number {
     return this.revisions.get(key) ?? 0;
   }
-  /** A commit of this controller was carried out, as this revision. */
+
+  /** Notes that a transaction of this controller wrote the key at this revision. */
   noteCommitted(key: string, revision: number): void {
     if (revision > this.revision) this.ownCommits.set(key, revision);
   }
+
   /**
-   * The revision that a commit which follows on what this controller knows is to be conditional on: of its own last commit, if
-   * this copy has not come to that yet. So a transaction without an answer that is carried out late, after newer ones of
-   * the same controller or of its present life, changes nothing.
+   * The revision that a transaction is to be conditional on if it follows from what this controller knows: that of its own
+   * last commit, if the cache has not reached that yet. So an indeterminate transaction that is carried out late, after
+   * newer ones of the same controller, changes nothing.
    */
   latestRevisionOf(key: string): number {
     return this.ownCommits.get(key) ?? this.observedRevisionOf(key);
   }
-  private readonly ownCommits = new Map<string, number>();
-  private advanceTo(revision: number): void {
-    this.revision = Math.max(this.revision, revision);
-    for (const [key, revision] of this.ownCommits)
-      if (revision <= this.revision) this.ownCommits.delete(key);
-  }
-  /** Jobs that are over but left such records behind. */
-  leftovers(): string[] {
-    const out: string[] = [];
-    for (const id of this.sideKeysByJob.keys())
-      if (!this.jobs.has(id)) out.push(id);
-    return out;
-  }
-  allFinished(id: string): RangeSet {
-    const all = RangeSet.empty();
-    for (const set of this.finished(id).values()) all.addAll(set);
-    return all;
-  }
-  keepFinalRecord(id: string, p: FinalRecord): void {
+
+  /** Keeps a final record, and forgets the one that was kept longest ago if there are too many. */
+  keepFinalRecord(id: string, record: FinalRecord): void {
     this.finalRecords.delete(id);
-    this.finalRecords.set(id, p);
+    this.finalRecords.set(id, record);
     if (this.finalRecords.size > MAX_FINAL_RECORDS)
       this.finalRecords.delete(this.finalRecords.keys().next().value!);
   }
 
-  /** The whole of what is alive, read anew: what is absent has gone. */
+  /** Takes in a list of all live records: a record that is absent from it was deleted. */
   reload(items: readonly Item[], revision: number): StoreEvent[] {
-    const seen: StoreEvent[] = [];
-    const present = new Set(items.map((i) => i.key));
+    const events: StoreEvent[] = [];
+    const present = new Set(items.map((item) => item.key));
     for (const [key, revision] of this.revisions)
       if (!present.has(key) && revision <= revision)
-        seen.push(...this.drop(key, revision));
-    // Groups first, jobs last: a master that starts on its group's record then finds all its jobs as old ones.
-    for (const i of items) seen.push(...this.put(i.key, i.value, i.version));
+        events.push(...this.drop(key, revision));
+    // Partitions first, jobs last: a leader that starts on its partition's record then finds all its jobs as known ones.
+    for (const item of items)
+      events.push(...this.put(item.key, item.value, item.version));
     this.advanceTo(revision);
     this.ready = true;
-    return seen;
+    return events;
   }
 
+  /** Takes in the changes up to a revision. */
   apply(changes: readonly Change[], revision: number): StoreEvent[] {
-    const seen: StoreEvent[] = [];
-    for (const c of changes) {
-      if (c.op === "put") seen.push(...this.put(c.key, c.value, c.version));
-      else seen.push(...this.drop(c.key, c.version));
+    const events: StoreEvent[] = [];
+    for (const change of changes) {
+      if (change.op === "put")
+        events.push(...this.put(change.key, change.value, change.version));
+      else events.push(...this.drop(change.key, change.version));
     }
     this.advanceTo(revision);
-    return seen;
+    return events;
+  }
+
+  private advanceTo(revision: number): void {
+    this.revision = Math.max(this.revision, revision);
+    for (const [key, committedRevision] of this.ownCommits)
+      if (committedRevision <= this.revision) this.ownCommits.delete(key);
   }
 
   private put(key: string, value: unknown, revision: number): StoreEvent[] {
-    const k = parseKey(key);
-    if (!k) return [];
-    if (k.kind === "past") {
-      const p = readFinal(value);
-      if (!p) return [{ kind: "unreadable", key }];
-      this.keepFinalRecord(k.id, p);
-      return [{ kind: "past", id: k.id, past: p }];
-    }
-    // A change that this copy has passed already (two reads may overlap) says nothing new.
-    if (
-      revision <= (this.revisions.get(key) ?? 0) ||
-      (revision <= this.revision && this.ready)
-    )
-      return [];
+    const parsed = parseKey(key);
+    if (!parsed) return [];
+    if (parsed.kind === "past") return this.putFinal(key, parsed.id, value);
+    if (this.isKnown(key, revision)) return [];
     this.revisions.set(key, revision);
-    switch (k.kind) {
-      case "group": {
-        const r = readPartition(value);
-        if (!r) return [{ kind: "unreadable", key }];
-        this.partitions.set(k.partition, { ...r, version: revision });
-        this.leaderChangedRevision.set(k.partition, revision);
-        return [{ kind: "group", partition: k.partition }];
-      }
-      case "claim": {
-        const r = readLeadershipBid(value);
-        if (!r) return [{ kind: "unreadable", key }];
-        this.leadershipBids.set(k.partition, { ...r, version: revision });
-        return [{ kind: "claim", partition: k.partition }];
-      }
-      case "room": {
-        const r = readCapacity(value);
-        if (!r) return [{ kind: "unreadable", key }];
-        this.capacities.set(k.partition, r);
-        return [{ kind: "room", partition: k.partition }];
-      }
-      case "roster": {
-        const r = readRegistry(value);
-        if (!r) return [{ kind: "unreadable", key }];
-        let chunks = this.registries.get(k.partition);
-        if (!chunks)
-          this.registries.set(
-            k.partition,
-            (chunks = new Map<number, RegistryRecord>()),
-          );
-        chunks.set(k.chunk, r);
-        return [];
-      }
-      case "limits":
-        this.quotaRecordsSequence++;
-        this.quotaRecords.set(key, {
-          shares: readQuota(value) ?? {},
-          revision,
-        });
-        return [{ kind: "limits" }];
-      case "belief": {
-        const limits = readObservedLimits(value);
-        if (limits === null) return [{ kind: "unreadable", key }];
-        this.observedLimits.set(k.label, limits);
-        return [{ kind: "belief" }];
-      }
-      case "reclaim":
-        this.reclaims = readReclaims(value) ?? new Map();
-        return [];
-      case "fin": {
-        const r = readCompletion(value, k.chunk);
-        if (!r) return [{ kind: "unreadable", key }];
-        let byPartition = this.completions.get(k.id);
-        if (!byPartition)
-          this.completions.set(
-            k.id,
-            (byPartition = new Map<string, RangeSet>()),
-          );
-        const set = byPartition.get(k.partition) ?? RangeSet.empty();
-        const had = set.size;
-        set.addAll(r);
-        this.completionCounts.set(
-          k.id,
-          this.finishedCount(k.id) + set.size - had,
-        );
-        byPartition.set(k.partition, set);
-        this.noteSideKey(k.id, key);
-        return [{ kind: "fin", id: k.id }];
-      }
-      case "gang":
-      case "ready": {
-        const attempt = readAttempt(value);
-        if (attempt === null) return [{ kind: "unreadable", key }];
-        let g = this.gangs.get(k.id);
-        if (!g)
-          this.gangs.set(
-            k.id,
-            (g = { attempt: 0, revision: 0, ready: new Map() }),
-          );
-        if (k.kind === "gang") {
-          g.attempt = attempt;
-          g.revision = revision;
-        } else g.ready.set(k.partition, attempt);
-        this.noteSideKey(k.id, key);
-        return [{ kind: "fin", id: k.id }];
-      }
-      case "job": {
-        const r: JobRecord | null = readJob(value);
-        if (!r) return [{ kind: "unreadable", key }];
-        const old = this.jobs.get(k.id);
-        if (old) {
-          old.assignment = r.assignment;
-          old.dependsOn = r.dependsOn;
-          // An earlier version that moves tasks leaves the time of release out.
-          old.releasedAt = r.releasedAt ?? old.releasedAt;
-          old.readyAt = old.releasedAt ?? old.acceptedAt;
-          old.revision = revision;
-          return [{ kind: "job", job: old, fresh: false }];
-        }
-        const { spec, ...rest } = r;
-        const job: JobView = {
-          id: k.id,
-          spec,
-          ...rest,
-          readyAt: r.releasedAt ?? r.acceptedAt,
-          priority: spec.priority,
-          dueAt: ownDueAt(spec, r.acceptedAt),
-          revision,
-        };
-        this.jobs.set(k.id, job);
-        return [{ kind: "job", job, fresh: true }];
-      }
-    }
+    const events = this.handle(parsed, (handler, narrowed) =>
+      handler.put({ key, parsed: narrowed, revision }, value),
+    );
+    return events ?? [{ kind: "unreadable", key }];
+  }
+
+  private putFinal(key: string, id: string, value: unknown): StoreEvent[] {
+    const record = readFinal(value);
+    if (!record) return [{ kind: "unreadable", key }];
+    this.keepFinalRecord(id, record);
+    return [{ kind: "final", id, record }];
   }
 
-  private noteSideKey(id: string, key: string): void {
-    let keys = this.sideKeysByJob.get(id);
-    if (!keys) this.sideKeysByJob.set(id, (keys = new Set()));
-    keys.add(key);
+  /** Whether the cache has passed a change already: two reads may overlap. */
+  private isKnown(key: string, revision: number): boolean {
+    return (
+      revision <= this.observedRevisionOf(key) ||
+      (revision <= this.revision && this.ready)
+    );
   }
 
   private drop(key: string, revision: number): StoreEvent[] {
-    const k = parseKey(key);
-    if (!k || k.kind === "past") return [];
-    if (revision < (this.revisions.get(key) ?? 0)) return [];
+    const parsed = parseKey(key);
+    if (!parsed || parsed.kind === "past") return [];
+    if (revision < this.observedRevisionOf(key)) return [];
     this.revisions.delete(key);
-    switch (k.kind) {
-      case "group":
-        this.partitions.delete(k.partition);
-        this.leaderChangedRevision.set(k.partition, revision);
-        return [{ kind: "group", partition: k.partition }];
-      case "claim":
-        this.leadershipBids.delete(k.partition);
-        return [{ kind: "claim", partition: k.partition }];
-      case "room":
-        this.capacities.delete(k.partition);
-        return [{ kind: "room", partition: k.partition }];
-      case "roster":
-        this.registries.get(k.partition)?.delete(k.chunk);
+    return this.handle(parsed, (handler, narrowed) =>
+      handler.drop({ key, parsed: narrowed, revision }),
+    );
+  }
+
+  /** Calls the handler of the key's kind; the type parameter ties the handler to the key. */
+  private handle<Kind extends LiveKeyKind, Result>(
+    parsed: StoreKey<Kind>,
+    call: (handler: RecordHandler<Kind>, parsed: StoreKey<Kind>) => Result,
+  ): Result {
+    return call(this.handlers[parsed.kind], parsed);
+  }
+
+  private readonly handlers: RecordHandlers = {
+    group: {
+      put: ({ parsed: { partition }, revision }, value) => {
+        const record = readPartition(value);
+        if (!record) return null;
+        this.partitions.set(partition, { ...record, version: revision });
+        this.leaderChangedRevision.set(partition, revision);
+        return [{ kind: "partition", partition }];
+      },
+      drop: ({ parsed: { partition }, revision }) => {
+        this.partitions.delete(partition);
+        this.leaderChangedRevision.set(partition, revision);
+        return [{ kind: "partition", partition }];
+      },
+    },
+    claim: {
+      put: ({ parsed: { partition }, revision }, value) => {
+        const record = readLeadershipBid(value);
+        if (!record) return null;
+        this.leadershipBids.set(partition, { ...record, version: revision });
+        return [{ kind: "leadershipBid", partition }];
+      },
+      drop: ({ parsed: { partition } }) => {
+        this.leadershipBids.delete(partition);
+        return [{ kind: "leadershipBid", partition }];
+      },
+    },
+    room: {
+      put: ({ parsed: { partition } }, value) => {
+        const record = readCapacity(value);
+        if (!record) return null;
+        this.capacities.set(partition, record);
+        return [{ kind: "capacity", partition }];
+      },
+      drop: ({ parsed: { partition } }) => {
+        this.capacities.delete(partition);
+        return [{ kind: "capacity", partition }];
+      },
+    },
+    roster: {
+      put: ({ parsed: { partition, chunk } }, value) => {
+        const record = readRegistry(value);
+        if (!record) return null;
+        this.registryOrNew(partition).set(chunk, record);
+        return [];
+      },
+      drop: ({ parsed: { partition, chunk } }) => {
+        this.registries.get(partition)?.delete(chunk);
         return [];
-      case "limits":
+      },
+    },
+    limits: {
+      put: ({ key, revision }, value) => {
+        this.quotaRecordsSequence++;
+        const shares = readQuota(value) ?? {};
+        this.quotaRecords.set(key, { shares, revision });
+        return [{ kind: "quota" }];
+      },
+      drop: ({ key }) => {
         this.quotaRecordsSequence++;
         this.quotaRecords.delete(key);
-        return [{ kind: "limits" }];
-      case "belief":
-        this.observedLimits.delete(k.label);
-        return [{ kind: "belief" }];
-      case "reclaim":
-        this.reclaims = new Map();
+        return [{ kind: "quota" }];
+      },
+    },
+    belief: {
+      put: ({ parsed: { label } }, value) => {
+        const limits = readObservedLimits(value);
+        if (limits === null) return null;
+        this.observedLimits.set(label, limits);
+        return [{ kind: "observedLimits" }];
+      },
+      drop: ({ parsed: { label } }) => {
+        this.observedLimits.delete(label);
+        return [{ kind: "observedLimits" }];
+      },
+    },
+    reclaim: {
+      put: (_change, value) => {
+        this.reclaims = readReclaims(value) ?? new Map();
         return [];
-      case "fin":
-      case "gang":
-      case "ready": {
-        const keys = this.sideKeysByJob.get(k.id);
-        keys?.delete(key);
-        if (keys?.size === 0) {
-          this.sideKeysByJob.delete(k.id);
-          this.completions.delete(k.id);
-          this.completionCounts.delete(k.id);
-          this.gangs.delete(k.id);
-        }
+      },
+      drop: () => {
+        this.reclaims = new Map();
         return [];
-      }
-      case "job":
-        return this.jobs.delete(k.id) ? [{ kind: "jobGone", id: k.id }] : [];
+      },
+    },
+    fin: {
+      put: ({ key, parsed: { id, partition, chunk } }, value) => {
+        const tasks = readCompletion(value, chunk);
+        if (!tasks) return null;
+        this.progress.addFinished(key, id, partition, tasks);
+        return [{ kind: "completion", id }];
+      },
+      drop: ({ key, parsed: { id } }) => this.dropProgress(key, id),
+    },
+    gang: {
+      put: ({ key, parsed: { id }, revision }, value) => {
+        const attempt = readAttempt(value);
+        if (attempt === null) return null;
+        this.progress.setAttempt(key, id, attempt, revision);
+        return [{ kind: "completion", id }];
+      },
+      drop: ({ key, parsed: { id } }) => this.dropProgress(key, id),
+    },
+    ready: {
+      put: ({ key, parsed: { id, partition } }, value) => {
+        const attempt = readAttempt(value);
+        if (attempt === null) return null;
+        this.progress.setReady(key, id, partition, attempt);
+        return [{ kind: "completion", id }];
+      },
+      drop: ({ key, parsed: { id } }) => this.dropProgress(key, id),
+    },
+    job: {
+      put: ({ parsed: { id }, revision }, value) =>
+        this.putJob(id, value, revision),
+      drop: ({ parsed: { id } }) =>
+        this.jobs.delete(id) ? [{ kind: "jobRemoved", id }] : [],
+    },
+  };
+
+  private putJob(
+    id: string,
+    value: unknown,
+    revision: number,
+  ): StoreEvent[] | null {
+    const record = readJob(value);
+    if (!record) return null;
+    const known = this.jobs.get(id);
+    if (known) updateJobView(known, record, revision);
+    const job = known ?? newJobView(id, record, revision);
+    if (!known) this.jobs.set(id, job);
+    return [{ kind: "job", job }];
+  }
+
+  private dropProgress(key: string, id: string): StoreEvent[] {
+    this.progress.remove(key, id);
+    return [];
+  }
+
+  private registryOrNew(partition: string): Map<number, RegistryRecord> {
+    let chunks = this.registries.get(partition);
+    if (!chunks) {
+      chunks = new Map<number, RegistryRecord>();
+      this.registries.set(partition, chunks);
     }
+    return chunks;
   }
 }
--- a/src/coordination/store/store-watcher.ts
+++ b/src/coordination/store/store-watcher.ts
@@ -8,7 +8,7 @@
 import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
 import { FairQueue } from "./fair-queue.js";
-import type { StoreEvent } from "./store-cache.js";
+import type { StoreEvent } from "./store-events.js";
 import type { Leadership } from "../leadership/leadership.js";
 import { RateLimitedLog } from "../../logging/rate-limited-log.js";
 
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -44,15 +44,26 @@
 /** What controllers stop of teams that are beyond their guarantee, for teams that are not. */
 export const RECLAIM_KEY = "lc/now/reclaim";
 
-export type StoreKey =
-  | { kind: "group" | "claim" | "room"; partition: string }
-  | { kind: "job" | "past"; id: string }
-  | { kind: "fin"; id: string; partition: string; chunk: number }
-  | { kind: "roster"; partition: string; chunk: number }
-  | { kind: "gang"; id: string }
-  | { kind: "ready"; id: string; partition: string }
-  | { kind: "limits" | "reclaim" }
-  | { kind: "belief"; label: string };
+/** What the keys of each kind of record name. */
+export interface StoreKeyFields {
+  group: { partition: string };
+  claim: { partition: string };
+  room: { partition: string };
+  job: { id: string };
+  past: { id: string };
+  fin: { id: string; partition: string; chunk: number };
+  roster: { partition: string; chunk: number };
+  gang: { id: string };
+  ready: { id: string; partition: string };
+  limits: object;
+  reclaim: object;
+  belief: { label: string };
+}
+export type StoreKeyKind = keyof StoreKeyFields;
+/** A parsed key, discriminated by the kind of its record; with a type argument, only the keys of these kinds. */
+export type StoreKey<Kind extends StoreKeyKind = StoreKeyKind> = {
+  [K in Kind]: { kind: K } & StoreKeyFields[K];
+}[Kind];
 
 export function parseKey(key: string): StoreKey | null {
   const p = key.split("/");
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -3,7 +3,7 @@
 import { DEFAULTS } from "../src/config/operator.js";
 import type { Context } from "../src/coordination/context.js";
 import type { CloudCall, CloudReply } from "../src/coordination/effects.js";
-import { ownDueAt } from "../src/coordination/store/store-cache.js";
+import { ownDueAt } from "../src/coordination/store/job-view.js";
 import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
 import type { JobSpec, MachineType } from "../src/coordination/model.js";
 import {
