--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -189,15 +189,13 @@
     ): void => this.state(call, priority, done);
     const later = (req: number, why: string, afterS = 1): void =>
       this.answer(req, { kind: "retryLater", afterS, why });
-    this.watcher = new StoreWatcher(
-      this,
-      this.leadership,
-      state,
-      (seen) => this.onStoreEvents(seen),
-      (from, to, changes) => this.publishChanges(from, to, changes),
-      (afterMs) => this.effects.push({ type: "wake", afterMs }),
-      later,
-    );
+    this.watcher = new StoreWatcher(this, this.leadership, {
+      callStore: state,
+      onEvents: (events) => this.onStoreEvents(events),
+      onChanges: (from, to, changes) => this.publishChanges(from, to, changes),
+      requestWake: (afterMs) => this.effects.push({ type: "wake", afterMs }),
+      refuse: later,
+    });
     this.jobRequests = new JobRequests(
       this,
       this.leaders,
--- a/src/coordination/store/final-status-reader.ts
+++ b/src/coordination/store/final-status-reader.ts
@@ -1,4 +1,8 @@
-import type { StateCall, StateReply } from "../../protocol/state.js";
+/**
+ * Reads final records that the store cache does not keep. It owns the reads that are in flight and the questions that wait
+ * for one.
+ */
+import type { StateReply } from "../../protocol/state.js";
 import {
   finalKey,
   type FinalRecord,
@@ -6,92 +10,114 @@
 } from "../../storage/records.js";
 import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
+import type { CallStore } from "./call-store.js";
 import { FairQueue } from "./fair-queue.js";
 
-/** Reads on their way at once, and questions that wait for one: users also ask for what nobody submitted. */
+/** Reads in flight at once. */
 const MAX_READS = 12;
+/** Questions that wait for a read: users also ask for jobs that nobody submitted. */
 const MAX_WAITING = 300;
 
+/** Both null: the job has no final record. `failure`: why that can't be known now. */
 type OnFinalStatus = (
   finalRecord: FinalRecord | null,
-  failed: string | null,
+  failure: string | null,
 ) => void;
+
 interface PendingQuestion {
   readonly id: string;
-  atMs: number;
-  done: OnFinalStatus;
+  /** When it was asked; steady time, ms. */
+  readonly askedMs: number;
+  readonly done: OnFinalStatus;
+}
+
+interface ReadResult {
+  readonly finalRecord: FinalRecord | null;
+  readonly failure: string | null;
 }
 
-/** Final states that this controller's copy does not hold: one read serves all that asked for the same job before it was sent. */
+/** One read serves all that asked for the same job before it was sent. */
 export class FinalStatusReader {
-  private readonly reading = new Map<string, PendingQuestion[]>();
+  private readonly readsInFlight = new Map<string, PendingQuestion[]>();
   private readonly waiting = new FairQueue<PendingQuestion>(MAX_WAITING);
 
   constructor(
     private readonly ctx: Context,
-    private readonly state: (
-      call: StateCall,
-      priority: CallPriority,
-      done: (r: StateReply, sentMs: number) => void,
-    ) => void,
+    private readonly callStore: CallStore,
     private readonly onFound: (id: string, finalRecord: FinalRecord) => void,
   ) {}
 
-  /** `past` null: it has none, or `failed` says why that can't be known now. */
+  /** Reads the final record of a job, and answers with it or with the reason why it can't be known now. */
   ask(id: string, done: OnFinalStatus): void {
-    const asked = { id, atMs: this.ctx.nowMs, done };
-    if (!this.start(asked))
-      this.waiting.add(asked, this.ctx.nowMs)?.done(null, "too many questions");
+    const question = { id, askedMs: this.ctx.nowMs, done };
+    if (this.start(question)) return;
+    const refused = this.waiting.add(question, this.ctx.nowMs);
+    refused?.done(null, "too many questions");
+  }
+
+  /** Questions refused so far. */
+  get refused(): number {
+    return this.waiting.refused;
+  }
+
+  /** Since when (steady time, ms) the job that has been refused longest is refused; null: there is none. */
+  get oldestMs(): number | null {
+    return this.waiting.oldestMs(this.ctx.nowMs);
   }
 
-  /** Joins the read of this job that is under way, or begins one; false: there are as many as there may be. */
-  private start(a: PendingQuestion): boolean {
-    const others = this.reading.get(a.id);
-    // One that is on its way was sent before, or is not sent yet: `sentMs` tells.
-    if (others) others.push(a);
-    else if (this.reading.size < MAX_READS) this.read(a.id, [a]);
+  /** Joins the read of this job that is in flight, or begins one; false: there are as many as there may be. */
+  private start(question: PendingQuestion): boolean {
+    const others = this.readsInFlight.get(question.id);
+    // The read may have been sent before this question came; `sentMs` tells when it is answered.
+    if (others) others.push(question);
+    else if (this.readsInFlight.size < MAX_READS)
+      this.read(question.id, [question]);
     else return false;
     return true;
   }
 
-  private read(id: string, asked: PendingQuestion[]): void {
-    this.reading.set(id, asked);
-    this.state(
+  private read(id: string, questions: PendingQuestion[]): void {
+    this.readsInFlight.set(id, questions);
+    this.callStore(
       { op: "get", key: finalKey(id) },
       CallPriority.UserRequest,
-      (r, sentMs) => {
-        this.reading.delete(id);
-        // Invariant (forgotten): that a job is not there is told only by a read that was sent after the question.
-        const served = asked.filter((a) => a.atMs <= sentMs);
-        const late = asked.filter((a) => a.atMs > sentMs);
-        const p = r.is === "item" && r.item ? readFinal(r.item.value) : null;
-        if (p) this.onFound(id, p);
-        const failed =
-          r.is !== "item"
-            ? "state service does not answer"
-            : r.item && !p
-              ? "unreadable record"
-              : null;
-        if (failed === null) this.waiting.answered(id);
-        for (const a of served) {
-          if (failed !== null) this.waiting.refuse(a, this.ctx.nowMs);
-          a.done(p, failed);
-        }
-        if (late.length > 0) this.read(id, late);
-        this.next();
+      (reply, sentMs) => {
+        this.readsInFlight.delete(id);
+        this.onReply(id, questions, readResult(reply), sentMs);
+        this.startWaiting();
       },
     );
   }
 
-  private next(): void {
-    while (this.reading.size < MAX_READS && this.waiting.size > 0)
-      for (const a of this.waiting.take(1)) this.start(a);
+  private onReply(
+    id: string,
+    questions: readonly PendingQuestion[],
+    { finalRecord, failure }: ReadResult,
+    sentMs: number,
+  ): void {
+    // Invariant (forgotten): that a job is not there is told only by a read that was sent after the question.
+    const served = questions.filter((question) => question.askedMs <= sentMs);
+    const late = questions.filter((question) => question.askedMs > sentMs);
+    if (finalRecord) this.onFound(id, finalRecord);
+    if (failure === null) this.waiting.answered(id);
+    for (const question of served) {
+      if (failure !== null) this.waiting.refuse(question, this.ctx.nowMs);
+      question.done(finalRecord, failure);
+    }
+    if (late.length > 0) this.read(id, late);
   }
 
-  get refused(): number {
-    return this.waiting.refused;
-  }
-  get oldestMs(): number | null {
-    return this.waiting.oldestMs(this.ctx.nowMs);
+  private startWaiting(): void {
+    while (this.readsInFlight.size < MAX_READS && this.waiting.size > 0)
+      for (const question of this.waiting.take(1)) this.start(question);
   }
 }
+
+function readResult(reply: StateReply): ReadResult {
+  if (reply.is !== "item")
+    return { finalRecord: null, failure: "state service does not answer" };
+  if (!reply.item) return { finalRecord: null, failure: null };
+  const finalRecord = readFinal(reply.item.value);
+  const failure = finalRecord ? null : "unreadable record";
+  return { finalRecord, failure };
+}
--- a/src/coordination/store/indeterminate-transactions.ts
+++ b/src/coordination/store/indeterminate-transactions.ts
@@ -1,3 +1,7 @@
+/**
+ * Transactions whose outcome is unknown, remembered to log it when one of them turns out to have been applied. Nothing is
+ * decided by it.
+ */
 import type { Change, Write } from "../../protocol/state.js";
 
 /**
@@ -7,36 +11,51 @@
  */
 const MAX_KEYS = 100;
 
-/** Transactions without an answer, to say in the log when one of them shows all the same: nothing is decided by it. */
+interface IndeterminatePut {
+  /** The value that was put, as JSON. */
+  readonly valueJson: string;
+  /** When its answer was given up; steady time, ms. */
+  readonly givenUpMs: number;
+}
+
+/** A transaction that was applied although its answer was given up. */
+export interface AppliedTransaction {
+  key: string;
+  /** Time since the answer was given up, ms. */
+  afterMs: number;
+}
+
 export class IndeterminateTransactions {
-  /** By key: the value that was put, and when its answer was given up. */
-  private readonly puts = new Map<string, { value: string; atMs: number }>();
+  private readonly putsByKey = new Map<string, IndeterminatePut>();
 
-  /** `nowMs`: steady time. */
+  /** Remembers the writes of a transaction whose answer was given up now; `nowMs`: steady time. */
   note(writes: readonly Write[], nowMs: number): void {
-    for (const w of writes) {
-      if (w.op !== "put") continue;
-      this.puts.delete(w.key);
-      this.puts.set(w.key, { value: JSON.stringify(w.value), atMs: nowMs });
+    for (const write of writes) {
+      if (write.op !== "put") continue;
+      this.putsByKey.delete(write.key);
+      this.putsByKey.set(write.key, {
+        valueJson: JSON.stringify(write.value),
+        givenUpMs: nowMs,
+      });
     }
-    while (this.puts.size > MAX_KEYS)
-      this.puts.delete(this.puts.keys().next().value!);
+    while (this.putsByKey.size > MAX_KEYS)
+      this.putsByKey.delete(this.putsByKey.keys().next().value!);
   }
 
-  /** Which of them these changes show; `afterMs`: since the answer was given up. What was put of the same key since says nothing more of it. */
-  foundIn(
-    changes: readonly Change[],
-    nowMs: number,
-  ): { key: string; afterMs: number }[] {
-    const out: { key: string; afterMs: number }[] = [];
-    if (this.puts.size === 0) return out;
-    for (const c of changes) {
-      const put = this.puts.get(c.key);
+  /** Which of them these changes show. A newer value of the same key says nothing more of the transaction: it is forgotten. */
+  foundIn(changes: readonly Change[], nowMs: number): AppliedTransaction[] {
+    const found: AppliedTransaction[] = [];
+    if (this.putsByKey.size === 0) return found;
+    for (const change of changes) {
+      const put = this.putsByKey.get(change.key);
       if (!put) continue;
-      this.puts.delete(c.key);
-      if (c.op === "put" && JSON.stringify(c.value) === put.value)
-        out.push({ key: c.key, afterMs: Math.round(nowMs - put.atMs) });
+      this.putsByKey.delete(change.key);
+      if (change.op === "put" && JSON.stringify(change.value) === put.valueJson)
+        found.push({
+          key: change.key,
+          afterMs: Math.round(nowMs - put.givenUpMs),
+        });
     }
-    return out;
+    return found;
   }
 }
--- a/src/coordination/store/store-watcher.ts
+++ b/src/coordination/store/store-watcher.ts
@@ -1,43 +1,79 @@
-import type {
-  Change,
-  Item,
-  StateCall,
-  StateReply,
-} from "../../protocol/state.js";
+/**
+ * Keeps the store cache up to date: one watch that is renewed all the time, and reads for questions whose answer must rest
+ * on a read. It owns the state of these requests and the questions that wait for a read.
+ */
+import type { Change, Item, StateReply } from "../../protocol/state.js";
 import { LIVE_PREFIX, ROOT_PREFIX } from "../../storage/records.js";
+import { RateLimitedLog } from "../../logging/rate-limited-log.js";
 import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
+import type { Leadership } from "../leadership/leadership.js";
+import type { CallStore } from "./call-store.js";
 import { FairQueue } from "./fair-queue.js";
 import type { StoreEvent } from "./store-events.js";
-import type { Leadership } from "../leadership/leadership.js";
-import { RateLimitedLog } from "../../logging/rate-limited-log.js";
 
-/** A watch is renewed at least this often: its age is part of the permit. */
+/** A watch is renewed at least this often: leadership leases count from the time at which the last one was sent. */
 const WATCH_RENEWAL_MS = 2_000;
+/** After a failed read or watch the next one waits this long. */
+const WATCH_RETRY_MS = 300;
 /** Reads follow each other no faster than this: one serves all that asked meanwhile. */
 const READ_PAUSE_MS = 60;
+/** Questions that wait for a read. */
 const MAX_WAITING = 400;
 /** A question whose read failed waits for the next one for so long after it came: users wait 2 s for a status. */
 const QUESTION_RETRY_MS = 1_000;
+/** Only a silence of the store of this length is logged. */
+const UNAVAILABLE_AFTER_MS = 3_000;
+
+type ItemsReply = Extract<StateReply, { is: "items" }>;
+type ChangesReply = Extract<StateReply, { is: "changes" }>;
 
+/** A user's request about a job. */
 interface WaitingQuestion {
-  req: number;
-  id: string;
-  atMs: number;
-  next: (req: number, id: string) => void;
+  readonly req: number;
+  readonly id: string;
+  /** When it came; steady time, ms. */
+  readonly askedMs: number;
+  readonly onRead: (req: number, id: string) => void;
+}
+
+/** What a list of all live records has brought so far. */
+interface LoadedPages {
+  readonly items: readonly Item[];
+  /** Store revision of the first page: what changed after it is read again with the changes since. */
+  readonly revision: number;
+  /** When the first page was asked for; steady time, ms. */
+  readonly sentMs: number;
+}
+
+/** What the watcher needs of the core. */
+export interface StoreWatcherPorts {
+  readonly callStore: CallStore;
+  /** Acts on what the cache shows now. */
+  readonly onEvents: (events: readonly StoreEvent[]) => void;
+  /** Passes on all changes between two revisions, also those that the cache doesn't keep. */
+  readonly onChanges: (
+    fromRevision: number,
+    toRevision: number,
+    changes: readonly Change[],
+  ) => void;
+  /** Asks for a call of `onWake` after this time. */
+  readonly requestWake: (afterMs: number) => void;
+  /** Answers a question with the reason why it can't be answered now. */
+  readonly refuse: (req: number, why: string) => void;
 }
 
-/** Keeps a controller's copy of the state service's records up to date: one watch, and reads for questions that need one. */
 export class StoreWatcher {
-  private watching = false;
-  private loading = false;
-  private reading = false;
+  private isWatching = false;
+  private isLoading = false;
+  private isReading = false;
+  private isWakeRequested = false;
+  private isStoreUnavailable = false;
+  /** Steady times, ms, before which no watch is opened and no read is sent. */
   private nextWatchMs = 0;
   private nextReadMs = 0;
-  private waking = false;
   private readonly waiting = new FairQueue<WaitingQuestion>(MAX_WAITING);
-  private storeUnavailable = false;
-  private readonly contradictions: RateLimitedLog;
+  private readonly inconsistencyLog: RateLimitedLog;
 
   constructor(
     private readonly ctx: Context,
@@ -45,174 +81,78 @@
       Leadership,
       "noteRead" | "storeSilenceMs" | "leadershipLeaseUntilMs"
     >,
-    private readonly call: (
-      call: StateCall,
-      priority: CallPriority,
-      done: (r: StateReply, sentMs: number) => void,
-    ) => void,
-    /** Acts on what the copy shows now. */
-    private readonly onEvents: (seen: readonly StoreEvent[]) => void,
-    /** Passes on what was read, beyond what the copy keeps. */
-    private readonly onChanges: (
-      from: number,
-      to: number,
-      changes: readonly Change[],
-    ) => void,
-    /** Asks to be called again. */
-    private readonly requestWake: (afterMs: number) => void,
-    /** Tells a question that it can't be answered now. */
-    private readonly refuse: (req: number, why: string) => void,
+    private readonly ports: StoreWatcherPorts,
   ) {
-    this.contradictions = new RateLimitedLog(ctx);
+    this.inconsistencyLog = new RateLimitedLog(ctx);
   }
 
-  /** What was asked for by `ask`. */
+  /** The wake-up that was asked for by `requestWake`. */
   onWake(): void {
-    this.waking = false;
+    this.isWakeRequested = false;
     this.watch();
     this.readForWaiting();
   }
 
-  private load(
-    after = "",
-    items: Item[] = [],
-    since: number | null = null,
-    firstSentMs = 0,
-  ): void {
-    this.loading = true;
-    this.call(
-      { op: "list", prefix: LIVE_PREFIX, after },
-      CallPriority.Lease,
-      (r, sentMs) => {
-        const newer =
-          r.is === "items"
-            ? r.items.find((i) => i.version > r.epoch)
-            : undefined;
-        if (r.is === "items" && newer)
-          this.contradictions.warn("inconsistent store response", newer.key, {
-            itemRevision: newer.version,
-            storeRevision: r.epoch,
-          });
-        if (r.is !== "items" || newer) {
-          this.loading = false;
-          this.nextWatchMs = this.ctx.nowMs + 300;
-          this.noteAvailability(false);
-          return;
-        }
-        const all = [...items, ...r.items];
-        const from = since ?? r.epoch;
-        const sent = since === null ? sentMs : firstSentMs;
-        const last = r.items.at(-1);
-        if (r.more && last) return this.load(last.key, all, from, sent);
-        this.loading = false;
-        this.onEvents(this.ctx.cache.reload(all, from));
-        this.leadership.noteRead(sent);
-        this.noteAvailability(true);
-        this.watch();
-      },
-    );
-  }
-
+  /** Opens a watch if none is open and it is time to; before the first one, reads all live records. */
   watch(): void {
-    if (this.watching || this.loading || this.ctx.nowMs < this.nextWatchMs)
-      return;
+    if (this.isWatching || this.isLoading) return;
+    if (this.ctx.nowMs < this.nextWatchMs) return;
     if (!this.ctx.cache.ready) return this.load();
-    this.watching = true;
-    this.changes(WATCH_RENEWAL_MS, (ok) => {
-      this.watching = false;
-      this.nextWatchMs = this.ctx.nowMs + (ok ? READ_PAUSE_MS : 300);
-      if (ok) this.wakeIn(READ_PAUSE_MS);
+    this.isWatching = true;
+    this.readChanges(WATCH_RENEWAL_MS, (succeeded) => {
+      this.isWatching = false;
+      const pauseMs = succeeded ? READ_PAUSE_MS : WATCH_RETRY_MS;
+      this.nextWatchMs = this.ctx.nowMs + pauseMs;
+      if (succeeded) this.wakeIn(READ_PAUSE_MS);
     });
   }
 
-  /**
-   * Ticks are 200 ms apart: a watch that was opened again, or questions that were read for, only by the next one left
-   * users and every stage of a line of jobs waiting that long.
-   */
-  private wakeIn(afterMs: number): void {
-    if (this.waking) return;
-    this.waking = true;
-    this.requestWake(afterMs);
-  }
-
-  private changes(waitMs: number, done: (ok: boolean) => void): void {
-    const since = this.ctx.cache.revision;
-    this.call(
-      { op: "changes", prefix: ROOT_PREFIX, since, waitMs },
-      CallPriority.Lease,
-      (r, sentMs) => {
-        // Of no use, and no proof of a read: it tells of changes after the moment that it speaks for, or of a moment before the one asked about.
-        const newer =
-          r.is === "changes"
-            ? r.changes.find((c) => c.version > r.epoch)
-            : undefined;
-        if (r.is === "changes" && (newer || r.epoch < since)) {
-          this.contradictions.warn(
-            "inconsistent store response",
-            newer?.key ?? ROOT_PREFIX,
-            {
-              itemRevision: newer?.version,
-              storeRevision: r.epoch,
-              sinceRevision: since,
-            },
-          );
-          this.noteAvailability(false);
-          return done(false);
-        }
-        if (r.is === "changes") {
-          this.leadership.noteRead(sentMs);
-          this.noteAvailability(true);
-          this.onEvents(this.ctx.cache.apply(r.changes, r.epoch));
-          this.onChanges(since, r.epoch, r.changes);
-          done(true);
-        } else {
-          if (r.is === "gone") {
-            this.ctx.log("store watch fell behind, reading all records", {});
-            if (!this.loading) this.load();
-          } else this.noteAvailability(false);
-          done(false);
-        }
-      },
-    );
-  }
-
-  private noteAvailability(up: boolean): void {
-    if (up === !this.storeUnavailable) return;
-    if (!up && this.leadership.storeSilenceMs < 3_000) return;
-    this.storeUnavailable = !up;
-    if (up) this.ctx.log("store available again", {});
-    else
-      this.ctx.log("store unavailable", {
-        leadershipLeaseRemainingMs: Math.round(
-          this.leadership.leadershipLeaseUntilMs - this.ctx.nowMs,
-        ),
-      });
+  /** Has the next commit seen at once: an open watch shows it, and if none is open, one is opened. */
+  watchSoon(): void {
+    if (this.isWatching) return;
+    this.nextWatchMs = this.ctx.nowMs;
+    this.watch();
   }
 
   /**
+   * Calls `onRead` after a read that is sent from now on, or refuses the question.
+   *
    * Invariant (rules forgotten, went_back): an answer that is not final rests on a read that was sent after the
    * question came. One read serves all questions that came before it.
    */
   afterRead(
     req: number,
     id: string,
-    next: (req: number, id: string) => void,
+    onRead: (req: number, id: string) => void,
   ): void {
-    const past = this.ctx.cache.finalRecords.get(id);
-    if (past) {
+    if (this.ctx.cache.finalRecords.has(id)) {
       this.waiting.answered(id);
-      return next(req, id);
+      return onRead(req, id);
     }
-    if (!this.ctx.cache.ready) return this.refuse(req, "not ready yet");
-    this.wait({ req, id, atMs: this.ctx.nowMs, next });
+    if (!this.ctx.cache.ready) return this.ports.refuse(req, "not ready yet");
+    this.enqueue({ req, id, askedMs: this.ctx.nowMs, onRead });
     this.readForWaiting();
   }
 
-  private wait(w: WaitingQuestion): void {
-    const out = this.waiting.add(w, this.ctx.nowMs);
-    if (out) this.refuse(out.req, "too many requests");
+  /** Sends a read for the questions that wait, if none is in flight and it is time to. */
+  readForWaiting(): void {
+    if (this.isReading || this.waiting.size === 0) return;
+    if (this.ctx.nowMs < this.nextReadMs)
+      return this.wakeIn(this.nextReadMs - this.ctx.nowMs);
+    this.isReading = true;
+    const served = this.waiting.take();
+    this.readChanges(0, (succeeded) => {
+      this.isReading = false;
+      this.nextReadMs = this.ctx.nowMs + READ_PAUSE_MS;
+      for (const question of served) {
+        if (succeeded) this.answer(question);
+        else this.retryOrRefuse(question);
+      }
+      this.readForWaiting();
+    });
   }
-  /** Questions refused so far, and since when the job that has been refused longest is. */
+
+  /** Questions refused so far, and since when (steady time, ms) the job that has been refused longest is; null: none. */
   get refusals(): { refused: number; oldestMs: number | null } {
     return {
       refused: this.waiting.refused,
@@ -220,35 +160,155 @@
     };
   }
 
-  readForWaiting(): void {
-    if (this.reading || this.waiting.size === 0) return;
-    if (this.ctx.nowMs < this.nextReadMs)
-      return this.wakeIn(this.nextReadMs - this.ctx.nowMs);
-    this.reading = true;
-    const served = this.waiting.take();
-    this.changes(0, (ok) => {
-      this.reading = false;
-      this.nextReadMs = this.ctx.nowMs + READ_PAUSE_MS;
-      for (const w of served) {
-        if (ok) {
-          this.waiting.answered(w.id);
-          w.next(w.req, w.id);
-        } else if (this.ctx.nowMs - w.atMs < QUESTION_RETRY_MS) this.wait(w);
-        else
-          this.refuse(
-            this.waiting.refuse(w, this.ctx.nowMs).req,
-            "state service does not answer",
-          );
-      }
-      this.readForWaiting();
+  private enqueue(question: WaitingQuestion): void {
+    const refused = this.waiting.add(question, this.ctx.nowMs);
+    if (refused) this.ports.refuse(refused.req, "too many requests");
+  }
+
+  private answer({ req, id, onRead }: WaitingQuestion): void {
+    this.waiting.answered(id);
+    onRead(req, id);
+  }
+
+  private retryOrRefuse(question: WaitingQuestion): void {
+    if (this.ctx.nowMs - question.askedMs < QUESTION_RETRY_MS)
+      return this.enqueue(question);
+    this.waiting.refuse(question, this.ctx.nowMs);
+    this.ports.refuse(question.req, "state service does not answer");
+  }
+
+  /** Reads all live records. */
+  private load(): void {
+    this.isLoading = true;
+    this.loadPage("", null);
+  }
+
+  private loadPage(after: string, earlier: LoadedPages | null): void {
+    this.ports.callStore(
+      { op: "list", prefix: LIVE_PREFIX, after },
+      CallPriority.Lease,
+      (reply, sentMs) => {
+        if (reply.is !== "items" || this.isInconsistentList(reply))
+          return this.onLoadFailed();
+        const loaded: LoadedPages = {
+          items: [...(earlier?.items ?? []), ...reply.items],
+          revision: earlier?.revision ?? reply.epoch,
+          sentMs: earlier?.sentMs ?? sentMs,
+        };
+        const last = reply.items.at(-1);
+        if (reply.more && last) this.loadPage(last.key, loaded);
+        else this.onLoaded(loaded);
+      },
+    );
+  }
+
+  private onLoaded({ items, revision, sentMs }: LoadedPages): void {
+    this.isLoading = false;
+    this.ports.onEvents(this.ctx.cache.reload(items, revision));
+    this.leadership.noteRead(sentMs);
+    this.noteAvailability(true);
+    this.watch();
+  }
+
+  private onLoadFailed(): void {
+    this.isLoading = false;
+    this.nextWatchMs = this.ctx.nowMs + WATCH_RETRY_MS;
+    this.noteAvailability(false);
+  }
+
+  /** Whether a list shows an item that is newer than the revision it claims to be of; if so, it is logged. */
+  private isInconsistentList(reply: ItemsReply): boolean {
+    const newer = reply.items.find((item) => item.version > reply.epoch);
+    if (!newer) return false;
+    this.inconsistencyLog.warn("inconsistent store response", newer.key, {
+      itemRevision: newer.version,
+      storeRevision: reply.epoch,
     });
+    return true;
   }
 
-  /** The open watch shows a commit at once; if none is open, one is opened. */
-  watchSoon(): void {
-    if (!this.watching) {
-      this.nextWatchMs = this.ctx.nowMs;
-      this.watch();
-    }
+  /** Reads the changes since the cache's revision; the store waits so long for one to come. */
+  private readChanges(
+    waitMs: number,
+    done: (succeeded: boolean) => void,
+  ): void {
+    const sinceRevision = this.ctx.cache.revision;
+    this.ports.callStore(
+      { op: "changes", prefix: ROOT_PREFIX, since: sinceRevision, waitMs },
+      CallPriority.Lease,
+      (reply, sentMs) => {
+        if (reply.is === "gone") this.onWatchFellBehind();
+        else if (
+          reply.is !== "changes" ||
+          this.areInconsistentChanges(reply, sinceRevision)
+        )
+          this.noteAvailability(false);
+        else {
+          this.onChangesRead(reply, sinceRevision, sentMs);
+          return done(true);
+        }
+        done(false);
+      },
+    );
+  }
+
+  private onChangesRead(
+    { changes, epoch }: ChangesReply,
+    sinceRevision: number,
+    sentMs: number,
+  ): void {
+    this.leadership.noteRead(sentMs);
+    this.noteAvailability(true);
+    this.ports.onEvents(this.ctx.cache.apply(changes, epoch));
+    this.ports.onChanges(sinceRevision, epoch, changes);
+  }
+
+  /** The store no longer has all changes since the cache's revision. */
+  private onWatchFellBehind(): void {
+    this.ctx.log("store watch fell behind, reading all records", {});
+    if (!this.isLoading) this.load();
+  }
+
+  /**
+   * Whether an answer shows changes after the revision that it speaks for, or speaks for one before the one asked about.
+   * Such an answer is logged; it is of no use, and no proof of a read.
+   */
+  private areInconsistentChanges(
+    reply: ChangesReply,
+    sinceRevision: number,
+  ): boolean {
+    const newer = reply.changes.find((change) => change.version > reply.epoch);
+    if (!newer && reply.epoch >= sinceRevision) return false;
+    const key = newer?.key ?? ROOT_PREFIX;
+    this.inconsistencyLog.warn("inconsistent store response", key, {
+      itemRevision: newer?.version,
+      storeRevision: reply.epoch,
+      sinceRevision,
+    });
+    return true;
+  }
+
+  /** Logs when the store becomes unavailable for long, and when it answers again. */
+  private noteAvailability(isAvailable: boolean): void {
+    if (isAvailable === !this.isStoreUnavailable) return;
+    if (!isAvailable && this.leadership.storeSilenceMs < UNAVAILABLE_AFTER_MS)
+      return;
+    this.isStoreUnavailable = !isAvailable;
+    if (isAvailable) return this.ctx.log("store available again", {});
+    const leaseRemainingMs =
+      this.leadership.leadershipLeaseUntilMs - this.ctx.nowMs;
+    this.ctx.log("store unavailable", {
+      leadershipLeaseRemainingMs: Math.round(leaseRemainingMs),
+    });
+  }
+
+  /**
+   * Ticks are 200 ms apart: if only the next one opened a watch again, or read for waiting questions, users and every stage
+   * of a chain of dependent jobs would wait that long.
+   */
+  private wakeIn(afterMs: number): void {
+    if (this.isWakeRequested) return;
+    this.isWakeRequested = true;
+    this.ports.requestWake(afterMs);
   }
 }
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -2,7 +2,10 @@
 import { test } from "node:test";
 import { PartitionLeader } from "../src/coordination/scheduling/partition-leader.js";
 import { Scheduler } from "../src/coordination/scheduling/scheduler.js";
-import { StoreWatcher } from "../src/coordination/store/store-watcher.js";
+import {
+  StoreWatcher,
+  type StoreWatcherPorts,
+} from "../src/coordination/store/store-watcher.js";
 import { JobRequests } from "../src/coordination/jobs/job-requests.js";
 import {
   plainJob,
@@ -75,10 +78,10 @@
 
 test("seen to fail: a job about which no question is answered", () => {
   const silent = function (
-    this: { refuse: (req: number, why: string) => void },
+    this: { ports: Pick<StoreWatcherPorts, "refuse"> },
     req: number,
   ): void {
-    this.refuse(req, "never");
+    this.ports.refuse(req, "never");
   };
   breaks(
     without(StoreWatcher.prototype, "afterRead", silent, () => quietDay()),
