--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -128,15 +128,13 @@
       pendingAssignments: this.assignments,
       inconsistencyLog: new RateLimitedLog(this),
     });
-    this.watcher = new StoreWatcher(
-      this,
-      this.leadership,
-      this.calls.callStore,
-      (seen) => this.storeEvents.handle(seen),
-      (from, to, changes) => this.publishChanges(from, to, changes),
-      (afterMs) => this.effects.push({ type: "wake", afterMs }),
-      this.retryLater,
-    );
+    this.watcher = new StoreWatcher(this, this.leadership, {
+      callStore: this.calls.callStore,
+      onEvents: (events) => this.storeEvents.handle(events),
+      onChanges: (from, to, changes) => this.publishChanges(from, to, changes),
+      requestWake: (afterMs) => this.effects.push({ type: "wake", afterMs }),
+      refuse: this.retryLater,
+    });
     this.jobRequests = new JobRequests(
       this,
       this.leaders,
--- a/src/coordination/store-event-handler.ts
+++ b/src/coordination/store-event-handler.ts
@@ -4,7 +4,8 @@
 import type { DependencyTracker } from "./jobs/dependency-tracker.js";
 import type { PendingAssignments } from "./jobs/pending-assignments.js";
 import type { PartitionLeaders } from "./leadership/partition-leaders.js";
-import type { JobView, StoreEvent } from "./store/store-cache.js";
+import type { JobView } from "./store/job-view.js";
+import type { StoreEvent } from "./store/store-events.js";
 
 /** The parts that act on changes of the store. */
 interface StoreEventTargets {
@@ -32,21 +33,21 @@
     switch (event.kind) {
       case "job":
         return this.onJob(event.job);
-      case "jobGone":
+      case "jobRemoved":
         return this.onJobRemoved(event.id);
-      case "past":
-        return dependencies.onFinalRecord(event.id, event.past);
-      case "fin":
+      case "final":
+        return dependencies.onFinalRecord(event.id, event.record);
+      case "completion":
         return this.onTasksCompleted(event.id);
-      case "room":
+      case "capacity":
         return pendingAssignments.forget(event.partition);
       case "unreadable":
         return inconsistencyLog.warn("unreadable record", event.key, {});
       // Read from the cache when they are needed.
-      case "group":
-      case "claim":
-      case "limits":
-      case "belief":
+      case "partition":
+      case "leadershipBid":
+      case "quota":
+      case "observedLimits":
     }
   }
 
