--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -1,3 +1,7 @@
+/**
+ * Records what is finished of jobs: ranges of tasks by partition, and the end of a job. Owns no state: progress is kept
+ * in each `JobRun`.
+ */
 import {
   endWrites,
   completionBlock,
@@ -13,8 +17,12 @@
 import type { JobSpec } from "../model.js";
 import type { JobRun } from "../machines/worker-state.js";
 
-/** What a group has finished of a job is written at most this often, until its part is complete. */
+/** What a partition has finished of a job is written at most this often, until its tasks are complete. */
 const COMPLETION_WRITE_INTERVAL_MS = 1_500;
+/** A commit that failed is tried again after this time. */
+const RETRY_MS = 300;
+/** A job's end puts the final record and deletes the live one. */
+const JOB_END_WRITES = 2;
 
 /**
  * A job's final record. Invariant (hooks, nothing lost): it is all that hooks are sent from, so what they need of the job is
@@ -42,11 +50,17 @@
   };
 }
 
-/** The writing of what a group has finished: ranges of tasks, and the ends of jobs. */
+/** Records beside a job's own that go in the transaction which ends it: as many as fit beside the job's two writes. */
+export function sideKeysToDelete(ctx: Context, id: string): string[] {
+  const room = ctx.settings.state.txnOps - JOB_END_WRITES;
+  return ctx.cache.sideKeys(id).slice(0, room);
+}
+
+/** Writes what a partition has finished: ranges of tasks, and the ends of jobs. */
 export class JobCompletion {
   constructor(
     private readonly ctx: Context,
-    private readonly own: PartitionState,
+    private readonly partition: PartitionState,
   ) {}
 
   completeTask(job: JobRun, index: number): void {
@@ -57,7 +71,7 @@
     this.writeProgress(job);
   }
 
-  /** Writes what is finished: the job's end if nothing is left, else this group's ranges. */
+  /** Writes what is finished: the job's end if nothing is left, else this partition's ranges. */
   writeProgress(job: JobRun): void {
     if (job.isOver || job.finished.isEmpty || job.view.spec.kind === "service")
       return;
@@ -68,52 +82,43 @@
     else if (job.written.size < job.finished.size) this.writeCompletions(job);
   }
 
-  /** Invariant (rules not_done, went_back): the end is one conditional commit, told only after it. */
+  /** Invariant (rules not_done, went_back): the end is one conditional commit, reported only after it. */
   private finalize(job: JobRun): void {
     if (job.finalizing || job.pendingTransfer) return;
     job.finalizing = true;
     const id = job.id;
-    const beside = this.ctx.cache
-      .sideKeys(id)
-      .slice(0, this.ctx.settings.state.txnOps - 2);
-    this.own.commit(
+    this.partition.commit(
       [{ key: jobKey(id), version: job.view.revision }],
       endWrites(
         id,
         finalRecordOf(this.ctx, job.view.spec, "done", job.view.spec.tasks),
-        beside,
+        sideKeysToDelete(this.ctx, id),
       ),
       CallPriority.Leader,
-      (end) => {
+      (outcome) => {
         job.finalizing = false;
-        if (end !== "ok")
-          job.backoffUntilMs = Math.max(
-            job.backoffUntilMs,
-            this.ctx.nowMs + 300,
-          );
+        if (outcome !== "ok") this.backOff(job);
       },
     );
   }
 
   private writeCompletions(job: JobRun): void {
     if (job.writing) return;
-    // Ranges are batched, as the design has it: with 5 changes a second, a write for each finished task kept users
-    // waiting. What completes this group's part goes at once, for another group may be waiting for it to end the job.
-    if (this.ctx.nowMs - job.lastWrittenMs < COMPLETION_WRITE_INTERVAL_MS) {
-      const unfinished = job.assigned.clone();
-      unfinished.removeAll(job.finished);
-      if (!unfinished.isEmpty) return;
-    }
-    const fresh = job.finished.clone();
-    fresh.removeAll(job.written);
-    const first = fresh.first();
+    // Ranges are batched: with 5 changes a second, a write for each finished task kept users
+    // waiting. What completes this partition's tasks goes at once, for another partition may be waiting for it to end the job.
+    const isTooSoon =
+      this.ctx.nowMs - job.lastWrittenMs < COMPLETION_WRITE_INTERVAL_MS;
+    if (isTooSoon && this.hasUnfinishedTasks(job)) return;
+    const unwritten = job.finished.clone();
+    unwritten.removeAll(job.written);
+    const first = unwritten.first();
     if (first === undefined) return;
     const block = completionBlock(first);
     const covered = inBlock(job.finished, block);
-    const key = completionKey(job.id, this.own.partition, block);
+    const key = completionKey(job.id, this.partition.partition, block);
     job.writing = true;
     job.lastWrittenMs = this.ctx.nowMs;
-    this.own.commit(
+    this.partition.commit(
       // Without the job's record the ranges would be left behind by a job that is over. Invariant (a task that is done stays
       // done): a commit without an answer that is carried out after a later one would take what that added off the record.
       [
@@ -122,18 +127,27 @@
       ],
       [{ op: "put", key, value: writeCompletion(covered) }],
       CallPriority.Leader,
-      (end) => {
+      (outcome) => {
         job.writing = false;
-        if (end === "ok") job.written.addAll(covered);
-        else
-          job.backoffUntilMs = Math.max(
-            job.backoffUntilMs,
-            this.ctx.nowMs + 300,
-          );
+        if (outcome === "ok") job.written.addAll(covered);
+        else this.backOff(job);
       },
     );
   }
 
+  private hasUnfinishedTasks(job: JobRun): boolean {
+    const unfinished = job.assigned.clone();
+    unfinished.removeAll(job.finished);
+    return !unfinished.isEmpty;
+  }
+
+  private backOff(job: JobRun): void {
+    job.backoffUntilMs = Math.max(
+      job.backoffUntilMs,
+      this.ctx.nowMs + RETRY_MS,
+    );
+  }
+
   /** What was not written, or not answered, is written again. */
   tick(job: JobRun): void {
     if (
