--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -44,7 +44,11 @@
 import { RateLimitedLog } from "../logging/rate-limited-log.js";
 import type { PendingAssignment } from "./jobs/job-partitioner.js";
 import { IndeterminateTransactions } from "./store/indeterminate-transactions.js";
-import { JobRequests, MAX_CANCEL_ATTEMPTS } from "./jobs/job-requests.js";
+import { JobAdmission } from "./jobs/job-admission.js";
+import { JobAssigner } from "./jobs/job-assigner.js";
+import { JobCancellation } from "./jobs/job-cancellation.js";
+import { JobStatus } from "./jobs/job-status.js";
+import type { RequestReplies } from "./jobs/request-replies.js";
 import { LeaderlessPartitions } from "./leadership/leaderless-partitions.js";
 
 /** Who waits for the end of a call, which comes once. */
@@ -128,7 +132,10 @@
   private readonly inconsistencyLog = new RateLimitedLog(this);
   private readonly observedLimits: ObservedLimits;
   private readonly watcher: StoreWatcher;
-  private readonly jobRequests: JobRequests;
+  private readonly jobAssigner: JobAssigner;
+  private readonly jobStatus: JobStatus;
+  private readonly jobAdmission: JobAdmission;
+  private readonly jobCancellation: JobCancellation;
   private readonly indeterminate = new IndeterminateTransactions();
   private readonly redirects: Redirects;
   private effects: Effect[] = [];
@@ -163,8 +170,8 @@
     this.observedLimits = new ObservedLimits(this);
     this.dependencies = new DependencyTracker(
       this,
-      (spec) => this.jobRequests.partitionJob(spec),
-      (id) => this.jobRequests.readFinalRecord(id, () => {}),
+      (spec) => this.jobAssigner.assign(spec),
+      (id) => this.jobStatus.lookUpFinalRecord(id),
     );
     this.leadership = new Leadership(
       this,
@@ -179,7 +186,7 @@
     this.orphanedTasks = new OrphanedTasks(
       this,
       this.leaderlessPartitions,
-      (spec) => this.jobRequests.partitionJob(spec),
+      (spec) => this.jobAssigner.assign(spec),
     );
     const state = (
       call: StateCall,
@@ -197,16 +204,32 @@
       (afterMs) => this.effects.push({ type: "wake", afterMs }),
       later,
     );
-    this.jobRequests = new JobRequests(
-      this,
-      this.leaders,
-      this.leadership,
-      this.dependencies,
-      this.watcher,
-      state,
-      (req, answer) => this.answer(req, answer),
-      later,
-    );
+    const replies: RequestReplies = {
+      answer: (request, answer) => this.answer(request, answer),
+      retryLater: later,
+    };
+    const { leaders, leadership, dependencies, watcher } = this;
+    this.jobAssigner = new JobAssigner(this, leaders);
+    this.jobStatus = new JobStatus(this, {
+      replies,
+      leaders,
+      dependencies,
+      watcher,
+      callStore: state,
+    });
+    this.jobAdmission = new JobAdmission(this, {
+      replies,
+      leadership,
+      dependencies,
+      watcher,
+      status: this.jobStatus,
+      assigner: this.jobAssigner,
+    });
+    this.jobCancellation = new JobCancellation(this, {
+      replies,
+      watcher,
+      status: this.jobStatus,
+    });
   }
 
   step(input: Input, nowMs: number, wallMs: number): Effect[] {
@@ -253,18 +276,16 @@
       case "tick":
         return this.tick();
       case "memory":
-        return this.jobRequests.setMemoryShort(i.short);
+        return this.jobAdmission.setMemoryShort(i.short);
       case "wake":
         return this.watcher.onWake();
       case "submit":
-        return this.jobRequests.submit(i.req, i.spec, i.dependsOn ?? []);
+        return this.jobAdmission.submit(i.req, i.spec, i.dependsOn ?? []);
       case "status":
-        return this.watcher.afterRead(i.req, i.id, (req, id) =>
-          this.jobRequests.answerStatus(req, id, 200),
-        );
+        return this.jobStatus.answerAfterRead(i.req, i.id);
       case "cancel":
         return this.watcher.afterRead(i.req, i.id, (req, id) =>
-          this.jobRequests.cancel(req, id, MAX_CANCEL_ATTEMPTS),
+          this.jobCancellation.cancel(req, id),
         );
       case "heartbeat":
         return this.answer(i.req, this.heartbeat(i.heartbeat, i.relayed));
@@ -447,7 +468,7 @@
     const read = this.watcher.refusals;
     const oldest = Math.min(
       read.oldestMs ?? Infinity,
-      this.jobRequests.finalStatus.oldestMs ?? Infinity,
+      this.jobStatus.finalStatus.oldestMs ?? Infinity,
     );
     const f: Statistics = {
       unfinished: this.cache.jobs.size,
@@ -461,7 +482,7 @@
       staleHeartbeats: 0,
       quarantinedJobs: 0,
       longestGangS: 0,
-      refused: read.refused + this.jobRequests.finalStatus.refused,
+      refused: read.refused + this.jobStatus.finalStatus.refused,
       refusedForS: oldest === Infinity ? 0 : (this.nowMs - oldest) / 1000,
     };
     for (const m of this.leaders.values()) {
--- /dev/null
+++ b/src/coordination/jobs/job-cancellation.ts
@@ -0,0 +1,84 @@
+/**
+ * Cancels jobs at users' request. Owns no state: a cancellation is one conditional commit.
+ */
+import { endWrites, jobKey } from "../../storage/records.js";
+import type { Context } from "../context.js";
+import { CallPriority } from "../effects.js";
+import type { JobView } from "../store/store-cache.js";
+import type { StoreWatcher } from "../store/store-watcher.js";
+import { finalRecordOf, sideKeysToDelete } from "./job-completion.js";
+import type { JobStatus } from "./job-status.js";
+import type { RequestReplies } from "./request-replies.js";
+
+/** A job's record may change between the read and the commit: the cancellation is tried again this often. */
+const MAX_CANCEL_RETRIES = 4;
+
+/** What cancellation needs of the controller. */
+export interface JobCancellationPorts {
+  readonly replies: RequestReplies;
+  readonly watcher: StoreWatcher;
+  readonly status: JobStatus;
+}
+
+export class JobCancellation {
+  constructor(
+    private readonly ctx: Context,
+    private readonly ports: JobCancellationPorts,
+  ) {}
+
+  /** Cancels a job, or answers how it ended before. The cache must be read after the request came. */
+  cancel(request: number, id: string, retries = MAX_CANCEL_RETRIES): void {
+    const job = this.ports.status.liveJob(id);
+    if (job) this.commitCancellation(request, job, retries);
+    else this.answerEnded(request, id);
+  }
+
+  private answerEnded(request: number, id: string): void {
+    const { replies, status } = this.ports;
+    status.withFinalRecord(request, id, (finalRecord) =>
+      replies.answer(
+        request,
+        finalRecord
+          ? { kind: "job", status: 200, id, state: finalRecord.status }
+          : { kind: "unknownJob" },
+      ),
+    );
+  }
+
+  private commitCancellation(
+    request: number,
+    job: JobView,
+    retries: number,
+  ): void {
+    const { replies, status, watcher } = this.ports;
+    const id = job.id;
+    const finished = this.ctx.cache.allFinished(id).size;
+    const finalRecord = finalRecordOf(
+      this.ctx,
+      job.spec,
+      "cancelled",
+      finished,
+    );
+    // Invariant (went_back): cancelled and done are conditional on the same record, so only one of them happens.
+    this.ctx.commit(
+      [{ key: jobKey(id), version: job.revision }],
+      endWrites(id, finalRecord, sideKeysToDelete(this.ctx, id)),
+      CallPriority.UserRequest,
+      (outcome) => {
+        if (outcome === "ok") {
+          status.onFinalRecord(id, finalRecord);
+          replies.answer(request, {
+            kind: "job",
+            status: 200,
+            id,
+            state: "cancelled",
+          });
+        } else if (outcome === "conflict" && retries > 0)
+          watcher.afterRead(request, id, () =>
+            this.cancel(request, id, retries - 1),
+          );
+        else replies.retryLater(request, "state service does not answer");
+      },
+    );
+  }
+}
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -3,7 +3,7 @@
 import { PartitionLeader } from "../src/coordination/scheduling/partition-leader.js";
 import { Scheduler } from "../src/coordination/scheduling/scheduler.js";
 import { StoreWatcher } from "../src/coordination/store/store-watcher.js";
-import { JobRequests } from "../src/coordination/jobs/job-requests.js";
+import { JobAdmission } from "../src/coordination/jobs/job-admission.js";
 import {
   plainJob,
   runToEnd,
@@ -61,7 +61,7 @@
         w.at(2_000 + n * 500, () => oddRequest(w, n));
     });
   breaks(
-    without(JobRequests.prototype, "reasonItCannotRun", () => null, day),
+    without(JobAdmission.prototype, "reasonItCannotRun", () => null, day),
     "accepted_unfit",
   );
 });
