--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -168,11 +168,10 @@
     this.partitions = new PartitionMap(settings);
     this.redirects = new Redirects(maxRedirects(settings.memMb));
     this.observedLimits = new ObservedLimits(this);
-    this.dependencies = new DependencyTracker(
-      this,
-      (spec) => this.jobAssigner.assign(spec),
-      (id) => this.jobStatus.lookUpFinalRecord(id),
-    );
+    this.dependencies = new DependencyTracker(this, {
+      assign: (spec) => this.jobAssigner.assign(spec),
+      lookUpFinalRecord: (id) => this.jobStatus.lookUpFinalRecord(id),
+    });
     this.leadership = new Leadership(
       this,
       (call, done) =>
--- a/src/coordination/jobs/range-set.ts
+++ b/src/coordination/jobs/range-set.ts
@@ -1,105 +1,149 @@
-/** A set of task numbers, kept as sorted, disjoint, closed ranges: small however large the job is. */
+/**
+ * A compact set of task indices. Owns its ranges; a set handed out by `clone`, `take` or `slice` shares nothing with the
+ * one it came from.
+ */
+
+/** Lowest and highest index of a range, both in it. */
+type Range = [first: number, last: number];
+
+/** A set of task indices, kept as sorted, disjoint, closed ranges: small however large the job is. */
 export class RangeSet {
-  private constructor(private readonly r: [number, number][]) {}
+  private constructor(private readonly ranges: Range[]) {}
 
+  /** The union of closed ranges, in any order. */
   static of(pairs: readonly (readonly [number, number])[]): RangeSet {
     const set = new RangeSet([]);
-    for (const [lo, hi] of pairs) set.addRange(lo, hi);
+    for (const [first, last] of pairs) set.addRange(first, last);
     return set;
   }
+
   static empty(): RangeSet {
     return new RangeSet([]);
   }
-  static upTo(n: number): RangeSet {
-    return new RangeSet(n > 0 ? [[0, n - 1]] : []);
+
+  /** The indices below `count`. */
+  static upTo(count: number): RangeSet {
+    return new RangeSet(count > 0 ? [[0, count - 1]] : []);
   }
+
+  /** How many indices are in the set. */
   get size(): number {
-    let n = 0;
-    for (const [lo, hi] of this.r) n += hi - lo + 1;
-    return n;
+    let size = 0;
+    for (const [first, last] of this.ranges) size += last - first + 1;
+    return size;
   }
+
   get isEmpty(): boolean {
-    return this.r.length === 0;
+    return this.ranges.length === 0;
   }
+
+  /** The ranges as pairs of first and last index, ascending: the form in which they are stored. */
   pairs(): [number, number][] {
-    return this.r.map(([lo, hi]) => [lo, hi]);
+    return this.ranges.map(([first, last]) => [first, last]);
   }
+
   clone(): RangeSet {
     return new RangeSet(this.pairs());
   }
-  /** Position of the first range that ends at or after i. */
-  private at(i: number): number {
-    let lo = 0;
-    let hi = this.r.length;
-    while (lo < hi) {
-      const mid = (lo + hi) >> 1;
-      if (this.r[mid]![1] < i) lo = mid + 1;
-      else hi = mid;
-    }
-    return lo;
-  }
-  has(i: number): boolean {
-    const x = this.r[this.at(i)];
-    return x !== undefined && x[0] <= i;
-  }
-  add(i: number): void {
-    this.addRange(i, i);
-  }
-  addRange(lo: number, hi: number): void {
-    const from = this.at(lo - 1);
-    let to = from;
-    while (to < this.r.length && this.r[to]![0] <= hi + 1) {
-      lo = Math.min(lo, this.r[to]![0]);
-      hi = Math.max(hi, this.r[to]![1]);
-      to++;
+
+  has(index: number): boolean {
+    const range = this.ranges[this.positionOf(index)];
+    return range !== undefined && range[0] <= index;
+  }
+
+  add(index: number): void {
+    this.addRange(index, index);
+  }
+
+  /** Adds the indices from `first` to `last`; ranges that touch them become one. */
+  addRange(first: number, last: number): void {
+    const start = this.positionOf(first - 1);
+    let end = start;
+    let mergedFirst = first;
+    let mergedLast = last;
+    for (
+      let range = this.ranges[end];
+      range !== undefined && range[0] <= mergedLast + 1;
+      range = this.ranges[++end]
+    ) {
+      mergedFirst = Math.min(mergedFirst, range[0]);
+      mergedLast = Math.max(mergedLast, range[1]);
     }
-    this.r.splice(from, to - from, [lo, hi]);
+    this.ranges.splice(start, end - start, [mergedFirst, mergedLast]);
   }
+
   addAll(other: RangeSet): void {
-    for (const [lo, hi] of other.r) this.addRange(lo, hi);
-  }
-  remove(i: number): void {
-    this.removeRange(i, i);
-  }
-  removeRange(lo: number, hi: number): void {
-    let k = this.at(lo);
-    while (k < this.r.length && this.r[k]![0] <= hi) {
-      const [a, b] = this.r[k]!;
-      const rest: [number, number][] = [];
-      if (a < lo) rest.push([a, lo - 1]);
-      if (b > hi) rest.push([hi + 1, b]);
-      this.r.splice(k, 1, ...rest);
-      k += rest.length;
+    for (const [first, last] of other.ranges) this.addRange(first, last);
+  }
+
+  remove(index: number): void {
+    this.removeRange(index, index);
+  }
+
+  removeRange(first: number, last: number): void {
+    let position = this.positionOf(first);
+    for (
+      let range = this.ranges[position];
+      range !== undefined && range[0] <= last;
+      range = this.ranges[position]
+    ) {
+      const rest: Range[] = [];
+      if (range[0] < first) rest.push([range[0], first - 1]);
+      if (range[1] > last) rest.push([last + 1, range[1]]);
+      this.ranges.splice(position, 1, ...rest);
+      position += rest.length;
     }
   }
+
   removeAll(other: RangeSet): void {
-    for (const [lo, hi] of other.r) this.removeRange(lo, hi);
+    for (const [first, last] of other.ranges) this.removeRange(first, last);
   }
+
+  /** The smallest index; undefined if the set is empty. */
   first(): number | undefined {
-    return this.r[0]?.[0];
-  }
-  /** The `n` smallest members, as a new set. */
-  take(n: number): RangeSet {
-    const out = RangeSet.empty();
-    for (const [lo, hi] of this.r) {
-      if (n <= 0) break;
-      const end = Math.min(hi, lo + n - 1);
-      out.r.push([lo, end]);
-      n -= end - lo + 1;
+    return this.ranges[0]?.[0];
+  }
+
+  /** The `count` smallest indices, as a new set. */
+  take(count: number): RangeSet {
+    const taken = RangeSet.empty();
+    let left = count;
+    for (const [first, last] of this.ranges) {
+      if (left <= 0) break;
+      const end = Math.min(last, first + left - 1);
+      taken.ranges.push([first, end]);
+      left -= end - first + 1;
     }
-    return out;
-  }
-  /** The members between two numbers, as a new set. */
-  slice(lo: number, hi: number): RangeSet {
-    const out = RangeSet.empty();
-    for (const [a, b] of this.r) {
-      const x = Math.max(a, lo);
-      const y = Math.min(b, hi);
-      if (x <= y) out.r.push([x, y]);
+    return taken;
+  }
+
+  /** The indices from `lowest` to `highest`, as a new set. */
+  slice(lowest: number, highest: number): RangeSet {
+    const sliced = RangeSet.empty();
+    for (const range of this.ranges) {
+      const first = Math.max(range[0], lowest);
+      const last = Math.min(range[1], highest);
+      if (first <= last) sliced.ranges.push([first, last]);
     }
-    return out;
+    return sliced;
   }
+
+  /** Ascending, over the indices that are in the set when the iteration begins. */
   *[Symbol.iterator](): Generator<number> {
-    for (const [lo, hi] of this.pairs()) for (let i = lo; i <= hi; i++) yield i;
+    for (const [first, last] of this.pairs())
+      for (let index = first; index <= last; index++) yield index;
+  }
+
+  /** Position of the first range that ends at or after an index. */
+  private positionOf(index: number): number {
+    let low = 0;
+    let high = this.ranges.length;
+    while (low < high) {
+      const middle = (low + high) >> 1;
+      const range = this.ranges[middle];
+      if (range !== undefined && range[1] < index) low = middle + 1;
+      else high = middle;
+    }
+    return low;
   }
 }
--- a/test/awaiting.test.ts
+++ b/test/awaiting.test.ts
@@ -526,8 +526,7 @@
   const cache = new StoreCache();
   const core = new DependencyTracker(
     { nowMs: 0, wallMs: 0, cache } as unknown as Context,
-    () => null,
-    () => {},
+    { assign: () => null, lookUpFinalRecord: () => {} },
   );
   const id = (i: number): string => `req-${String(i).padStart(6, "0")}`;
   const w = new World(1);
