--- /dev/null
+++ b/src/coordination/scheduling/round-resources.ts
@@ -0,0 +1,33 @@
+/**
+ * What a scheduling round has to give: the machines, their free capacity and the teams' use. It is built when a round
+ * begins and kept up to date as tasks are placed.
+ */
+import type { ResourceUse } from "../machines/resource-ledger.js";
+import { freeOn, type Worker } from "../machines/worker-state.js";
+import type { PartitionState } from "./partition-state.js";
+import type { Resources } from "./placement.js";
+
+export interface RoundResources {
+  /** Machines that tasks may be started on. */
+  readonly workers: readonly Worker[];
+  /** Those of them that long tasks may use too. */
+  readonly unreserved: readonly Worker[];
+  /** Ids of the machines that are reserved for short tasks. */
+  readonly reservedIds: ReadonlySet<string>;
+  /** Free capacity of each machine, less what this round has placed or reserved there. */
+  readonly free: Map<Worker, Resources>;
+  /** What each team uses of its limit, with what this round has placed or reserved. */
+  readonly used: Map<string, ResourceUse>;
+}
+
+export function roundResourcesOf(partition: PartitionState): RoundResources {
+  const used = partition.usage();
+  const { usable, reserved } = partition.usableWorkers();
+  return {
+    workers: usable,
+    unreserved: usable.filter((worker) => !reserved.has(worker.id)),
+    reservedIds: reserved,
+    free: new Map(usable.map((worker) => [worker, freeOn(worker)])),
+    used,
+  };
+}
--- a/src/coordination/scheduling/scheduling-round.ts
+++ b/src/coordination/scheduling/scheduling-round.ts
@@ -17,7 +17,7 @@
   | "array";
 
 /** What the queues need to know of a job that has waiting tasks in this group. */
-interface QueuedJob {
+export interface QueuedJob {
   spec: JobSpec;
   effectivePriority: Pick<EffectivePriority, "priority" | "readyAt">;
   /** Tasks that it stands back by: see `GroupState.unfinished`. */
