--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -23,9 +23,13 @@
 } from "./effects.js";
 import { DependencyTracker } from "./jobs/dependency-tracker.js";
 import type { PendingAssignment } from "./jobs/job-partitioner.js";
-import { JobRequests, MAX_CANCEL_ATTEMPTS } from "./jobs/job-requests.js";
+import { JobAdmission } from "./jobs/job-admission.js";
+import { JobAssigner } from "./jobs/job-assigner.js";
+import { JobCancellation } from "./jobs/job-cancellation.js";
+import { JobStatus } from "./jobs/job-status.js";
 import { LeftoversSweep } from "./jobs/leftovers-sweep.js";
 import { PendingAssignments } from "./jobs/pending-assignments.js";
+import type { RequestReplies } from "./jobs/request-replies.js";
 import { LeaderlessPartitions } from "./leadership/leaderless-partitions.js";
 import { Leadership } from "./leadership/leadership.js";
 import { OrphanedTasks } from "./leadership/orphaned-tasks.js";
@@ -80,7 +84,10 @@
   private readonly observedLimits: ObservedLimits;
   private readonly watcher: StoreWatcher;
   private readonly storeEvents: StoreEventHandler;
-  private readonly jobRequests: JobRequests;
+  private readonly jobAssigner: JobAssigner;
+  private readonly jobStatus: JobStatus;
+  private readonly jobAdmission: JobAdmission;
+  private readonly jobCancellation: JobCancellation;
   private readonly assignments = new PendingAssignments();
   private readonly heartbeats: HeartbeatRouter;
   private readonly leftoversSweep: LeftoversSweep;
@@ -97,11 +104,10 @@
     this.wallMs = wallMs;
     this.partitions = new PartitionMap(settings);
     this.observedLimits = new ObservedLimits(this);
-    this.dependencies = new DependencyTracker(
-      this,
-      (spec) => this.jobRequests.partitionJob(spec),
-      (id) => this.jobRequests.readFinalRecord(id, () => {}),
-    );
+    this.dependencies = new DependencyTracker(this, {
+      assign: (spec) => this.jobAssigner.assign(spec),
+      lookUpFinalRecord: (id) => this.jobStatus.lookUpFinalRecord(id),
+    });
     this.leadership = this.createLeadership();
     this.transactions = new Transactions(this, {
       callStore: this.calls.callStore,
@@ -120,7 +126,7 @@
     this.orphanedTasks = new OrphanedTasks(
       this,
       this.leaderlessPartitions,
-      (spec) => this.jobRequests.partitionJob(spec),
+      (spec) => this.jobAssigner.assign(spec),
     );
     this.storeEvents = new StoreEventHandler(this, {
       leaders: this.partitionLeaders,
@@ -135,16 +141,33 @@
       requestWake: (afterMs) => this.effects.push({ type: "wake", afterMs }),
       refuse: this.retryLater,
     });
-    this.jobRequests = new JobRequests(
-      this,
-      this.leaders,
-      this.leadership,
-      this.dependencies,
-      this.watcher,
-      this.calls.callStore,
-      (req, answer) => this.answer(req, answer),
-      this.retryLater,
-    );
+    const replies: RequestReplies = {
+      answer: (req, answer) => this.answer(req, answer),
+      retryLater: this.retryLater,
+    };
+    const { leaders, leadership, dependencies, watcher } = this;
+    this.jobAssigner = new JobAssigner(this, leaders);
+    this.jobStatus = new JobStatus(this, {
+      replies,
+      leaders,
+      dependencies,
+      watcher,
+      callStore: this.calls.callStore,
+    });
+    const { jobAssigner: assigner, jobStatus: status } = this;
+    this.jobAdmission = new JobAdmission(this, {
+      replies,
+      leadership,
+      dependencies,
+      watcher,
+      status,
+      assigner,
+    });
+    this.jobCancellation = new JobCancellation(this, {
+      replies,
+      watcher,
+      status,
+    });
   }
 
   private createLeadership(): Leadership {
@@ -179,22 +202,20 @@
       case "tick":
         return this.tick();
       case "memory":
-        return this.jobRequests.setMemoryShort(input.short);
+        return this.jobAdmission.setMemoryShort(input.short);
       case "wake":
         return this.watcher.onWake();
       case "submit":
-        return this.jobRequests.submit(
+        return this.jobAdmission.submit(
           input.req,
           input.spec,
           input.dependsOn ?? [],
         );
       case "status":
-        return this.watcher.afterRead(input.req, input.id, (req, id) =>
-          this.jobRequests.answerStatus(req, id, 200),
-        );
+        return this.jobStatus.answerAfterRead(input.req, input.id);
       case "cancel":
         return this.watcher.afterRead(input.req, input.id, (req, id) =>
-          this.jobRequests.cancel(req, id, MAX_CANCEL_ATTEMPTS),
+          this.jobCancellation.cancel(req, id),
         );
       case "heartbeat":
         return this.answer(
@@ -352,7 +373,7 @@
   get statistics(): Statistics {
     return collectStatistics(this, this.leaders, [
       this.watcher.refusals,
-      this.jobRequests.finalStatus,
+      this.jobStatus.finalStatus,
     ]);
   }
 
