--- a/src/coordination/scheduling/partition-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -1,3 +1,8 @@
+/**
+ * The state that all parts of a partition's leader share: workers, jobs, the ledger of used resources, the machine registry
+ * and the failover fence.
+ */
+
 import type { Condition, Write } from "../../protocol/state.js";
 import { heartbeatGapMs } from "../../protocol/workers.js";
 import { partitionKey } from "../../storage/records.js";
@@ -13,57 +18,53 @@
   type ResourceUse,
 } from "../machines/resource-ledger.js";
 import { type ListedMachine, taskKey } from "../model.js";
+import { FailoverFence } from "../machines/failover-fence.js";
 import { MachineRegistry } from "../machines/machine-registry.js";
 import type { JobRun, TaskRun, Worker } from "../machines/worker-state.js";
 
-/** What the tasks that a machine is known to have take. */
-function usageListedOn(w: Worker | undefined): ResourceUse {
-  const sum = { cpus: 0, gpus: 0 };
-  for (const t of w?.tasks.values() ?? []) {
-    sum.cpus += t.job.view.spec.cpus;
-    sum.gpus += t.job.view.spec.gpus;
-  }
-  for (const s of w?.unconfirmedTasks.values() ?? []) {
-    sum.cpus += s.need?.cpus ?? 0;
-    sum.gpus += s.need?.gpus ?? 0;
-  }
-  return sum;
-}
-
-const LEASE_SLACK_MS = 1_000;
-const MACHINE_LIST_SLACK_MS = 500;
-/** What a machine of unknown size may use at most, in CPUs and accelerators: more than any limit. */
-const UNKNOWN_MACHINE_SIZE = 1e9;
-/** Of a group's machines, those that may be replaced at a time for receiving nothing. */
+/** Waited beyond a worker lease and the drift of clocks, for the granularity of timers. */
+const LEASE_EXPIRY_MARGIN_MS = 1_000;
+/** A machine list counts from this time after the leader began: it has to show every machine that was up before. */
+const MACHINE_LIST_MARGIN_MS = 500;
+/** A worker that fell silent is left out of the partition's reachability so long after its last answer, once its lease expired. */
+const FORGOTTEN_AFTER_MS = 60_000;
+/** Silent machines that the log names when a failover is complete. */
+const MAX_LOGGED_MACHINES = 10;
+/** Share of a partition's machines that may be replaced at a time for receiving nothing. */
 const MAX_REPLACED_SHARE = 0.1;
 
+/** Machines that may take tasks, and the names of those among them that are reserved for short tasks. */
+export interface UsableWorkers {
+  usable: readonly Worker[];
+  reserved: ReadonlySet<string>;
+}
+
 /**
- * What the master of a group knows under its token: machines, jobs, what is or may be on the machines, what is held for whom, and
- * what a former master may have left running. All parts of a master read it and change it by what is offered here, which
- * keeps it consistent; none of them owns a part of it, and nothing here calls any of them.
+ * What the leader of a partition knows under its fencing token: machines, jobs, what is or may be on the machines, what is
+ * reserved for whom, and what a former leader may have left running. All parts of a leader read it and change it by the
+ * methods offered here, which keep it consistent; none of them owns a part of it, and nothing here calls any of them.
  */
 export class PartitionState {
   readonly workers = new Map<string, Worker>();
   readonly jobs = new Map<string, JobRun>();
   readonly ledger = new ResourceLedger();
   readonly registry: MachineRegistry;
-  /** Something changed that placing goes by. */
+  /** Something changed that placement depends on. */
   needsScheduling = true;
-  /** Machines with orders that they were not told yet. */
+  /** Machines with commands that were not sent to them yet. */
   readonly undelivered = new Set<Worker>();
-  /** Machines whose room a gang held in the last placing pass. */
+  /** Machines whose free resources a gang reserved in the last scheduling round. */
   readonly reservedForGangs = new Set<Worker>();
-  /** Machines of the former master that have not reported under this token, with their types; null: all accounted for. */
-  private failoverFence: Map<string, string> | null;
-  /** The roster may lack some of them: the fence also waits for a list of the cloud that names them. */
-  private fenceAwaitsMachineList: boolean;
+  /** What a former leader may have left running; null: all of it is accounted for. */
+  private failoverFence: FailoverFence | null;
+  private lastUsable: UsableWorkers = { usable: [], reserved: new Set() };
   private readonly startedMs: number;
 
   constructor(
     private readonly ctx: Context,
     readonly partition: string,
     readonly token: number,
-    /** Whether this controller may act for the group at this moment. */
+    /** Whether this controller may act for the partition at this moment. */
     readonly mayAct: () => boolean,
   ) {
     this.startedMs = ctx.nowMs;
@@ -76,17 +77,14 @@
         this.needsScheduling = true;
       },
     );
-    // Invariant (rules ran_twice, quota, wrong_place): whatever a former master may have started counts as
-    // running until every machine it could have used has spoken under this token or is past its lease.
-    this.failoverFence = new Map();
-    for (const [id, { type }] of this.registry.machines())
-      this.failoverFence.set(id, type);
-    this.fenceAwaitsMachineList = this.registry.mayLackMachines;
-    if (this.failoverFence.size === 0 && !this.fenceAwaitsMachineList)
-      this.failoverFence = null;
+    const fence = new FailoverFence(
+      this.registry.machines(),
+      this.registry.mayLackMachines,
+    );
+    this.failoverFence = fence.isCleared ? null : fence;
   }
 
-  /** Every commit of a master depends on its token, so that a late one changes nothing after a takeover. */
+  /** Every commit of a leader depends on its fencing token, so that a late one changes nothing after a failover. */
   commit(
     conditions: Condition[],
     writes: Write[],
@@ -106,28 +104,24 @@
 
   // ---- tasks ---------------------------------------------------------------------------------------------
 
-  requeue(t: TaskRun): void {
-    const { job, index } = t;
-    if (job.active.get(index) === t) job.active.delete(index);
-    this.ledger.remove(t);
-    if (
-      !job.isOver &&
-      job.assigned.has(index) &&
-      !job.finished.has(index) &&
-      !job.pendingTransfer?.tasks.has(index)
-    ) {
+  /** A task is not on its machine any more: it waits again, unless it is finished or no longer this partition's. */
+  requeue(task: TaskRun): void {
+    const { job, index } = task;
+    if (job.active.get(index) === task) job.active.delete(index);
+    this.ledger.remove(task);
+    if (mustRunHere(job, index)) {
       if (job.waiting.isEmpty) job.waitingSinceMs = this.ctx.nowMs;
       job.waiting.add(index);
     }
-    this.noteIdle(t.worker);
+    this.noteIdle(task.worker);
     this.needsScheduling = true;
   }
 
-  /** What waits of a job: all of this group's part that is neither finished, nor on a machine, nor being handed over. */
+  /** What waits of a job: all of this partition's part that is neither finished, nor on a machine, nor being transferred. */
   recomputeWaiting(job: JobRun): void {
     const waiting = job.assigned.clone();
     waiting.removeAll(job.finished);
-    for (const i of job.active.keys()) waiting.remove(i);
+    for (const index of job.active.keys()) waiting.remove(index);
     if (job.pendingTransfer) waiting.removeAll(job.pendingTransfer.tasks);
     if (job.waiting.isEmpty && !waiting.isEmpty)
       job.waitingSinceMs = this.ctx.nowMs;
@@ -135,13 +129,14 @@
     this.needsScheduling = true;
   }
 
-  stop(t: TaskRun, graceS: number, why: string): void {
-    if (t.stop && t.stop.graceS <= graceS) return;
-    t.stop = { graceS, why };
-    this.undelivered.add(t.worker);
+  /** Stops a task with so much time to save; a stop that was asked for with no more time than that stands. */
+  stop(task: TaskRun, graceS: number, why: string): void {
+    if (task.stop && task.stop.graceS <= graceS) return;
+    task.stop = { graceS, why };
+    this.undelivered.add(task.worker);
     this.ctx.log("stopping task", {
-      task: taskKey(t.job.id, t.index),
-      worker: t.worker.id,
+      task: taskKey(task.job.id, task.index),
+      worker: task.worker.id,
       reason: why,
     });
   }
@@ -151,12 +146,12 @@
       !job.isOver &&
       !job.waiting.isEmpty &&
       this.ctx.nowMs >= job.backoffUntilMs &&
-      // See the fence: a task of an older record may be running on a machine that has not spoken yet.
+      // See FailoverFence: a task of an older record may be running on a machine that has not reported yet.
       !(this.failoverFence && job.predatesLeader)
     );
   }
 
-  /** All tasks of the job wait here, and nothing of it is or may be on a machine of the group. */
+  /** All tasks of the job wait here, and nothing of it is or may be on a machine of the partition. */
   isWhollyWaiting(job: JobRun): boolean {
     return (
       job.waiting.size === job.view.spec.tasks &&
@@ -164,16 +159,16 @@
     );
   }
 
-  runningTasksOf(id: string): number {
-    let n = 0;
-    for (const t of this.jobs.get(id)?.active.values() ?? [])
-      if (t.phase === "running" || t.phase === "saving") n++;
-    return n;
+  runningTasksOf(jobId: string): number {
+    let count = 0;
+    for (const task of this.jobs.get(jobId)?.active.values() ?? [])
+      if (task.phase === "running" || task.phase === "saving") count++;
+    return count;
   }
 
   /**
-   * Tasks that a job stands back by in the queues: those of an array that are unfinished anywhere in the fleet. By its own
-   * waiting part alone, each group served another array first, and with little to share all had begun and few ended.
+   * Tasks by which a job yields to smaller ones in the queues: those of an array that are unfinished in any partition. By its
+   * own waiting part alone, each partition served another array first, and with little to share all had begun and few ended.
    */
   unfinishedTasks(job: JobRun): number {
     const { spec } = job.view;
@@ -192,60 +187,47 @@
     return backlogOf(this.jobs.values());
   }
 
-  /** What each team uses in this group, counting all that may be running. */
+  /** What each team uses in this partition, counting all that may be running. */
   usage(): Map<string, ResourceUse> {
     const used = this.ledger.used();
-    const blind = this.ledger.unsizedUse();
-    const add = (team: string, need: ResourceUse, n = 1): void => {
-      const u = used.get(team) ?? { cpus: 0, gpus: 0 };
-      u.cpus += need.cpus * n;
-      u.gpus += need.gpus * n;
-      used.set(team, u);
-    };
+    // Of any team: it counts against the limit of each.
+    const unattributed = this.ledger.unsizedUse();
     if (this.failoverFence) {
-      for (const j of this.jobs.values())
-        if (j.predatesLeader)
-          add(j.view.spec.team, j.view.spec, j.waiting.size);
-      // A silent machine may also run tasks of jobs that are over, of any team.
-      // One whose report may be a late copy may run more than that lists.
-      for (const [id, typeName] of this.failoverFence) {
-        const type = this.ctx.catalog?.find((t) => t.name === typeName);
-        const known = usageListedOn(this.workers.get(id));
-        blind.cpus += Math.max(
-          0,
-          (type?.cpus ?? UNKNOWN_MACHINE_SIZE) - known.cpus,
-        );
-        blind.gpus += Math.max(
-          0,
-          (type?.gpus ?? UNKNOWN_MACHINE_SIZE) - known.gpus,
-        );
-      }
-      if (this.fenceAwaitsMachineList) {
-        blind.cpus += UNKNOWN_MACHINE_SIZE;
-        blind.gpus += UNKNOWN_MACHINE_SIZE;
+      for (const job of this.jobs.values()) {
+        const { spec } = job.view;
+        if (job.predatesLeader) addUse(used, spec.team, spec, job.waiting.size);
       }
+      this.failoverFence.addPossibleUse(
+        unattributed,
+        this.ctx.catalog,
+        this.workers,
+      );
     }
-    for (const team of this.ctx.settings.teams.keys()) add(team, blind);
+    for (const team of this.ctx.settings.teams.keys())
+      addUse(used, team, unattributed, 1);
     return used;
   }
 
   // ---- machines ------------------------------------------------------------------------------------------
 
-  noteIdle(w: Worker): void {
-    if (w.tasks.size + w.unconfirmedTasks.size > 0) w.idleSinceMs = null;
-    else w.idleSinceMs ??= this.ctx.nowMs;
+  /** Notes since when nothing is on a machine, or may be. */
+  noteIdle(worker: Worker): void {
+    if (worker.tasks.size + worker.unconfirmedTasks.size > 0)
+      worker.idleSinceMs = null;
+    else worker.idleSinceMs ??= this.ctx.nowMs;
   }
 
-  releaseAll(w: Worker, why: string): void {
-    if (w.tasks.size > 0)
+  /** All that was on a machine is gone from it: its tasks wait again. */
+  releaseAll(worker: Worker, why: string): void {
+    if (worker.tasks.size > 0)
       this.ctx.log("tasks lost with worker incarnation", {
-        worker: w.id,
-        tasks: w.tasks.size,
+        worker: worker.id,
+        tasks: worker.tasks.size,
         reason: why,
       });
-    for (const t of [...w.tasks.values()]) this.requeue(t);
-    this.ledger.clearUnconfirmed(w);
-    this.noteIdle(w);
+    for (const task of [...worker.tasks.values()]) this.requeue(task);
+    this.ledger.clearUnconfirmed(worker);
+    this.noteIdle(worker);
   }
 
   /** A new incarnation: the worker has killed and forgotten all its tasks, and takes no older message any more. */
@@ -263,139 +245,140 @@
     this.registry.set(worker.id, { isReturning: false, type: worker.typeName });
   }
 
-  /** Heard lately enough to expect that it takes orders. */
-  private isReachable(w: Worker): boolean {
+  /** Heard lately enough to expect that it takes commands. */
+  private isReachable(worker: Worker): boolean {
     return (
-      !w.leaseExpired &&
-      this.ctx.nowMs - w.lastAnsweredMs <
+      !worker.leaseExpired &&
+      this.ctx.nowMs - worker.lastAnsweredMs <
         2_000 * this.ctx.settings.reportS + 1_000
     );
   }
 
-  /** Most of its workers have not been heard of for longer than a report and its retry take. */
+  /** Whether most of its workers have not been heard of for longer than a heartbeat and its retry take. */
   unreachableIn(): boolean {
-    const limit = heartbeatGapMs(this.ctx.settings.reportS);
+    const limitMs = heartbeatGapMs(this.ctx.settings.reportS);
     let silent = 0;
-    let all = 0;
-    for (const w of this.workers.values()) {
-      if (w.leaseExpired && this.ctx.nowMs - w.lastAnsweredMs > 60_000)
+    let total = 0;
+    for (const worker of this.workers.values()) {
+      if (
+        worker.leaseExpired &&
+        this.ctx.nowMs - worker.lastAnsweredMs > FORGOTTEN_AFTER_MS
+      )
         continue;
-      all++;
-      if (this.ctx.nowMs - w.lastAnsweredMs > limit) silent++;
+      total++;
+      if (this.ctx.nowMs - worker.lastAnsweredMs > limitMs) silent++;
     }
-    if (all === 0) return this.ctx.nowMs - this.startedMs > limit;
-    return silent * 2 > all;
+    if (total === 0) return this.ctx.nowMs - this.startedMs > limitMs;
+    return silent * 2 > total;
   }
 
-  /** Machines that are heard and receive nothing, as far as known, longest first. */
+  /** Machines whose heartbeats arrive but that receive nothing, as far as known, longest first. */
   unreachableMachines(): Worker[] {
-    const out: Worker[] = [];
-    for (const w of this.workers.values())
-      if (
-        w.delivery.unreachableSinceMs !== null &&
-        !w.leaseExpired &&
-        !w.isReturning
-      )
-        out.push(w);
-    return out.sort(
-      (a, b) => a.delivery.unreachableSinceMs! - b.delivery.unreachableSinceMs!,
-    );
+    const unreachable: { worker: Worker; sinceMs: number }[] = [];
+    for (const worker of this.workers.values()) {
+      const sinceMs = worker.delivery.unreachableSinceMs;
+      if (sinceMs !== null && !worker.leaseExpired && !worker.isReturning)
+        unreachable.push({ worker, sinceMs });
+    }
+    unreachable.sort((a, b) => a.sinceMs - b.sinceMs);
+    return unreachable.map(({ worker }) => worker);
   }
-  /** How many of them are replaced at a time. */
+
+  /** How many unreachable machines may be replaced at a time. */
   unreachableBeingReplaced(): number {
     return Math.max(1, Math.ceil(this.workers.size * MAX_REPLACED_SHARE));
   }
 
-  isUsable(w: Worker): boolean {
+  /** Whether tasks may be started on a machine now. */
+  isUsable(worker: Worker): boolean {
     return (
-      !w.isReturning &&
-      w.delivery.proven &&
-      w.delivery.unreachableSinceMs === null &&
-      w.reclaimedAtMs === null &&
-      w.type !== null &&
-      this.ctx.nowMs >= w.avoidUntilMs &&
-      this.isReachable(w) &&
-      this.registry.has(w.id)
+      !worker.isReturning &&
+      worker.delivery.proven &&
+      worker.delivery.unreachableSinceMs === null &&
+      worker.reclaimedAtMs === null &&
+      worker.type !== null &&
+      this.ctx.nowMs >= worker.avoidUntilMs &&
+      this.isReachable(worker) &&
+      this.registry.has(worker.id)
     );
   }
 
   /** Machines that may be used now, and which of them serve short tasks only. */
-  usableWorkers(): {
-    usable: readonly Worker[];
-    reserved: ReadonlySet<string>;
-  } {
+  usableWorkers(): UsableWorkers {
     const usable: Worker[] = [];
-    for (const w of this.workers.values()) if (this.isUsable(w)) usable.push(w);
+    for (const worker of this.workers.values())
+      if (this.isUsable(worker)) usable.push(worker);
     // Which are reserved follows from which are usable: mostly the same as the last time, several times a second.
     const last = this.lastUsable;
-    if (
+    const isUnchanged =
       usable.length === last.usable.length &&
-      usable.every((w, i) => w === last.usable[i])
-    )
-      return last;
-    return (this.lastUsable = { usable, reserved: this.reserved(usable) });
+      usable.every((worker, i) => worker === last.usable[i]);
+    if (!isUnchanged)
+      this.lastUsable = { usable, reserved: this.reservedAmong(usable) };
+    return this.lastUsable;
   }
-  private lastUsable: {
-    usable: readonly Worker[];
-    reserved: ReadonlySet<string>;
-  } = { usable: [], reserved: new Set() };
 
   /** Reserved for short tasks: the machines of each type that come last by name. */
-  private reserved(usable: readonly Worker[]): Set<string> {
-    const byType = new Map<string, string[]>();
-    for (const w of usable) {
-      const list = byType.get(w.typeName) ?? [];
-      list.push(w.id);
-      byType.set(w.typeName, list);
+  private reservedAmong(usable: readonly Worker[]): Set<string> {
+    const idsByType = new Map<string, string[]>();
+    for (const worker of usable) {
+      const ids = idsByType.get(worker.typeName) ?? [];
+      ids.push(worker.id);
+      idsByType.set(worker.typeName, ids);
     }
-    const out = new Set<string>();
-    for (const ids of byType.values()) {
+    const reserved = new Set<string>();
+    for (const ids of idsByType.values()) {
       ids.sort();
-      const n = Math.floor(ids.length * this.ctx.tuning.reservedShare);
-      for (const id of ids.slice(ids.length - n)) out.add(id);
+      const count = Math.floor(ids.length * this.ctx.tuning.reservedShare);
+      for (const id of ids.slice(ids.length - count)) reserved.add(id);
     }
-    return out;
+    return reserved;
   }
 
-  /** What is held for a job is not there for others. */
-  isReservedForOther(w: Worker): boolean {
+  /** What is reserved for a gang or a job is not there for others. */
+  isReservedForOther(worker: Worker): boolean {
     return (
-      this.reservedForGangs.has(w) ||
-      (w.reservedFor !== null && this.ctx.nowMs < w.reservedFor.untilMs)
+      this.reservedForGangs.has(worker) ||
+      (worker.reservedFor !== null &&
+        this.ctx.nowMs < worker.reservedFor.untilMs)
     );
   }
 
-  // ---- the fence, and what is gone -----------------------------------------------------------------------
+  // ---- failover ------------------------------------------------------------------------------------------
 
-  /** A former master's tasks are not all accounted for yet. */
+  /** Whether tasks that a former leader started may be running unaccounted for. */
   get isFenced(): boolean {
     return this.failoverFence !== null;
   }
 
+  /** Nothing of a former leader runs on this machine that is not known: it has reported under this token, or is gone. */
   accountFor(id: string): void {
     if (!this.failoverFence) return;
     this.failoverFence.delete(id);
-    if (this.failoverFence.size === 0 && !this.fenceAwaitsMachineList)
-      this.liftFence("every machine has reported");
+    this.liftClearedFence();
   }
 
-  private liftFence(why: string): void {
+  private liftClearedFence(): void {
+    if (this.failoverFence?.isCleared)
+      this.liftFence(this.failoverFence, "every machine has reported");
+  }
+
+  private liftFence(fence: FailoverFence, why: string): void {
     this.ctx.log("failover complete", {
       partition: this.partition,
       token: this.token,
       reason: why,
-      silent: [...(this.failoverFence?.keys() ?? [])].slice(0, 10),
+      silent: fence.machines().slice(0, MAX_LOGGED_MACHINES),
       afterMs: Math.round(this.ctx.nowMs - this.startedMs),
     });
     this.failoverFence = null;
-    this.fenceAwaitsMachineList = false;
     this.registry.confirm();
     this.needsScheduling = true;
   }
 
   /**
    * Past its lease a machine has killed all its tasks and takes no older message: nothing may run there until it has
-   * reported and is in the roster again. Left in the roster, machines that are gone made every later master wait for a
+   * reported and is in the registry again. Left in the registry, machines that are gone made every later leader wait for a
    * whole lease (docs/incidents/tremorline-grown-crashes.md).
    */
   forgetMachine(id: string): void {
@@ -405,9 +388,9 @@
   /** The cloud has said that these machines are gone, with everything on them. */
   machinesGone(ids: readonly string[]): void {
     for (const id of ids) {
-      const w = this.workers.get(id);
-      if (w) {
-        this.releaseAll(w, "machine returned");
+      const worker = this.workers.get(id);
+      if (worker) {
+        this.releaseAll(worker, "machine returned");
         this.workers.delete(id);
       }
       this.registry.remove(id);
@@ -416,81 +399,102 @@
   }
 
   /**
-   * The cloud's list of this group's machines, as it was at `asOfMs` or later. A machine of the former master was up before
-   * this one began, and once listed it stays so until it is gone with everything on it: what a list of this master's time
-   * does not show is not waited for. One machine that was taken without notice held up each takeover of hundreds for a
-   * whole lease.
+   * The cloud's list of this partition's machines, as it was at `asOfMs` or later. A machine of the former leader was up
+   * before this one began, and once listed it stays so until it is gone with everything on it: what a list of this leader's
+   * time does not show is not waited for. One machine that was taken without notice held up each failover of hundreds for
+   * a whole lease.
    */
   noteMachineList(
     machines: ReadonlyMap<string, ListedMachine>,
     asOfMs: number,
   ): void {
-    if (!this.failoverFence || asOfMs < this.startedMs + MACHINE_LIST_SLACK_MS)
-      return;
-    if (this.fenceAwaitsMachineList) this.fenceListed(machines);
-    for (const id of [...(this.failoverFence?.keys() ?? [])]) {
+    const fence = this.failoverFence;
+    if (!fence || asOfMs < this.startedMs + MACHINE_LIST_MARGIN_MS) return;
+    if (fence.awaitsMachineList) this.fenceListedMachines(fence, machines);
+    for (const id of fence.machines()) {
       if (machines.has(id) || this.workers.has(id)) continue;
-      this.ctx.log("machine of former leader is gone", {
-        worker: id,
-      });
+      this.ctx.log("machine of former leader is gone", { worker: id });
       this.forgetMachine(id);
       this.accountFor(id);
     }
   }
 
-  /**
-   * Invariant (ran_twice, quota): what the former master may have started runs on machines that were up before this master
-   * began, so this list names them, whether the roster does or not. One that stopped of its own accord runs nothing.
-   */
-  private fenceListed(machines: ReadonlyMap<string, ListedMachine>): void {
-    this.fenceAwaitsMachineList = false;
-    let added = 0;
-    for (const [id, machine] of machines) {
-      const hasReported = (this.workers.get(id)?.token ?? 0) >= this.token;
-      if (
-        machine.state === "failed" ||
-        hasReported ||
-        this.failoverFence!.has(id)
-      )
-        continue;
-      this.failoverFence!.set(id, machine.type);
-      added++;
-    }
+  private fenceListedMachines(
+    fence: FailoverFence,
+    machines: ReadonlyMap<string, ListedMachine>,
+  ): void {
+    const added = fence.addListed(
+      machines,
+      (id) => (this.workers.get(id)?.token ?? 0) >= this.token,
+    );
     this.ctx.log("failover waits for machines missing from the registry", {
       partition: this.partition,
       machines: added,
     });
-    if (this.failoverFence!.size === 0)
-      this.liftFence("every machine has reported");
+    this.liftClearedFence();
   }
 
-  /** Leases that have ended: of the machines that a takeover waits for, and of those that fell silent. */
+  /** Worker leases that have ended: of the machines that a failover waits for, and of those that fell silent. */
   expireLeases(): void {
-    const now = this.ctx.nowMs;
     const leaseMs =
-      this.ctx.settings.leaseS * 1000 * CLOCK_DRIFT_FACTOR + LEASE_SLACK_MS;
-    if (this.failoverFence && now - this.startedMs > leaseMs) {
-      // Invariant (ran_twice): a machine that has reported, though not under this token yet, may run tasks: it stays.
-      for (const id of this.failoverFence.keys())
-        if (!this.workers.has(id)) this.forgetMachine(id);
-      this.liftFence("leases of silent machines have ended");
-    }
-    for (const w of this.workers.values()) {
-      // Invariant (ran_twice): a machine that was back at once begins a new lease, under the session that it had before if
-      // that was its first: a start sent straight to it is carried out then. Its lease began before that command ended.
-      if (
-        w.leaseExpired ||
-        w.commandInFlight ||
-        now - Math.max(w.lastAnsweredMs, w.delivery.lastCommandMs) <= leaseMs
-      )
-        continue;
-      w.leaseExpired = true;
-      this.ctx.log("worker lease expired", {
-        worker: w.id,
-        tasks: w.tasks.size,
-      });
-      this.releaseAll(w, "lease ended");
-      this.forgetMachine(w.id);
-    }
+      this.ctx.settings.leaseS * 1000 * CLOCK_DRIFT_FACTOR +
+      LEASE_EXPIRY_MARGIN_MS;
+    if (this.failoverFence && this.ctx.nowMs - this.startedMs > leaseMs)
+      this.expireFence(this.failoverFence);
+    for (const worker of this.workers.values())
+      if (this.isLeaseOver(worker, leaseMs)) this.expireLease(worker);
+  }
+
+  private expireFence(fence: FailoverFence): void {
+    // Invariant (ran_twice): a machine that has reported, though not under this token yet, may run tasks: it stays.
+    for (const id of fence.machines())
+      if (!this.workers.has(id)) this.forgetMachine(id);
+    this.liftFence(fence, "leases of silent machines have ended");
   }
+
+  /**
+   * Invariant (ran_twice): a machine that was back at once begins a new lease, under the incarnation that it had before if
+   * that was its first: a start sent straight to it is carried out then. Its lease began before that command ended.
+   */
+  private isLeaseOver(worker: Worker, leaseMs: number): boolean {
+    if (worker.leaseExpired || worker.commandInFlight) return false;
+    const renewedMs = Math.max(
+      worker.lastAnsweredMs,
+      worker.delivery.lastCommandMs,
+    );
+    return this.ctx.nowMs - renewedMs > leaseMs;
+  }
+
+  private expireLease(worker: Worker): void {
+    worker.leaseExpired = true;
+    this.ctx.log("worker lease expired", {
+      worker: worker.id,
+      tasks: worker.tasks.size,
+    });
+    this.releaseAll(worker, "lease ended");
+    this.forgetMachine(worker.id);
+  }
+}
+
+/** Whether this partition still has to run a task that is on no machine. */
+function mustRunHere(job: JobRun, index: number): boolean {
+  return (
+    !job.isOver &&
+    job.assigned.has(index) &&
+    !job.finished.has(index) &&
+    !job.pendingTransfer?.tasks.has(index)
+  );
+}
+
+/** Adds so many tasks of this need to what a team uses. */
+function addUse(
+  used: Map<string, ResourceUse>,
+  team: string,
+  need: ResourceUse,
+  tasks: number,
+): void {
+  const teamUse = used.get(team) ?? { cpus: 0, gpus: 0 };
+  teamUse.cpus += need.cpus * tasks;
+  teamUse.gpus += need.gpus * tasks;
+  used.set(team, teamUse);
 }
