--- a/src/coordination/machines/delivery-tracker.ts
+++ b/src/coordination/machines/delivery-tracker.ts
@@ -1,22 +1,28 @@
+/**
+ * Judges heartbeats: which are older than what is known, and what they say of whether a machine receives answers and
+ * commands. Its state is the `DeliveryState` of each worker.
+ */
+
 import type { Context } from "../context.js";
 import type { Heartbeat } from "../model.js";
 import { newDeliveryState, type Worker } from "./worker-state.js";
 
-/** Reports in a row that contradict receipt before a machine gets nothing new; one answer may be lost on any network. */
+/** Heartbeats in a row that may contradict delivery before a machine counts as unreachable; any network may lose one answer. */
 const MAX_MISSED = 2;
-/** How long the sessions and tallies of a machine's former life are told from those of its present one, in leases. */
+/** How long the incarnations and sequences of a machine's former life are told from those of its present one, in leases. */
 const FORMER_LIFE_LEASES = 10;
-/** Tallies rise with reports, at most two a second, and with commands: so many more are believed. */
+/** Sequences rise with heartbeats, at most two a second, and with commands: so many more are believed. */
 const SEQUENCE_SLACK = 5;
 const SEQUENCES_PER_S = 2.2;
-/** Questions to one machine follow each other no faster than this, in ms. */
+/** Status queries to one machine follow each other no faster than this. */
 const INSPECT_INTERVAL_MS = 2_000;
+/** Between status queries to a machine that counts as unreachable. */
 const PROBE_INTERVAL_MS = 10_000;
 
 /**
- * Which reports are older than what is known, and whether a machine receives. Reports arrive late, doubled and out of
- * order, from seconds to several leases after they were made, and a machine whose reports arrive may get neither
- * answers nor commands. docs/design.md has the table of what a report may establish.
+ * Heartbeats arrive late, doubled and out of order, from seconds to several leases after they were made, and a machine
+ * whose heartbeats arrive may receive neither answers nor commands. docs/design.md has the table of what a heartbeat may
+ * establish.
  */
 export class DeliveryTracker {
   constructor(
@@ -29,156 +35,161 @@
   }
 
   /**
-   * A report that is no newer than what is known, or that a former life of the machine sent. Invariant (ran_twice): the
-   * highest token that a worker has seen never falls within its life, whatever its session: a report with a lower one
+   * A heartbeat that is no newer than what is known, or that a former life of the machine sent. Invariant (ran_twice): the
+   * highest token that a worker has seen never falls within its life, whatever its incarnation: a heartbeat with a lower one
    * than it has shown is older or of another life, and what it does not list may run there.
    */
-  isStale(w: Worker, r: Heartbeat): boolean {
+  isStale(worker: Worker, heartbeat: Heartbeat): boolean {
     if (
-      r.token < w.token ||
-      r.incarnation < w.incarnation ||
-      (r.incarnation === w.incarnation &&
-        (r.sequence <= w.sequence || w.leaseExpired))
+      heartbeat.token < worker.token ||
+      heartbeat.incarnation < worker.incarnation ||
+      (heartbeat.incarnation === worker.incarnation &&
+        (heartbeat.sequence <= worker.sequence || worker.leaseExpired))
     )
       return true;
     const { formerLife: former, incarnationSinceMs: incarnationMs } =
-      w.delivery;
+      worker.delivery;
     if (!former || this.ctx.nowMs > former.untilMs) return false;
-    // It began anew a while ago: sessions take a lease each, tallies a while. What is beyond that its former life had.
+    // It restarted a while ago: incarnations take a lease each, sequences a while. What is beyond that its former life had.
     if (
-      (r.incarnation - w.incarnation) * this.leaseMs >
+      (heartbeat.incarnation - worker.incarnation) * this.leaseMs >
       this.ctx.nowMs - incarnationMs + this.leaseMs / 2
     )
       return true;
-    return (
-      r.sequence >
-      w.sequence +
-        SEQUENCE_SLACK +
-        ((this.ctx.nowMs - w.lastHeardMs) / 1000) * SEQUENCES_PER_S
-    );
+    return heartbeat.sequence > this.maxSequence(worker);
   }
 
   /**
-   * A report that the machine's former life may have sent as well as its present one: both had this session and tally. It
-   * says that something is there, and nothing of what is on it; that the machine is asked itself.
+   * A heartbeat that the machine's former life may have sent as well as its present one: both had this incarnation and
+   * sequence. It says that something is there, and nothing of what is on it; for that the machine itself is queried.
    */
-  isAmbiguous(w: Worker, r: Heartbeat): boolean {
-    const { formerLife: former } = w.delivery;
+  isAmbiguous(worker: Worker, heartbeat: Heartbeat): boolean {
+    const { formerLife: former } = worker.delivery;
     return (
       former !== null &&
       this.ctx.nowMs < former.untilMs &&
-      !w.leaseExpired &&
-      r.token >= w.token &&
-      r.incarnation >= w.incarnation &&
-      r.incarnation <= former.incarnation &&
-      r.sequence <= former.sequence
+      !worker.leaseExpired &&
+      heartbeat.token >= worker.token &&
+      heartbeat.incarnation >= worker.incarnation &&
+      heartbeat.incarnation <= former.incarnation &&
+      heartbeat.sequence <= former.sequence
     );
   }
 
-  /** Whether to ask a machine itself: nothing new was heard of it for longer than reports and retries take, and yet something comes. */
-  mayInspect(w: Worker, quietFor = true): boolean {
+  /**
+   * Whether to query the status of a machine: nothing new was heard of it for longer than heartbeats and retries take, and
+   * yet something comes. Without `mustBeQuiet` it may have been heard a moment ago.
+   */
+  mayInspect(worker: Worker, mustBeQuiet = true): boolean {
     const quietMs = (this.ctx.settings.reportS * 1.25 + 1) * 1000;
     return (
-      !w.delivery.inspecting &&
-      (!quietFor || this.ctx.nowMs - w.lastHeardMs > quietMs) &&
-      this.ctx.nowMs - w.delivery.inspectedMs > INSPECT_INTERVAL_MS
+      !worker.delivery.inspecting &&
+      (!mustBeQuiet || this.ctx.nowMs - worker.lastHeardMs > quietMs) &&
+      this.ctx.nowMs - worker.delivery.inspectedMs > INSPECT_INTERVAL_MS
     );
   }
 
-  /** Now and then a machine that does not receive is asked whether it does again. */
-  mayProbe(w: Worker): boolean {
+  /** Whether it is time to query a machine that does not receive, to see if it does again. */
+  mayProbe(worker: Worker): boolean {
     return (
-      w.delivery.unreachableSinceMs !== null &&
-      !w.delivery.inspecting &&
-      this.ctx.nowMs - w.delivery.inspectedMs > PROBE_INTERVAL_MS
+      worker.delivery.unreachableSinceMs !== null &&
+      !worker.delivery.inspecting &&
+      this.ctx.nowMs - worker.delivery.inspectedMs > PROBE_INTERVAL_MS
     );
   }
 
-  /** Notes what a report that counts says of receipt, before the rest of it is looked at. */
-  note(w: Worker, r: Heartbeat, rose: boolean): void {
-    const c = w.delivery;
-    if (rose) {
-      c.incarnationSinceMs = this.ctx.nowMs;
-      // Its lease ran out although a report of it was answered within the last half of one.
+  /** Notes what a heartbeat that is news says of delivery, before the rest of it is looked at. */
+  note(worker: Worker, heartbeat: Heartbeat, isNewIncarnation: boolean): void {
+    const { delivery } = worker;
+    if (isNewIncarnation) {
+      delivery.incarnationSinceMs = this.ctx.nowMs;
+      // Its lease expired although a heartbeat of it was answered within the last half of one.
       if (
-        !w.leaseExpired &&
-        this.ctx.nowMs - w.lastAnsweredMs < this.leaseMs / 2
+        !worker.leaseExpired &&
+        this.ctx.nowMs - worker.lastAnsweredMs < this.leaseMs / 2
       )
         this.markUnreachable(
-          w,
+          worker,
           "its lease ended although its reports are answered",
         );
       return;
     }
-    if (r.token === this.token && w.token !== this.token)
-      this.markReachable(w, "it has seen this master's token");
-    else if (r.token === this.token) c.proven = true;
+    if (heartbeat.token === this.token && worker.token !== this.token)
+      this.markReachable(worker, "it has seen this master's token");
+    else if (heartbeat.token === this.token) delivery.proven = true;
     // Answered several times under this token, and it still has not seen it.
-    else if (w.token < this.token && ++c.missed > MAX_MISSED)
-      this.markUnreachable(w, "it does not see this master's token");
+    else if (worker.token < this.token && ++delivery.missed > MAX_MISSED)
+      this.markUnreachable(worker, "it does not see this master's token");
     if (
-      c.unreachableSinceMs !== null &&
-      this.ctx.nowMs - Math.max(c.unreachableSinceMs, c.incarnationSinceMs) >
+      delivery.unreachableSinceMs !== null &&
+      this.ctx.nowMs -
+        Math.max(delivery.unreachableSinceMs, delivery.incarnationSinceMs) >
         this.leaseMs * 1.1 + 1_000
     )
-      this.markReachable(w, "its lease goes on");
+      this.markReachable(worker, "its lease goes on");
   }
 
-  /** What a report shows of the starts that answers before it bore: some that should be there are not, or all are. */
-  noteCommands(w: Worker, missing: boolean, shown: boolean): void {
-    if (shown) this.markReachable(w, "it has carried out an order");
-    else if (missing && ++w.delivery.missed > MAX_MISSED)
-      this.markUnreachable(w, "it does not carry out what answers to it say");
+  /** What a heartbeat shows of the starts that answers before it contained: some that should be there are not, or all are. */
+  noteCommands(worker: Worker, missing: boolean, shown: boolean): void {
+    if (shown) this.markReachable(worker, "it has carried out an order");
+    else if (missing && ++worker.delivery.missed > MAX_MISSED)
+      this.markUnreachable(
+        worker,
+        "it does not carry out what answers to it say",
+      );
   }
 
-  /** A command or a question was answered by the machine itself. */
-  noteAnswered(w: Worker): void {
-    if (w.delivery.timesUnreachable <= 1) this.markReachable(w, "it answers");
+  /** A command or a status query was answered by the machine itself. */
+  noteAnswered(worker: Worker): void {
+    if (worker.delivery.timesUnreachable <= 1)
+      this.markReachable(worker, "it answers");
   }
 
-  private markUnreachable(w: Worker, why: string): void {
-    const c = w.delivery;
-    c.missed = 0;
-    if (c.unreachableSinceMs !== null) return;
-    c.unreachableSinceMs = this.ctx.nowMs;
-    c.timesUnreachable++;
+  private markUnreachable(worker: Worker, why: string): void {
+    const { delivery } = worker;
+    delivery.missed = 0;
+    if (delivery.unreachableSinceMs !== null) return;
+    delivery.unreachableSinceMs = this.ctx.nowMs;
+    delivery.timesUnreachable++;
     this.ctx.log("machine unreachable", {
-      worker: w.id,
+      worker: worker.id,
       reason: why,
-      occurrences: c.timesUnreachable,
-      tasks: w.tasks.size,
+      occurrences: delivery.timesUnreachable,
+      tasks: worker.tasks.size,
     });
   }
 
-  private markReachable(w: Worker, why: string): void {
-    const c = w.delivery;
-    c.proven = true;
-    c.missed = 0;
-    if (c.unreachableSinceMs === null) return;
+  private markReachable(worker: Worker, why: string): void {
+    const { delivery } = worker;
+    delivery.proven = true;
+    delivery.missed = 0;
+    if (delivery.unreachableSinceMs === null) return;
     this.ctx.log("machine reachable again", {
-      worker: w.id,
+      worker: worker.id,
       reason: why,
-      afterMs: Math.round(this.ctx.nowMs - c.unreachableSinceMs),
+      afterMs: Math.round(this.ctx.nowMs - delivery.unreachableSinceMs),
     });
-    c.unreachableSinceMs = null;
+    delivery.unreachableSinceMs = null;
+  }
+
+  /** The highest sequence that the present life of a worker may have reached by now. */
+  private maxSequence(worker: Worker): number {
+    const quietS = (this.ctx.nowMs - worker.lastHeardMs) / 1000;
+    return worker.sequence + SEQUENCE_SLACK + quietS * SEQUENCES_PER_S;
   }
 
-  /** Its answer to a question is of a later life than what is known. */
-  noteRestart(w: Worker): void {
-    const reached =
-      w.sequence +
-      SEQUENCE_SLACK +
-      ((this.ctx.nowMs - w.lastHeardMs) / 1000) * SEQUENCES_PER_S;
-    const before = w.delivery.formerLife;
+  /** Its answer to a status query is of a later life than what is known. */
+  noteRestart(worker: Worker): void {
+    const earlier = worker.delivery.formerLife;
     const former = {
-      incarnation: Math.max(w.incarnation, before?.incarnation ?? 0),
-      sequence: Math.max(reached, before?.sequence ?? 0),
+      incarnation: Math.max(worker.incarnation, earlier?.incarnation ?? 0),
+      sequence: Math.max(this.maxSequence(worker), earlier?.sequence ?? 0),
       untilMs: this.ctx.nowMs + FORMER_LIFE_LEASES * this.leaseMs,
     };
-    w.delivery = {
+    worker.delivery = {
       ...newDeliveryState(true, this.ctx.nowMs),
-      inspectedMs: w.delivery.inspectedMs,
-      timesUnreachable: w.delivery.timesUnreachable,
+      inspectedMs: worker.delivery.inspectedMs,
+      timesUnreachable: worker.delivery.timesUnreachable,
       formerLife: former,
     };
   }
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -1,3 +1,7 @@
+/**
+ * Brings what the leader knows of a worker's tasks in line with the status that the worker reports. Keeps no state of its own.
+ */
+
 import type { Context } from "../context.js";
 import type { FailureTracker } from "./failure-tracker.js";
 import type { JobCompletion } from "../jobs/job-completion.js";
@@ -12,54 +16,53 @@
   type Worker,
 } from "./worker-state.js";
 
-/** A machine that refused a task for want of room, or a job that is not known there, is left alone for so long. */
+/** For so long no task is placed on a machine that refused one for lack of resources, nor one of a job that is unknown there. */
 const REFUSED_PAUSE_MS = 2_000;
 
 /** Reported tasks by job, index and attempt. */
 type ReportedTasks = ReadonlyMap<string, ReportedTask>;
 
-/** What a report says of the starts that answers before it bore. */
+/** What a heartbeat says of the starts that answers before it contained. */
 interface CommandEvidence {
   /** One that should be there is not. */
   missing: boolean;
   carriedOut: boolean;
 }
 
-/** Brings what the master knows of a machine's tasks in line with what the machine reports. */
 export class Reconciliation {
   constructor(
     private readonly ctx: Context,
-    private readonly own: PartitionState,
-    private readonly receipts: DeliveryTracker,
-    private readonly finishing: JobCompletion,
+    private readonly state: PartitionState,
+    private readonly deliveries: DeliveryTracker,
+    private readonly completion: JobCompletion,
     private readonly failures: FailureTracker,
   ) {}
 
   /**
-   * `ordered`: the report was made after every answer before it, as a machine's own reports are. Its answer to a question is
-   * not: an order may reach it after that, so that an ordered task which it does not show may still start.
+   * `ordered`: the status was made after every answer before it, as heartbeats are. The answer to a status query is not: a
+   * command may reach the machine after that, so that an ordered task which it does not show may still start.
    */
   reconcile(
     worker: Worker,
-    reported: readonly ReportedTask[],
+    tasks: readonly ReportedTask[],
     ordered = true,
   ): void {
     const shown = new Map<string, ReportedTask>();
-    for (const r of reported)
-      shown.set(attemptKey(r.job, r.index, r.attempt), r);
+    for (const task of tasks)
+      shown.set(attemptKey(task.job, task.index, task.attempt), task);
     worker.exited = [];
     const unconfirmed = new Map(worker.unconfirmedTasks);
-    this.own.ledger.clearUnconfirmed(worker);
+    this.state.ledger.clearUnconfirmed(worker);
     const seen = this.reconcileKnown(worker, shown, ordered);
-    for (const [key, r] of shown) {
-      if (r.state === "exited") this.noteExited(worker, key, r);
-      else if (!worker.tasks.has(key) && !this.adopt(worker, r))
-        this.addUnconfirmed(worker, r, unconfirmed.get(key));
+    for (const [key, task] of shown) {
+      if (task.state === "exited") this.noteExited(worker, key, task);
+      else if (!worker.tasks.has(key) && !this.adopt(worker, task))
+        this.addUnconfirmed(worker, task, unconfirmed.get(key));
     }
-    this.receipts.noteCommands(worker, seen.missing, seen.carriedOut);
-    // What is gone from a machine has made room, or was what a waiting task had to wait for.
+    this.deliveries.noteCommands(worker, seen.missing, seen.carriedOut);
+    // What is gone from a machine has freed resources, or was what a waiting task had to wait for.
     for (const key of unconfirmed.keys())
-      if (!worker.unconfirmedTasks.has(key)) this.own.needsScheduling = true;
+      if (!worker.unconfirmedTasks.has(key)) this.state.needsScheduling = true;
   }
 
   /** The tasks that are known to be, or were ordered to be, on the machine. */
@@ -70,20 +73,21 @@
   ): CommandEvidence {
     const seen: CommandEvidence = { missing: false, carriedOut: false };
     for (const [key, task] of [...worker.tasks]) {
-      const r = shown.get(key);
-      if (!r) {
+      const reported = shown.get(key);
+      if (!reported) {
         if (this.reconcileAbsent(worker, key, task, ordered))
           seen.missing = true;
         continue;
       }
       if (task.phase === "ordered") seen.carriedOut = true;
-      if (r.state === "exited") this.onExited(task, r.cause, r.checkpointed);
-      else this.notePhase(worker, task, r.state);
+      if (reported.state === "exited")
+        this.onExited(task, reported.cause, reported.checkpointed);
+      else this.notePhase(worker, task, reported.state);
     }
     return seen;
   }
 
-  /** Whether a start that the machine was told of is missing. */
+  /** Whether a start that was sent to the machine is missing. */
   private reconcileAbsent(
     worker: Worker,
     key: string,
@@ -94,11 +98,11 @@
       this.onVanished(task);
       return false;
     }
-    // A start that no report shows was not carried out, and if it rode in an answer it never will be: the
+    // A start that no heartbeat shows was not carried out, and if it was part of an answer it never will be: the
     // worker drops answers that it no longer waits for. One sent straight to it may still arrive.
     if (!ordered) return false;
     if (task.stop && !worker.unansweredStarts.has(key)) {
-      this.own.requeue(task);
+      this.state.requeue(task);
       return false;
     }
     if (task.timesSent === 0) return false;
@@ -107,7 +111,7 @@
       worker.delivery.unreachableSinceMs !== null &&
       !worker.unansweredStarts.has(key)
     )
-      this.own.requeue(task);
+      this.state.requeue(task);
     return true;
   }
 
@@ -132,24 +136,30 @@
       this.noteImage(worker, task);
   }
 
-  private noteExited(worker: Worker, key: string, r: ReportedTask): void {
+  private noteExited(
+    worker: Worker,
+    key: string,
+    reported: ReportedTask,
+  ): void {
     worker.exited.push({
-      job: r.job,
-      index: r.index,
-      attempt: r.attempt,
-      cause: r.cause,
+      job: reported.job,
+      index: reported.index,
+      attempt: reported.attempt,
+      cause: reported.cause,
     });
-    if (!worker.tasks.has(key) && r.cause === "done") this.onFoundDone(r);
+    if (!worker.tasks.has(key) && reported.cause === "done")
+      this.onFoundDone(reported);
   }
 
-  /** A task that is not this master's: it is stopped, and counts until it is gone. */
+  /** A task that this leader did not start and may not adopt: it is stopped, and counts until it is gone. */
   private addUnconfirmed(
     worker: Worker,
-    r: ReportedTask,
+    reported: ReportedTask,
     before: UnconfirmedTask | undefined,
   ): void {
     const spec = (
-      this.own.jobs.get(r.job)?.view ?? this.ctx.cache.jobs.get(r.job)
+      this.state.jobs.get(reported.job)?.view ??
+      this.ctx.cache.jobs.get(reported.job)
     )?.spec;
     const known = spec && {
       team: spec.team,
@@ -157,11 +167,11 @@
       gpus: spec.gpus,
       memGb: spec.memGb,
     };
-    this.own.ledger.addUnconfirmed({
+    this.state.ledger.addUnconfirmed({
       worker,
-      job: r.job,
-      index: r.index,
-      attempt: r.attempt,
+      job: reported.job,
+      index: reported.index,
+      attempt: reported.attempt,
       need: known ?? before?.need ?? null,
       sinceMs: before?.sinceMs ?? this.ctx.nowMs,
     });
@@ -183,46 +193,51 @@
   }
 
   /** A result that was reported under another attempt counts all the same. */
-  private onFoundDone(r: ReportedTask): void {
-    const job = this.own.jobs.get(r.job);
+  private onFoundDone(reported: ReportedTask): void {
+    const job = this.state.jobs.get(reported.job);
     if (
       !job ||
       job.view.spec.kind === "service" ||
-      !job.assigned.has(r.index) ||
-      job.finished.has(r.index)
+      !job.assigned.has(reported.index) ||
+      job.finished.has(reported.index)
     )
       return;
-    const running = job.active.get(r.index);
-    this.finishing.completeTask(job, r.index);
-    if (running) this.own.stop(running, 0, "done elsewhere");
+    const running = job.active.get(reported.index);
+    this.completion.completeTask(job, reported.index);
+    if (running) this.state.stop(running, 0, "done elsewhere");
   }
 
-  /** A task that a former master started (or whose start we forgot): ours from now on, if it may be. */
-  private adopt(worker: Worker, r: ReportedTask): boolean {
-    const job = this.own.jobs.get(r.job);
-    if (!job || job.isOver || !job.waiting.has(r.index) || r.state === "exited")
+  /** Takes over a task that a former leader started, or whose start was taken for lost, if it may run here. */
+  private adopt(worker: Worker, reported: ReportedTask): boolean {
+    const job = this.state.jobs.get(reported.job);
+    if (
+      !job ||
+      job.isOver ||
+      !job.waiting.has(reported.index) ||
+      reported.state === "exited"
+    )
       return false;
     const spec = job.view.spec;
     if (
       spec.kind === "gang" &&
-      [...job.active.values()].some((t) => t.attempt !== r.attempt)
+      [...job.active.values()].some((task) => task.attempt !== reported.attempt)
     )
       return false;
     if (!isAllowedOn(spec, worker.typeName, worker.zone, worker.spot))
       return false;
-    job.waiting.remove(r.index);
+    job.waiting.remove(reported.index);
     const task: TaskRun = {
       job,
-      index: r.index,
-      attempt: r.attempt,
+      index: reported.index,
+      attempt: reported.attempt,
       worker,
-      phase: r.state,
+      phase: reported.state,
       timesSent: 0,
       sinceMs: this.ctx.nowMs,
       stop: null,
     };
-    job.active.set(r.index, task);
-    this.own.ledger.add(task);
+    job.active.set(reported.index, task);
+    this.state.ledger.add(task);
     this.noteImage(worker, task);
     return true;
   }
@@ -232,23 +247,23 @@
       task: taskKey(task.job.id, task.index),
       worker: task.worker.id,
     });
-    this.own.requeue(task);
+    this.state.requeue(task);
   }
 
   private onExited(
     task: TaskRun,
     cause: ExitCause | null,
-    saved: boolean,
+    checkpointed: boolean,
   ): void {
     const { job, worker } = task;
     this.ctx.log("task ended", {
       task: taskKey(job.id, task.index),
       worker: worker.id,
       cause,
-      checkpointed: saved,
+      checkpointed,
     });
     if (cause === "done" && !job.isOver && job.view.spec.kind !== "service")
-      this.finishing.completeTask(job, task.index);
+      this.completion.completeTask(job, task.index);
     if (cause === "done") {
       worker.failedJobs.clear();
       this.failures.onCompleted(job);
@@ -258,6 +273,6 @@
       worker.avoidUntilMs = this.ctx.nowMs + REFUSED_PAUSE_MS;
     if (cause === "no_such")
       job.backoffUntilMs = this.ctx.nowMs + REFUSED_PAUSE_MS;
-    this.own.requeue(task);
+    this.state.requeue(task);
   }
 }
--- a/src/coordination/machines/redirects.ts
+++ b/src/coordination/machines/redirects.ts
@@ -1,4 +1,8 @@
-/** A worker that comes back within this time has not reached the controller that it was sent to: it reports more often. */
+/**
+ * Remembers which workers were redirected to another controller a moment ago. Owns a bounded map from worker to redirect.
+ */
+
+/** A worker that comes back within this time has not reached the controller that it was sent to: heartbeats come more often than that. */
 const REMEMBERED_MS = 12_000;
 /** Part of the memory that the redirects may take: names of workers come from whoever connects. */
 const MEMORY_SHARE = 0.03;
@@ -8,7 +12,7 @@
 const MIN_REDIRECTS = 8_000;
 
 interface Redirect {
-  /** The token under which the group was owned. */
+  /** Fencing token of the leader that it was redirected to. */
   token: number;
   /** Steady time. */
   atMs: number;
@@ -21,20 +25,20 @@
     Math.floor((memMb * MEMORY_SHARE * 1024) / REDIRECT_KIB),
   );
 
-/** Workers that were sent to the controller that owns their group, by name: one that comes back at once can't reach it. */
+/** Workers that were redirected to the controller that leads their partition: one that comes back at once can't reach it. */
 export class Redirects {
-  /** In the order of their times. */
-  private readonly sent = new Map<string, Redirect>();
+  /** By worker, oldest first. */
+  private readonly redirects = new Map<string, Redirect>();
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxSize: number) {}
 
   get size(): number {
-    return this.sent.size;
+    return this.redirects.size;
   }
 
-  /** Whether this worker was sent away under this token a moment ago. */
+  /** Whether this worker was redirected under this token a moment ago. */
   isBack(worker: string, token: number, nowMs: number): boolean {
-    const redirect = this.sent.get(worker);
+    const redirect = this.redirects.get(worker);
     return (
       redirect !== undefined &&
       redirect.token === token &&
@@ -42,18 +46,19 @@
     );
   }
 
+  /** Notes that a worker is redirected now. */
   note(worker: string, token: number, nowMs: number): void {
-    this.sent.delete(worker);
-    this.sent.set(worker, { token, atMs: nowMs });
-    this.forget(nowMs);
+    this.redirects.delete(worker);
+    this.redirects.set(worker, { token, atMs: nowMs });
+    this.evict(nowMs);
   }
 
-  /** Those that say nothing any more, and the oldest beyond the bound. */
-  private forget(nowMs: number): void {
-    for (const [worker, { atMs }] of this.sent) {
-      const useful = nowMs - atMs < REMEMBERED_MS;
-      if (useful && this.sent.size <= this.most) return;
-      this.sent.delete(worker);
+  /** Drops redirects that are too old to matter, and the oldest beyond the bound. */
+  private evict(nowMs: number): void {
+    for (const [worker, { atMs }] of this.redirects) {
+      const isRecent = nowMs - atMs < REMEMBERED_MS;
+      if (isRecent && this.redirects.size <= this.maxSize) return;
+      this.redirects.delete(worker);
     }
   }
 }
--- a/src/coordination/machines/resource-ledger.ts
+++ b/src/coordination/machines/resource-ledger.ts
@@ -1,3 +1,8 @@
+/**
+ * Accounts for the resources in use on a partition's machines. Owns the sums by team and the index of unconfirmed tasks,
+ * and drops the cached free resources of a worker when its tasks change.
+ */
+
 import {
   type UnconfirmedTask,
   attemptKey,
@@ -5,14 +10,15 @@
   type Worker,
 } from "./worker-state.js";
 
+/** CPUs and accelerators in use, or needed. Teams have no limit on memory. */
 export interface ResourceUse {
   cpus: number;
   gpus: number;
 }
 
 /**
- * What is or may be on the machines of a group, kept up to date as tasks come and go: what each team uses, and
- * where tasks are that should not be there. Reports come by the hundred a second on large groups: none of this
+ * What is or may be on the machines of a partition, kept up to date as tasks come and go: what each team uses, and
+ * where tasks are that should not be there. Heartbeats come by the hundred a second in large partitions: none of this
  * may be counted anew for one.
  */
 export class ResourceLedger {
@@ -21,65 +27,82 @@
   /** Machines with a task of a job that nobody knows: it may be of any team and any size. */
   private readonly unsized = new Map<Worker, number>();
 
-  private use(team: string, need: ResourceUse, sign: 1 | -1): void {
-    const u = this.teams.get(team) ?? { cpus: 0, gpus: 0, tasks: 0 };
-    u.tasks += sign;
+  private addToTeam(team: string, need: ResourceUse, sign: 1 | -1): void {
+    const use = this.teams.get(team) ?? { cpus: 0, gpus: 0, tasks: 0 };
+    use.tasks += sign;
     // Sums of decimal numbers drift: nothing used is exactly nothing.
-    u.cpus = u.tasks === 0 ? 0 : u.cpus + sign * need.cpus;
-    u.gpus = u.tasks === 0 ? 0 : u.gpus + sign * need.gpus;
-    this.teams.set(team, u);
+    use.cpus = use.tasks === 0 ? 0 : use.cpus + sign * need.cpus;
+    use.gpus = use.tasks === 0 ? 0 : use.gpus + sign * need.gpus;
+    this.teams.set(team, use);
   }
 
-  add(t: TaskRun): void {
-    t.worker.free = null;
-    t.worker.tasks.set(attemptKey(t.job.id, t.index, t.attempt), t);
-    this.use(t.job.view.spec.team, t.job.view.spec, 1);
+  /** Puts a task on its worker. */
+  add(task: TaskRun): void {
+    const { job, worker } = task;
+    const { spec } = job.view;
+    worker.free = null;
+    worker.tasks.set(attemptKey(job.id, task.index, task.attempt), task);
+    this.addToTeam(spec.team, spec, 1);
   }
-  remove(t: TaskRun): void {
-    t.worker.free = null;
-    if (t.worker.tasks.delete(attemptKey(t.job.id, t.index, t.attempt)))
-      this.use(t.job.view.spec.team, t.job.view.spec, -1);
+
+  /** Takes a task off its worker, if it is still there. */
+  remove(task: TaskRun): void {
+    const { job, worker } = task;
+    const { spec } = job.view;
+    worker.free = null;
+    if (worker.tasks.delete(attemptKey(job.id, task.index, task.attempt)))
+      this.addToTeam(spec.team, spec, -1);
   }
 
-  addUnconfirmed(s: UnconfirmedTask): void {
-    s.worker.free = null;
-    s.worker.unconfirmedTasks.set(attemptKey(s.job, s.index, s.attempt), s);
-    let of = this.unconfirmedByJob.get(s.job);
-    if (!of) this.unconfirmedByJob.set(s.job, (of = new Set()));
-    of.add(s);
-    if (s.need) this.use(s.need.team, s.need, 1);
-    else this.unsized.set(s.worker, (this.unsized.get(s.worker) ?? 0) + 1);
+  /** Counts a task that should not be on its worker, until `clearUnconfirmed`. */
+  addUnconfirmed(task: UnconfirmedTask): void {
+    const { worker, need } = task;
+    worker.free = null;
+    worker.unconfirmedTasks.set(
+      attemptKey(task.job, task.index, task.attempt),
+      task,
+    );
+    let ofJob = this.unconfirmedByJob.get(task.job);
+    if (!ofJob) this.unconfirmedByJob.set(task.job, (ofJob = new Set()));
+    ofJob.add(task);
+    if (need) this.addToTeam(need.team, need, 1);
+    else this.unsized.set(worker, (this.unsized.get(worker) ?? 0) + 1);
   }
-  clearUnconfirmed(w: Worker): void {
-    if (w.unconfirmedTasks.size === 0) return;
-    w.free = null;
-    for (const s of w.unconfirmedTasks.values()) {
-      const of = this.unconfirmedByJob.get(s.job)!;
-      of.delete(s);
-      if (of.size === 0) this.unconfirmedByJob.delete(s.job);
-      if (s.need) this.use(s.need.team, s.need, -1);
+
+  /** Counts none of the unconfirmed tasks of a worker any more. */
+  clearUnconfirmed(worker: Worker): void {
+    if (worker.unconfirmedTasks.size === 0) return;
+    worker.free = null;
+    for (const task of worker.unconfirmedTasks.values()) {
+      const ofJob = this.unconfirmedByJob.get(task.job);
+      ofJob?.delete(task);
+      if (ofJob?.size === 0) this.unconfirmedByJob.delete(task.job);
+      if (task.need) this.addToTeam(task.need.team, task.need, -1);
     }
-    this.unsized.delete(w);
-    w.unconfirmedTasks.clear();
+    this.unsized.delete(worker);
+    worker.unconfirmedTasks.clear();
   }
 
-  unconfirmedOf(job: string): ReadonlySet<UnconfirmedTask> {
-    return this.unconfirmedByJob.get(job) ?? NONE;
+  unconfirmedOf(jobId: string): ReadonlySet<UnconfirmedTask> {
+    return this.unconfirmedByJob.get(jobId) ?? NO_TASKS;
   }
-  /** What strays use of a team: some of them are ghosts of late reports, of tasks that run elsewhere by now. */
+
+  /** What unconfirmed tasks of a team use: some are only listed by late heartbeats and run elsewhere by now. */
   unconfirmedUse(team: string): ResourceUse {
     const sum = { cpus: 0, gpus: 0 };
-    for (const of of this.unconfirmedByJob.values())
-      for (const s of of)
-        if (s.need?.team === team) {
-          sum.cpus += s.need.cpus;
-          sum.gpus += s.need.gpus;
+    for (const tasks of this.unconfirmedByJob.values())
+      for (const { need } of tasks)
+        if (need?.team === team) {
+          sum.cpus += need.cpus;
+          sum.gpus += need.gpus;
         }
     return sum;
   }
-  hasUnconfirmed(job: string, index?: number): boolean {
-    for (const s of this.unconfirmedOf(job))
-      if (index === undefined || s.index === index) return true;
+
+  /** Whether a job, or one task of it, has an unconfirmed task anywhere in the partition. */
+  hasUnconfirmed(jobId: string, index?: number): boolean {
+    for (const task of this.unconfirmedOf(jobId))
+      if (index === undefined || task.index === index) return true;
     return false;
   }
 
@@ -87,21 +110,23 @@
   useOf(team: string): Readonly<ResourceUse> {
     return this.teams.get(team) ?? NO_USE;
   }
-  /** By team, a fresh copy. */
+
+  /** What each team uses, as a copy. */
   used(): Map<string, ResourceUse> {
     return new Map(
-      [...this.teams].map(([team, u]) => [
+      [...this.teams].map(([team, use]) => [
         team,
-        { cpus: u.cpus, gpus: u.gpus },
+        { cpus: use.cpus, gpus: use.gpus },
       ]),
     );
   }
+
   /** What tasks of jobs that nobody knows may use, of any team. */
   unsizedUse(): ResourceUse {
     const sum = { cpus: 0, gpus: 0 };
-    for (const [w, n] of this.unsized) {
-      sum.cpus += n * (w.type?.cpus ?? Infinity);
-      sum.gpus += n * (w.type?.gpus ?? Infinity);
+    for (const [worker, count] of this.unsized) {
+      sum.cpus += count * (worker.type?.cpus ?? Infinity);
+      sum.gpus += count * (worker.type?.gpus ?? Infinity);
     }
     return sum;
   }
@@ -109,4 +134,4 @@
 
 /** What a team uses that has nothing. */
 export const NO_USE: Readonly<ResourceUse> = { cpus: 0, gpus: 0 };
-const NONE: ReadonlySet<UnconfirmedTask> = new Set();
+const NO_TASKS: ReadonlySet<UnconfirmedTask> = new Set();
--- a/src/coordination/machines/worker-state.ts
+++ b/src/coordination/machines/worker-state.ts
@@ -1,29 +1,34 @@
+/**
+ * Types of what a partition leader knows: workers, the tasks on them, and the jobs as far as they concern its partition.
+ * The objects are owned by `PartitionState`.
+ */
+
 import type { PendingTransfer } from "../leadership/pending-transfer.js";
 import type { JobView } from "../store/store-cache.js";
 import type { ExitCause, Heartbeat, MachineType, TaskState } from "../model.js";
 import { offerKey, type Resources } from "../scheduling/placement.js";
 import { RangeSet } from "../jobs/range-set.js";
 
-/** One task on one machine, from the start order until the machine is known not to have it any more. */
+/** One task on one machine, from the start command until the machine is known not to have it any more. */
 export interface TaskRun {
   job: JobRun;
   index: number;
   attempt: number;
   worker: Worker;
-  /** `ordered`: no report has shown it yet. */
+  /** `ordered`: no heartbeat has shown it yet. */
   phase: "ordered" | Exclude<TaskState, "exited">;
-  /** Answers that bore its start. */
+  /** Answers to heartbeats that contained its start. */
   timesSent: number;
   sinceMs: number;
   /** It is to be stopped, with this much time to save. */
   stop: { graceS: number; why: string } | null;
 }
 
-/** A job as far as it concerns one group. */
+/** A job as far as it concerns one partition. */
 export interface JobRun {
   id: string;
   view: JobView;
-  /** Tasks of the job that this group answers for. */
+  /** Tasks of the job that are assigned to this partition. */
   assigned: RangeSet;
   waiting: RangeSet;
   active: Map<number, TaskRun>;
@@ -36,14 +41,14 @@
   isComplete: boolean;
   /** When finished tasks were last written. */
   lastWrittenMs: number;
-  /** From before this master's token: a task that nobody reports may be running somewhere. */
+  /** From before this leader's token: a task that nobody reports may be running somewhere. */
   predatesLeader: boolean;
   /** Over, or not ours any more: whatever still runs has to go. */
   isOver: boolean;
   finalizing: boolean;
   waitingSinceMs: number;
   backoffUntilMs: number;
-  /** A gang in several groups: the attempt that its part here was started under, and whether a record is being written. */
+  /** A gang spread over several partitions: the attempt that its part here was started under, and whether a record is being written. */
   lastAttempt: number;
   writingGangRecord: boolean;
   /** Machines where it failed, and how often. */
@@ -53,7 +58,7 @@
   /** Tries that ended in failure, its tasks' failures within a moment counted as one; and when the last did. */
   failedTries: number;
   lastFailureMs: number;
-  /** Handed to another group by a commit that has not shown yet. */
+  /** Transferred to another partition by a commit whose result has not been read yet. */
   pendingTransfer: { tasks: RangeSet; change: PendingTransfer } | null;
 }
 
@@ -67,27 +72,28 @@
   sinceMs: number;
 }
 
-/** What a master knows of whether a machine gets its answers and commands, and of its life before. */
+/** What a leader knows of whether a machine receives its answers and commands, and of its former life. */
 export interface DeliveryState {
-  /** It has shown that it gets what this master sends, or was known to run for this group before. */
+  /** It has shown that it receives what this leader sends, or was known to run for this partition before. */
   proven: boolean;
-  /** Since when it gets nothing, as far as its reports say; null: it does. */
+  /** Since when it receives nothing, as far as its heartbeats say; null: it does. */
   unreachableSinceMs: number | null;
-  /** Times that it was found deaf: the more, the longer it has to show the contrary. */
+  /** Times that it was found unreachable: the more, the longer it has to show the contrary. */
   timesUnreachable: number;
-  /** Reports in a row that don't show what answers before them bore. */
+  /** Heartbeats in a row that don't show what answers before them contained. */
   missed: number;
-  /** When its present session was first seen. */
+  /** When its present incarnation was first seen. */
   incarnationSinceMs: number;
-  /** When it was last asked by `inspect`, and whether that is on its way. */
+  /** When its status was last queried by `inspect`, and whether that query is in flight. */
   inspectedMs: number;
   inspecting: boolean;
-  /** It began anew: what its former life had reached at most, and until when late copies of it may come. */
+  /** It restarted: what its former life had reached at most, and until when late copies of its heartbeats may come. */
   formerLife: { incarnation: number; sequence: number; untilMs: number } | null;
   /** When the last command with starts that was sent straight to it ended. */
   lastCommandMs: number;
 }
 
+/** `proven`: it is known that the machine receives. */
 export const newDeliveryState = (
   proven: boolean,
   nowMs: number,
@@ -103,6 +109,7 @@
   lastCommandMs: -Infinity,
 });
 
+/** A machine of the partition and the worker process on it. */
 export interface Worker {
   id: string;
   address: string;
@@ -110,24 +117,24 @@
   type: MachineType | null;
   zone: string;
   spot: boolean;
-  /** Type, zone and kind as one word: machines that share it are alike to every job. */
+  /** Type, zone and spot or not as one key: machines that share it are alike to every job. */
   offerKey: string;
   /** What is free on it, as last counted; null: something came or went since. */
   free: Readonly<Resources> | null;
   incarnation: number;
   sequence: number;
   token: number;
-  /** When its last report was answered with 200: its lease ends no later than lease_s after. */
+  /** When its last heartbeat was answered with 200: its lease ends no later than lease_s after. */
   lastAnsweredMs: number;
   leaseExpired: boolean;
-  /** When a report of it last counted. */
+  /** When a heartbeat of it was last news. */
   lastHeardMs: number;
   delivery: DeliveryState;
   firstSeenMs: number;
   reclaimedAtMs: number | null;
   tasks: Map<string, TaskRun>;
   unconfirmedTasks: Map<string, UnconfirmedTask>;
-  /** Exited tasks of the last report that wait for a `forget`. */
+  /** Exited tasks of the last heartbeat that wait for a `forget`. */
   exited: {
     job: string;
     index: number;
@@ -141,28 +148,30 @@
   /** Jobs that failed here since a task last completed. */
   failedJobs: Set<string>;
   avoidUntilMs: number;
-  /** Room made here by stopping others belongs to this job for a while. */
+  /** What was freed here by preemption is reserved for this job for a while. */
   reservedFor: { job: string; untilMs: number } | null;
   /**
-   * Starts sent straight to it whose message was not answered: it may arrive at any time within this session,
+   * Starts sent straight to it whose message was not answered: it may arrive at any time within this incarnation,
    * so a `forget` of such a task could start it again.
    */
   unansweredStarts: Map<string, number>;
   commandInFlight: boolean;
 }
 
-/** Time to save for a task that is to be stopped in order; what can't save is stopped at once. */
-export function saveTimeS(t: TaskRun): number {
-  const spec = t.job.view.spec;
+/** Time to save a checkpoint, in s, for a task that is to be stopped gracefully; what can't save is stopped at once. */
+export function saveTimeS(task: TaskRun): number {
+  const { spec } = task.job.view;
   return spec.checkpointS > 0 ? spec.saveS + 1 : 0;
 }
 
+/** Key of one attempt at one task. */
 export const attemptKey = (
   job: string,
   index: number,
   attempt: number,
 ): string => `${job}/${index}#${attempt}`;
 
+/** A job of which nothing is known here yet but its record. */
 export function newJobRun(
   view: JobView,
   predatesLeader: boolean,
@@ -240,26 +249,32 @@
   };
 }
 
-/** What is free on a machine, counting all that is or may be on it. The ledger forgets the count when that changes. */
-export function freeOn(w: Worker): Resources {
-  w.free ??= countFree(w);
-  return { cpus: w.free.cpus, gpus: w.free.gpus, memGb: w.free.memGb };
+/** What is free on a machine, counting all that is or may be on it. `ResourceLedger` drops the cached count when that changes. */
+export function freeOn(worker: Worker): Resources {
+  worker.free ??= countFree(worker);
+  return {
+    cpus: worker.free.cpus,
+    gpus: worker.free.gpus,
+    memGb: worker.free.memGb,
+  };
 }
-function countFree(w: Worker): Resources {
+
+function countFree(worker: Worker): Resources {
   const free = {
-    cpus: w.type?.cpus ?? 0,
-    gpus: w.type?.gpus ?? 0,
-    memGb: w.type?.memGb ?? 0,
+    cpus: worker.type?.cpus ?? 0,
+    gpus: worker.type?.gpus ?? 0,
+    memGb: worker.type?.memGb ?? 0,
   };
-  for (const t of w.tasks.values()) subtract(free, t.job.view.spec);
-  for (const s of w.unconfirmedTasks.values()) {
+  for (const { job } of worker.tasks.values()) subtract(free, job.view.spec);
+  for (const { need } of worker.unconfirmedTasks.values()) {
     // A task of a job that nobody knows any more: it may take the whole machine.
-    if (s.need) subtract(free, s.need);
+    if (need) subtract(free, need);
     else return { cpus: 0, gpus: 0, memGb: 0 };
   }
   return free;
 }
 
+/** Takes what one task needs from `from`, in place. */
 export function subtract(from: Resources, need: Resources): void {
   from.cpus -= need.cpus;
   from.gpus -= need.gpus;
