--- a/src/coordination/machines/command-sender.ts
+++ b/src/coordination/machines/command-sender.ts
@@ -18,6 +18,7 @@
   startKeys: readonly string[];
 }
 
+/** Sends commands directly, at most one message to a worker at a time. */
 export class CommandSender {
   constructor(
     private readonly ctx: Context,
@@ -27,7 +28,7 @@
     private readonly commandsFor: (worker: Worker) => Command[],
   ) {}
 
-  /** Sends what workers have not been told yet, one message to each; the rest waits for their heartbeats. */
+  /** Sends commands that workers have not received yet, one message to each; the rest waits for their heartbeats. */
   sendUndelivered(): void {
     for (const worker of this.state.undelivered) {
       this.state.undelivered.delete(worker);
--- a/src/coordination/machines/delivery-tracker.ts
+++ b/src/coordination/machines/delivery-tracker.ts
@@ -9,14 +9,14 @@
 
 /** Heartbeats in a row that may contradict delivery before a machine counts as unreachable; any network may lose one answer. */
 const MAX_MISSED = 2;
-/** How long the incarnations and sequences of a machine's former life are told from those of its present one, in leases. */
+/** How long the incarnations and sequences of a machine's former life are distinguished from those of its present one, in leases. */
 const FORMER_LIFE_LEASES = 10;
 /** Sequences rise with heartbeats, at most two a second, and with commands: so many more are believed. */
 const SEQUENCE_SLACK = 5;
 const SEQUENCES_PER_S = 2.2;
 /** Status queries to one machine follow each other no faster than this. */
 const INSPECT_INTERVAL_MS = 2_000;
-/** Between status queries to a machine that counts as unreachable. */
+/** Interval between status queries to a machine that counts as unreachable. */
 const PROBE_INTERVAL_MS = 10_000;
 
 /**
--- a/src/coordination/machines/inspection.ts
+++ b/src/coordination/machines/inspection.ts
@@ -10,6 +10,7 @@
 import type { Reconciliation } from "./reconciliation.js";
 import type { Worker } from "./worker-state.js";
 
+/** Finds out by a status query whether a machine restarted, and releases what ran there if it did. */
 export class MachineInspection {
   constructor(
     private readonly ctx: Context,
--- a/src/coordination/machines/machine-registry.ts
+++ b/src/coordination/machines/machine-registry.ts
@@ -180,8 +180,8 @@
   }
 
   /**
-   * Moves machines from a record that exceeds the size limit of the store, which an earlier version may have written: whole it
-   * would be refused for ever, and its machines neither marked nor returned. Invariant (ran_twice): at every moment each
+   * Moves machines out of a record that exceeds the size limit of the store, as an earlier version may have written: whole,
+   * it would be refused for ever, and its machines neither marked nor returned. Invariant (ran_twice): at every moment each
    * machine is in one record, so what moves goes in one transaction with the record that it leaves.
    */
   private splitRecord(chunk: number): ReadonlySet<number> {
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -29,6 +29,7 @@
   carriedOut: boolean;
 }
 
+/** Reconciles the known tasks of a worker with those that it reports, and handles those that ended or vanished. */
 export class Reconciliation {
   constructor(
     private readonly ctx: Context,
--- a/src/coordination/scheduling/partition-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -28,6 +28,9 @@
 const MACHINE_LIST_MARGIN_MS = 500;
 /** A worker that fell silent is left out of the partition's reachability so long after its last answer, once its lease expired. */
 const FORGOTTEN_AFTER_MS = 60_000;
+/** A worker is expected to take commands until it has missed so many heartbeat intervals, and a margin for the network. */
+const REACHABLE_INTERVALS = 2;
+const REACHABLE_MARGIN_MS = 1_000;
 /** Silent machines that the log names when a failover is complete. */
 const MAX_LOGGED_MACHINES = 10;
 /** Share of a partition's machines that may be replaced at a time for receiving nothing. */
@@ -172,7 +175,7 @@
    */
   unfinishedTasks(job: JobRun): number {
     const { spec } = job.view;
-    // Parts of one gang wait for each other: with a turn by its size each, one held what the other came to only much later.
+    // Parts of one gang wait for each other: ordered by its own size, one part reserved machines long before the other's turn.
     if (spec.kind === "gang" && spec.spread) return spec.tasks;
     if (spec.kind !== "array" || !this.ctx.tuning.fleetOrder)
       return job.waiting.size;
@@ -247,10 +250,12 @@
 
   /** Heard lately enough to expect that it takes commands. */
   private isReachable(worker: Worker): boolean {
+    const maxSilenceMs =
+      REACHABLE_INTERVALS * this.ctx.settings.reportS * 1000 +
+      REACHABLE_MARGIN_MS;
     return (
       !worker.leaseExpired &&
-      this.ctx.nowMs - worker.lastAnsweredMs <
-        2_000 * this.ctx.settings.reportS + 1_000
+      this.ctx.nowMs - worker.lastAnsweredMs < maxSilenceMs
     );
   }
 
