--- /dev/null
+++ b/src/storage/records/capacity.ts
@@ -0,0 +1,268 @@
+/**
+ * What a partition has free and what it wants. Its leader writes the record, conditional on its leadership and on the record
+ * as it last knew it; the other controllers assign jobs and divide quotas by it.
+ */
+import * as v from "valibot";
+import { PRIORITIES } from "../../coordination/model.js";
+import { read } from "./codec.js";
+
+/** Two numbers, for plain and accelerated tasks. */
+const StoredPairs = v.array(v.tuple([v.number(), v.number()]));
+const numbers = (count: number): v.NumberSchema<undefined>[] =>
+  Array.from({ length: count }, () => v.number());
+const StoredFreeKinds = v.array(
+  v.union([
+    v.tuple([v.number(), v.number(), v.number(), v.number()]),
+    v.tuple([v.number(), v.number(), v.number()]),
+  ]),
+);
+const StoredCapacityRow = v.object({
+  t: v.string(),
+  z: v.string(),
+  s: v.boolean(),
+  n: v.number(),
+  // Without counts and reserved machines: written by an earlier version.
+  f: StoredFreeKinds,
+  r: v.optional(StoredFreeKinds, []),
+  y: v.optional(
+    v.array(
+      v.tuple([
+        v.number(),
+        v.number(),
+        v.number(),
+        v.number(),
+        v.number(),
+        v.number(),
+      ]),
+    ),
+  ),
+});
+const StoredCapacity = v.object({
+  rows: v.array(StoredCapacityRow),
+  q: v.tuple([v.number(), v.number()]),
+  // Not known to the version before, which does not mind it.
+  qu: v.optional(v.pipe(StoredPairs, v.length(PRIORITIES.length))),
+  run: v.array(v.tuple([v.string(), v.number()])),
+  out: v.array(v.string()),
+  left: v.optional(v.array(v.tuple([v.string(), v.number()]))),
+  want: v.array(v.tuple([v.string(), v.number(), v.number(), v.number()])),
+  // See `teamValues`; the version before leaves it out and does not mind it.
+  team: v.optional(
+    v.array(v.tupleWithRest([v.string(), ...numbers(14)], v.number())),
+  ),
+  cut: v.optional(v.boolean(), false),
+});
+
+/** Free resources, and how many machines have exactly these. */
+export type FreeKind = [
+  cpus: number,
+  gpus: number,
+  memGb: number,
+  machines: number,
+];
+/** `from`, `to`: the least and the highest priority that it is meant for, as their places in `PRIORITIES`. */
+export type ReclaimableKind = [
+  cpus: number,
+  gpus: number,
+  memGb: number,
+  machines: number,
+  from: number,
+  to: number,
+];
+
+/** What is free on a partition's machines of one type, zone and kind. */
+export interface CapacityRow {
+  /** Machine type. */
+  type: string;
+  zone: string;
+  spot: boolean;
+  machines: number;
+  /** Free resources of the machines that have any left; equal ones are counted together. */
+  free: FreeKind[];
+  /** The same of the machines that serve short tasks only. */
+  reserved: FreeKind[];
+  /** What is free, or would be once tasks were preempted for such priority; only of machines where that is more. */
+  reclaimable?: ReclaimableKind[];
+}
+
+/** What a partition could use of a team's quota. */
+export interface QuotaWant {
+  cpus: number;
+  gpus: number;
+  /** Time of day (ms) since which the oldest such job waits. */
+  since: number;
+}
+
+/** What a partition uses and wants of one team; the pairs are CPUs and accelerators. */
+export interface TeamRow {
+  /** On machines, known to be there. */
+  use: [number, number];
+  /** The most that may be: after a failover more than what is known. */
+  may: [number, number];
+  /** Beyond the partition's share of the quota: for tasks that have a place at once, or waited for long. */
+  now: [number, number];
+  /** Time of day (ms) since which the oldest waits of those that lack CPUs, and of those that lack accelerators; Infinity: there is none. */
+  nowSince: [number, number];
+  /** For tasks whose machine is yet to be rented. */
+  soon: [number, number];
+  soonSince: [number, number];
+  /** The share that this is beyond. */
+  beyond: [number, number];
+  /** Waiting tasks within the partition's share that have a place once others make it, in all. */
+  waits: [number, number];
+}
+
+export interface CapacityRecord {
+  rows: CapacityRow[];
+  /** Tasks waiting, by whether they need accelerators: these compete for different machines. */
+  queue: { plain: number; accelerated: number };
+  /** The same for each priority, with all above it: [plain, accelerated]; absent: an earlier version wrote it. */
+  queueFrom?: readonly (readonly [number, number])[];
+  /** Tasks on machines, by job: for display. */
+  running: Map<string, number>;
+  /** Offers that the cloud had nothing left of, lately. */
+  soldOut: string[];
+  /** By offer, where it is known: how many more machines the cloud seems to have for the partition. */
+  left: Map<string, number>;
+  /** By team: more of its quota that the partition could use. */
+  wants: Map<string, QuotaWant>;
+  /** By team; null: an earlier version wrote it. */
+  teams: Map<string, TeamRow> | null;
+  /** Not all teams found room in the record. */
+  cut: boolean;
+}
+
+export function readCapacity(value: unknown): CapacityRecord | null {
+  const stored = read(StoredCapacity, value);
+  return (
+    stored && {
+      rows: stored.rows.map(readRow),
+      queue: { plain: stored.q[0], accelerated: stored.q[1] },
+      ...(stored.qu ? { queueFrom: stored.qu } : {}),
+      running: new Map(stored.run),
+      soldOut: stored.out,
+      left: new Map(stored.left),
+      wants: new Map(
+        stored.want.map(([team, cpus, gpus, since]) => [
+          team,
+          { cpus, gpus, since },
+        ]),
+      ),
+      teams: stored.team
+        ? new Map(
+            stored.team.map(([team, ...values]) => [team, readTeamRow(values)]),
+          )
+        : null,
+      cut: stored.cut,
+    }
+  );
+}
+
+export const writeCapacity = (record: CapacityRecord): object => ({
+  rows: record.rows.map(writeRow),
+  q: [record.queue.plain, record.queue.accelerated],
+  ...(record.queueFrom?.some(([plain, accelerated]) => plain + accelerated > 0)
+    ? { qu: record.queueFrom }
+    : {}),
+  run: [...record.running],
+  out: record.soldOut,
+  left: [...record.left],
+  want: [...record.wants].map(([team, want]) => [
+    team,
+    want.cpus,
+    want.gpus,
+    want.since,
+  ]),
+  ...(record.teams
+    ? {
+        team: [...record.teams].map(([team, row]) => [
+          team,
+          ...teamValues(row),
+        ]),
+      }
+    : {}),
+  ...(record.cut ? { cut: true } : {}),
+});
+
+/** Capacities are written in tenths, rounded down. */
+export const tenth = (amount: number): number =>
+  Math.floor(amount * 10 + 1e-6) / 10;
+
+const readRow = (
+  row: v.InferOutput<typeof StoredCapacityRow>,
+): CapacityRow => ({
+  type: row.t,
+  zone: row.z,
+  spot: row.s,
+  machines: row.n,
+  free: readFreeKinds(row.f),
+  reserved: readFreeKinds(row.r),
+  ...(row.y ? { reclaimable: row.y } : {}),
+});
+
+const writeRow = (row: CapacityRow): object => ({
+  t: row.type,
+  z: row.zone,
+  s: row.spot,
+  n: row.machines,
+  f: row.free,
+  r: row.reserved,
+  ...(row.reclaimable?.length ? { y: row.reclaimable } : {}),
+});
+
+const readFreeKinds = (
+  stored: v.InferOutput<typeof StoredFreeKinds>,
+): FreeKind[] =>
+  stored.map(([cpus, gpus, memGb, machines]) => [
+    cpus,
+    gpus,
+    memGb,
+    machines ?? 1,
+  ]);
+
+const readTeamRow = (values: number[]): TeamRow => ({
+  use: [values[0]!, values[1]!],
+  may: [values[2]!, values[3]!],
+  now: [values[4]!, values[5]!],
+  nowSince: readSince(values.slice(4, 6), values[6]!, values[14]),
+  soon: [values[7]!, values[8]!],
+  soonSince: readSince(values.slice(7, 9), values[9]!, values[15]),
+  beyond: [values[10]!, values[11]!],
+  waits: [values[12]!, values[13]!],
+});
+
+/** `gpusSince` is absent from records of an earlier version: `firstSince` then stands for both. */
+const readSince = (
+  want: readonly number[],
+  firstSince: number,
+  gpusSince: number | undefined,
+): [number, number] => [
+  want[0]! > 0 ? firstSince || Infinity : Infinity,
+  want[1]! > 0 ? (gpusSince ?? firstSince) || Infinity : Infinity,
+];
+
+/**
+ * A team's row as it is written, after the team's name: use, may, now, its time, soon, its time, beyond, waits. JSON knows
+ * no Infinity; 0 stands for no time. The times of what lacks accelerators come last: a reader from before takes the first
+ * for both.
+ */
+const teamValues = (row: TeamRow): number[] =>
+  [
+    ...row.use,
+    ...row.may,
+    ...row.now,
+    firstSinceOf(row.now, row.nowSince),
+    ...row.soon,
+    firstSinceOf(row.soon, row.soonSince),
+    ...row.beyond,
+    ...row.waits,
+    row.nowSince[1],
+    row.soonSince[1],
+  ].map((amount) =>
+    Number.isFinite(amount) ? Math.round(amount * 100) / 100 : 0,
+  );
+
+const firstSinceOf = (
+  want: readonly [number, number],
+  since: readonly [number, number],
+): number => (want[0] > 0 ? since[0] : since[1]);
--- /dev/null
+++ b/src/storage/records/quota.ts
@@ -0,0 +1,25 @@
+/**
+ * How the teams' quotas are divided among the partitions. Leaders write these records, conditional on their leadership, on
+ * every quota record that the division rests on and, for partitions that have no leader, on that being so still.
+ */
+import * as v from "valibot";
+import { read } from "./codec.js";
+
+const StoredQuota = v.record(
+  v.string(),
+  v.record(v.string(), v.tuple([v.number(), v.number()])),
+);
+const StoredObservedLimits = v.object({ limits: v.string() });
+
+/** Team -> partition -> [CPUs, GPUs] of the team's quota that the partition may use. */
+export type Shares = Record<string, Record<string, [number, number]>>;
+
+export const readQuota = (value: unknown): Shares | null =>
+  read(StoredQuota, value);
+
+/**
+ * The limits that a controller goes by, as their hash. Each controller writes its own record, conditional on its revision and
+ * attached to its store lease.
+ */
+export const readObservedLimits = (value: unknown): string | null =>
+  read(StoredObservedLimits, value)?.limits ?? null;
--- /dev/null
+++ b/src/storage/records/reclaims.ts
@@ -0,0 +1,71 @@
+/**
+ * What partition leaders preempt, of teams that are beyond their guarantee, for teams that are below theirs. All leaders
+ * write the one record, conditional on their leadership and on its revision.
+ */
+import * as v from "valibot";
+import { read } from "./codec.js";
+
+const StoredReclaims = v.object({
+  by: v.record(
+    v.string(),
+    v.array(
+      v.object({
+        t: v.number(),
+        team: v.string(),
+        n: v.tuple([v.number(), v.number()]),
+        from: v.array(v.tuple([v.string(), v.number(), v.number()])),
+        u: v.number(),
+      }),
+    ),
+  ),
+});
+
+/** What one leader has preempted, or is about to, so that a team gets its guarantee. */
+export interface Reclaim {
+  /** Fencing token of the leader: a reclaim of a former one ends with the machines that it preempted tasks on. */
+  token: number;
+  /** The team it is for, and how much of its deficit it takes up. */
+  team: string;
+  need: [cpus: number, gpus: number];
+  /** Of which teams how much is preempted. */
+  from: [team: string, cpus: number, gpus: number][];
+  /** Time of day, in ms, until which others count it. */
+  until: number;
+}
+
+/** By partition. */
+export function readReclaims(value: unknown): Map<string, Reclaim[]> | null {
+  const stored = read(StoredReclaims, value);
+  return (
+    stored &&
+    new Map(
+      Object.entries(stored.by).map(([partition, reclaims]) => [
+        partition,
+        reclaims.map((reclaim) => ({
+          token: reclaim.t,
+          team: reclaim.team,
+          need: reclaim.n,
+          from: reclaim.from,
+          until: reclaim.u,
+        })),
+      ]),
+    )
+  );
+}
+
+export const writeReclaims = (
+  byPartition: ReadonlyMap<string, readonly Reclaim[]>,
+): object => ({
+  by: Object.fromEntries(
+    [...byPartition].map(([partition, reclaims]) => [
+      partition,
+      reclaims.map((reclaim) => ({
+        t: reclaim.token,
+        team: reclaim.team,
+        n: reclaim.need,
+        from: reclaim.from,
+        u: reclaim.until,
+      })),
+    ]),
+  ),
+});
--- a/test/imports.test.ts
+++ b/test/imports.test.ts
@@ -101,12 +101,12 @@
   ],
   metrics: ["coordination/controller", "logging", "webhooks"],
   protocol: ["coordination/model"],
-  storage: [
-    "config",
+  storage: ["config", "protocol", "storage/records", "transport"],
+  "storage/records": [
     "coordination/jobs",
     "coordination/model",
     "protocol",
-    "transport",
+    "storage/keys",
   ],
   transport: [
     "config",
