--- a/src/storage/store-client.ts
+++ b/src/storage/store-client.ts
@@ -1,3 +1,7 @@
+/**
+ * The process's connection to the state service. It keeps this controller's part of the service's limits, and goes through a
+ * peer while the service can't be reached from here.
+ */
 import type { Settings } from "../config/settings.js";
 import {
   type StateCall,
@@ -12,12 +16,28 @@
 
 /** Our own requests must have failed for this long before a peer is asked. */
 const UNAVAILABLE_AFTER_MS = 1_200;
+/** While a peer carries the requests, one goes straight to the service so often, to see whether it can be reached again. */
+const PROBE_INTERVAL_MS = 1_000;
+/** A request waits for its turn within the limits for at most this long. */
+const MAX_QUEUED_MS = 1_500;
+const MAX_QUEUED_REQUESTS = 500;
+const REQUEST_TIMEOUT_MS = 1_500;
+/** Lists of all live records are long. */
+const LIST_TIMEOUT_MS = 4_000;
+const MAX_CONNECTIONS = 24;
+const MAX_IDLE_CONNECTIONS = 8;
 
-/** Users and holds take what there is; masters leave them a quarter of a burst, written room and moves half of it. */
-const KEPT = [0, 0, 0.25, 0.5];
+/**
+ * Part of a burst that requests of each priority leave to more urgent ones: leases and users take what there is, leaders
+ * leave a quarter, capacity records and moves of tasks half.
+ */
+const RESERVED_BURST_SHARES = [0, 0, 0.25, 0.5];
+/** Priority of what is carried for a peer: that of users' requests. */
+const CARRIED_PRIORITY = 1;
 
 /** A way to the state service through another controller. */
 interface PeerChannel {
+  /** Label of a peer that reaches the service; null: there is none. */
   withState(): string | null;
   call(
     label: string,
@@ -27,6 +47,13 @@
   ): Promise<{ status: number; body: string } | null>;
 }
 
+/** An answer, and when the request was sent; steady time, ms. */
+interface TimedReply {
+  reply: StateReply;
+  sentMs: number;
+}
+
+/** What an answer that came through a peer must have at least: the peer has parsed it. */
 const Reply = v.looseObject({
   is: v.picklist([
     "item",
@@ -43,61 +70,66 @@
 });
 
 /**
- * Requests to the state service, within this controller's part of both limits. A controller that the service
- * refuses while it serves a peer asks that peer to carry them: the answers mean the same, and what is counted
- * from their sending is counted from here.
+ * Sends requests within this controller's part of both limits (requests and changes a second). A controller that can't reach
+ * the service, while a peer does, asks that peer to carry its requests: the answers mean the same, and what is counted from
+ * their sending is counted from here.
  */
 export class StoreClient {
-  private readonly client = new HttpClient(24, 8);
+  private readonly client = new HttpClient(
+    MAX_CONNECTIONS,
+    MAX_IDLE_CONNECTIONS,
+  );
   private readonly limiter: RateLimiter;
-  /** Since when our own requests have failed; null: the last one was answered. */
-  private failingMs: number | null = null;
-  private probeMs = 0;
+  /** Since when our own requests have failed (steady time, ms); null: the last one was answered. */
+  private failingSinceMs: number | null = null;
+  /** Steady time, ms, after which the next request goes straight to the service. */
+  private nextProbeMs = 0;
+  /** Set once the peer mesh is there. */
   peers: PeerChannel | null = null;
 
   constructor(private readonly settings: Settings) {
-    const nodes = settings.peers.length + 1;
-    const rates = [settings.state.rps / nodes, settings.state.writeRps / nodes];
+    const controllers = settings.peers.length + 1;
+    const { rps, writeRps } = settings.state;
+    const rates = [rps / controllers, writeRps / controllers];
+    const bursts = rates.map((rate) => Math.max(1, rate));
     this.limiter = new RateLimiter(
       rates,
-      rates.map((r) => Math.max(1, r)),
-      500,
-      KEPT,
+      bursts,
+      MAX_QUEUED_REQUESTS,
+      RESERVED_BURST_SHARES,
     );
   }
 
+  /** Whether the service answered our own last request. */
   get ok(): boolean {
-    return this.failingMs === null;
-  }
-
-  private static timeoutMs(call: StateCall): number {
-    if (call.op === "changes") return call.waitMs + 1_500;
-    return call.op === "list" ? 4_000 : 1_500;
+    return this.failingSinceMs === null;
   }
 
   /** For a peer: over this controller's own connection only. */
-  carry(call: StateCall): Promise<StateReply> {
-    return this.limited(call, 1, () => this.direct(call)).then((r) => r.reply);
+  async carry(call: StateCall): Promise<StateReply> {
+    const { reply } = await this.limited(call, CARRIED_PRIORITY, () =>
+      this.callDirectly(call),
+    );
+    return reply;
   }
 
-  call(
-    call: StateCall,
-    urgent: number,
-  ): Promise<{ reply: StateReply; sentMs: number }> {
-    return this.limited(call, urgent, () => this.route(call));
+  /** `priority`: a `CallPriority`. */
+  call(call: StateCall, priority: number): Promise<TimedReply> {
+    return this.limited(call, priority, () => this.route(call));
   }
 
+  /** Sends a request when the limits allow it, or refuses it if that takes too long. */
   private limited(
     call: StateCall,
-    urgent: number,
+    priority: number,
     send: () => Promise<StateReply>,
-  ): Promise<{ reply: StateReply; sentMs: number }> {
+  ): Promise<TimedReply> {
     return new Promise((resolve) => {
       const writes = call.op === "commit" ? call.writes.length : 0;
       this.limiter.add({
-        priority: urgent,
+        priority,
         cost: [1, writes],
-        deadlineMs: performance.now() + 1_500,
+        deadlineMs: performance.now() + MAX_QUEUED_MS,
         refuse: () =>
           resolve({
             reply: { is: "refused", why: "rate limit" },
@@ -112,35 +144,48 @@
   }
 
   private route(call: StateCall): Promise<StateReply> {
-    const now = performance.now();
-    const peer =
-      this.failingMs !== null && now - this.failingMs > UNAVAILABLE_AFTER_MS
-        ? (this.peers?.withState() ?? null)
-        : null;
-    if (peer === null) return this.direct(call);
-    // One request in a while goes the straight way, to see whether it is open again.
-    if (now > this.probeMs) {
-      this.probeMs = now + 1_000;
-      return this.direct(call);
+    const nowMs = performance.now();
+    const peers = this.isUnavailable(nowMs) ? this.peers : null;
+    const label = peers?.withState() ?? null;
+    if (peers === null || label === null) return this.callDirectly(call);
+    if (nowMs > this.nextProbeMs) {
+      this.nextProbeMs = nowMs + PROBE_INTERVAL_MS;
+      return this.callDirectly(call);
     }
-    return this.peers!.call(
-      peer,
+    return StoreClient.callThroughPeer(peers, label, call);
+  }
+
+  private isUnavailable(nowMs: number): boolean {
+    return (
+      this.failingSinceMs !== null &&
+      nowMs - this.failingSinceMs > UNAVAILABLE_AFTER_MS
+    );
+  }
+
+  private static async callThroughPeer(
+    peers: PeerChannel,
+    label: string,
+    call: StateCall,
+  ): Promise<StateReply> {
+    const answer = await peers.call(
+      label,
       Frame.StoreCall,
       JSON.stringify(call),
       StoreClient.timeoutMs(call),
-    ).then((r) => {
-      const got =
-        r?.status === 200 ? v.safeParse(Reply, parseJson(r.body)) : null;
-      return got?.success
-        ? (got.output as unknown as StateReply)
-        : { is: "unknown", why: "peer did not answer" };
-    });
+    );
+    const parsed =
+      answer?.status === 200
+        ? v.safeParse(Reply, parseJson(answer.body))
+        : null;
+    return parsed?.success
+      ? (parsed.output as unknown as StateReply)
+      : { is: "unknown", why: "peer did not answer" };
   }
 
-  private async direct(call: StateCall): Promise<StateReply> {
+  private async callDirectly(call: StateCall): Promise<StateReply> {
     const { method, path, body } = stateRequest(call);
     const { host, port } = this.settings.state;
-    const f = await this.client.fetch(
+    const outcome = await this.client.fetch(
       host,
       port,
       method,
@@ -148,11 +193,16 @@
       body,
       StoreClient.timeoutMs(call),
     );
-    if (f.kind !== "answered" || f.status === 503)
-      this.failingMs ??= performance.now();
-    else this.failingMs = null;
-    return f.kind === "answered"
-      ? stateReply(call, f.status, parseJson(f.body))
-      : { is: f.kind, why: f.why };
+    if (outcome.kind !== "answered" || outcome.status === 503)
+      this.failingSinceMs ??= performance.now();
+    else this.failingSinceMs = null;
+    return outcome.kind === "answered"
+      ? stateReply(call, outcome.status, parseJson(outcome.body))
+      : { is: outcome.kind, why: outcome.why };
+  }
+
+  private static timeoutMs(call: StateCall): number {
+    if (call.op === "changes") return call.waitMs + REQUEST_TIMEOUT_MS;
+    return call.op === "list" ? LIST_TIMEOUT_MS : REQUEST_TIMEOUT_MS;
   }
 }
