--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -11,7 +11,7 @@
   CloudReply,
   CommandReply,
 } from "./effects.js";
-import type { PendingAssignment } from "./jobs/job-partitioner.js";
+import type { PendingAssignment } from "./jobs/partition-capacity.js";
 import type { PartitionMap } from "./leadership/partition-map.js";
 import type {
   Command,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -22,7 +22,7 @@
   type Input,
 } from "./effects.js";
 import { DependencyTracker } from "./jobs/dependency-tracker.js";
-import type { PendingAssignment } from "./jobs/job-partitioner.js";
+import type { PendingAssignment } from "./jobs/partition-capacity.js";
 import { JobAdmission } from "./jobs/job-admission.js";
 import { JobAssigner } from "./jobs/job-assigner.js";
 import { JobCancellation } from "./jobs/job-cancellation.js";
--- a/src/coordination/jobs/job-admission.ts
+++ b/src/coordination/jobs/job-admission.ts
@@ -20,7 +20,7 @@
 import type { DependencyTracker } from "./dependency-tracker.js";
 import type { JobAssigner } from "./job-assigner.js";
 import { finalRecordOf } from "./job-completion.js";
-import { capablePartitions } from "./job-partitioner.js";
+import { capablePartitions } from "./partition-capacity.js";
 import type { JobStatus } from "./job-status.js";
 import { RangeSet } from "./range-set.js";
 import type { RequestReplies } from "./request-replies.js";
--- a/src/coordination/jobs/job-assigner.ts
+++ b/src/coordination/jobs/job-assigner.ts
@@ -7,11 +7,11 @@
 import type { JobSpec } from "../model.js";
 import type { PartitionLeader } from "../scheduling/partition-leader.js";
 import { isShort } from "../scheduling/scheduling-round.js";
+import { partitionJob } from "./job-partitioner.js";
 import {
   capablePartitions,
-  partitionJob,
   type PendingAssignment,
-} from "./job-partitioner.js";
+} from "./partition-capacity.js";
 import type { RangeSet } from "./range-set.js";
 
 /** Tasks of a job by partition. */
--- a/src/coordination/jobs/job-partitioner.ts
+++ b/src/coordination/jobs/job-partitioner.ts
@@ -1,451 +1,295 @@
-import type { CapacityRecord, CapacityRow } from "../../storage/records.js";
-import type { PartitionMap } from "../leadership/partition-map.js";
-import { type JobSpec, type MachineType, PRIORITIES } from "../model.js";
+/**
+ * Divides a job's tasks among partitions by the capacity that each last wrote (Pigeon's suggestion, section 2.2). Owns no
+ * state.
+ */
+import type { CapacityRecord } from "../../storage/records.js";
+import type { JobSpec, MachineType } from "../model.js";
+import { maxTasksPerZone, startsWhole } from "../scheduling/placement.js";
+import { expectedWaitS, expectedWholeWaitS } from "./expected-wait.js";
 import {
-  isAllowedOn,
-  canRunOn,
-  fitCount,
-  startsWhole,
-  offerKey,
-  isSuitable,
-  maxTasksPerZone,
-} from "../scheduling/placement.js";
+  backlogKindOf,
+  type CapablePartition,
+  type PendingAssignment,
+  placesForWhole,
+  placesLeft,
+  waitingBefore,
+} from "./partition-capacity.js";
 import { RangeSet } from "./range-set.js";
 
-/** How a job is cut over the groups: by the room that each group last wrote (Pigeon's suggestion, section 2.2). */
+const FNV_OFFSET_BASIS = 2166136261;
+const FNV_PRIME = 16777619;
 
-interface CapablePartition {
-  partition: string;
-  /** Zones of the group where some allowed type is offered. */
-  zones: string[];
+/** What is known of the partitions when a job is divided. */
+interface CapacityView {
+  readonly capacities: ReadonlyMap<string, CapacityRecord>;
+  readonly catalog: readonly MachineType[];
+  readonly isShort: boolean;
+  readonly pending: ReadonlyMap<string, readonly PendingAssignment[]>;
 }
 
-export function capablePartitions(
-  spec: JobSpec,
-  catalog: readonly MachineType[],
-  partitions: PartitionMap,
-): CapablePartition[] {
-  const zones = new Set<string>();
-  for (const t of catalog)
-    for (const z of t.zones) if (canRunOn(spec, t, z)) zones.add(z);
-  return partitions.names
-    .map((partition) => ({
-      partition,
-      zones: [...zones]
-        .filter((z) => partitions.partitionOf(z) === partition)
-        .sort(),
-    }))
-    .filter((c) => c.zones.length > 0);
+interface WeightedPartition extends CapablePartition {
+  /** Tasks that fit at once. */
+  room: number;
+  /** How fast it may come to the rest: the inverse of the expected wait in seconds. */
+  speed: number;
+  /** Tasks that its zones may hold at most. */
+  limit: number;
 }
 
-/** Tasks of this job that fit into a group's written room. */
-function placesFor(
-  spec: JobSpec,
-  room: CapacityRecord | undefined,
-  catalog: readonly MachineType[],
-  short: boolean,
-): number {
-  let n = 0;
-  if (!room) return 0;
-  for (const row of room.rows) {
-    if (
-      !isAllowedOn(spec, row.type, row.zone, row.spot) ||
-      !isSuitable(
-        spec,
-        catalog.find((t) => t.name === row.type) ?? null,
-        row.spot,
-        catalog,
-      )
-    )
-      continue;
-    for (const [cpus, gpus, memGb, machines] of short
-      ? [...row.free, ...row.reserved]
-      : row.free)
-      n += machines * fitCount(spec, { cpus, gpus, memGb });
-  }
-  return n;
+/** A fixed shuffle by job id (FNV-1a): equal partitions take turns without a source of chance in the core. */
+export function turnOf(id: string, count: number): number {
+  let hash = FNV_OFFSET_BASIS;
+  for (const character of id)
+    hash = Math.imul(hash ^ character.charCodeAt(0), FNV_PRIME) >>> 0;
+  return hash % count;
+}
+
+/** An assignment with these tasks of one partition given to another. */
+export function reassigned(
+  assignment: ReadonlyMap<string, RangeSet>,
+  from: string,
+  tasks: RangeSet,
+  to: string,
+): Map<string, RangeSet> {
+  const changed = new Map(
+    [...assignment].map(([partition, assigned]) => [
+      partition,
+      assigned.clone(),
+    ]),
+  );
+  changed.get(from)?.removeAll(tasks);
+  const received = changed.get(to) ?? RangeSet.empty();
+  received.addAll(tasks);
+  changed.set(to, received);
+  return changed;
 }
 
 /**
- * Tasks of this job that a group can have once work of lower urgency has given way, beside what is free: a few seconds
- * after it asks. Without it a guest's swarm on all machines of a group sent everything urgent to the others, where it waited
- * for minutes (docs/incidents/claimdesk-ops-visitors.md).
+ * Divides a job's tasks among the partitions that can run it. All its tasks go somewhere: those without room wait where
+ * they are expected to start first.
  */
-function reclaimablePlacesFor(
+export function partitionJob(
   spec: JobSpec,
-  rows: readonly CapacityRow[],
+  capable: readonly CapablePartition[],
+  capacities: ReadonlyMap<string, CapacityRecord>,
   catalog: readonly MachineType[],
-): number {
-  const priority = PRIORITIES.indexOf(spec.priority);
-  let n = 0;
-  for (const row of rows) {
-    if (
-      !row.reclaimable?.length ||
-      !isAllowedOn(spec, row.type, row.zone, row.spot) ||
-      !isSuitable(
-        spec,
-        catalog.find((t) => t.name === row.type) ?? null,
-        row.spot,
-        catalog,
-      )
-    )
-      continue;
-    for (const [cpus, gpus, memGb, machines, from, to] of row.reclaimable)
-      if (priority >= from && priority <= to)
-        n += machines * fitCount(spec, { cpus, gpus, memGb });
-  }
-  return n;
-}
-
-/** Tasks that wait in a group and come before this job or beside it: what is less urgent does not keep it waiting. */
-export function waitingBefore(
-  spec: JobSpec,
-  room: CapacityRecord | undefined,
-): number {
-  const kind = backlogKindOf(spec);
-  const from = room?.queueFrom?.[PRIORITIES.indexOf(spec.priority)];
-  return from ? from[kind === "plain" ? 0 : 1] : (room?.queue[kind] ?? 0);
-}
-
-/** Tasks that were given to a group and that its written room may not show yet. */
-export interface PendingAssignment {
-  spec: JobSpec;
-  tasks: number;
+  isShort: boolean,
+  pending: ReadonlyMap<string, readonly PendingAssignment[]>,
+): Map<string, RangeSet> {
+  const view: CapacityView = { capacities, catalog, isShort, pending };
+  const start = turnOf(spec.id, capable.length);
+  const weighted = [...capable.slice(start), ...capable.slice(0, start)].map(
+    (partition) => weighPartition(spec, partition, view),
+  );
+  if (startsWhole(spec)) return assignWhole(spec, weighted, view);
+  const distribution = new TaskDistribution(spec.tasks, weighted);
+  distribution.fillRoom();
+  distribution.fillRoundingRest();
+  distribution.divideByExpectedWait();
+  distribution.divideRest();
+  return distribution.assignment();
 }
 
-/** Which queue of a group a job's tasks stand in, as far as others need to know. */
-export const backlogKindOf = (spec: JobSpec): "plain" | "accelerated" =>
-  spec.gpus > 0 ? "accelerated" : "plain";
-
-/** Tasks of this job that a group can start at once, less what was handed to it since it wrote so. */
-export function placesLeft(
+function weighPartition(
   spec: JobSpec,
-  room: CapacityRecord | undefined,
-  catalog: readonly MachineType[],
-  short: boolean,
-  pending: readonly PendingAssignment[] = [],
-): number {
-  return Math.max(
-    0,
-    placesFor(spec, room, catalog, short) - pendingTasksOf(spec, pending),
+  partition: CapablePartition,
+  { capacities, catalog, isShort, pending }: CapacityView,
+): WeightedPartition {
+  const capacity = capacities.get(partition.partition);
+  const assigned = pending.get(partition.partition) ?? [];
+  let waiting = waitingBefore(spec, capacity);
+  for (const other of assigned)
+    if (backlogKindOf(other.spec) === backlogKindOf(spec))
+      waiting += other.tasks;
+  const waitS = expectedWaitS(
+    spec,
+    partition.zones,
+    capacity,
+    catalog,
+    waiting,
   );
+  return {
+    ...partition,
+    room: placesLeft(spec, capacity, catalog, isShort, assigned),
+    speed: 1 / waitS,
+    limit: maxTasksPerZone(spec) * partition.zones.length,
+  };
 }
 
 /**
- * For a job that goes whole: the most of its tasks that a group can start at once, the most once less urgent work has given
- * way, and the most with what it may still rent as well. With `samePlace` one zone must hold them all, so zones are not added up.
+ * Assigns an undivided job to the roomiest partition that can hold it; if none can, to the one that is expected to be
+ * able to first. A gang with `spread` that no partition has zones enough for goes to as few partitions as it can.
  */
-export function placesForWhole(
+function assignWhole(
   spec: JobSpec,
-  zones: readonly string[],
-  room: CapacityRecord | undefined,
-  catalog: readonly MachineType[],
-  short: boolean,
-  pending: readonly PendingAssignment[] = [],
-): { now: number; yields: number; soon: number } {
-  const gone = new Set(room?.soldOut);
-  const taken = pendingTasksOf(spec, pending);
-  const best = { now: 0, yields: 0, soon: 0 };
-  const sum = { now: 0, yields: 0, soon: 0 };
-  for (const zone of zones) {
-    const rows = room?.rows.filter((r) => r.zone === zone) ?? [];
-    const one = {
-      now: room ? placesFor(spec, { ...room, rows }, catalog, short) : 0,
-      yields: 0,
-      soon: 0,
-    };
-    one.yields = one.now + reclaimablePlacesFor(spec, rows, catalog);
-    one.soon = one.yields;
-    for (const t of catalog) {
-      if (!canRunOn(spec, t, zone)) continue;
-      for (const spot of spec.spot ? [false, true] : [false]) {
-        if (!isSuitable(spec, t, spot, catalog)) continue;
-        const what = offerKey(t.name, zone, spot);
-        const left = room?.left.get(what) ?? (gone.has(what) ? 0 : Infinity);
-        if (left > 0) one.soon += left * fitCount(spec, t);
-      }
-    }
-    for (const k of ["now", "yields", "soon"] as const) {
-      sum[k] += one[k];
-      best[k] = Math.max(best[k], one[k]);
-    }
+  weighted: readonly WeightedPartition[],
+  view: CapacityView,
+): Map<string, RangeSet> {
+  const ranked = rankForWhole(spec, weighted, view);
+  const assignment = new Map<string, RangeSet>();
+  let next = 0;
+  for (const { partition, limit } of ranked) {
+    const tasks = Math.min(limit, spec.tasks - next);
+    if (tasks > 0) assignment.set(partition, rangeFrom(next, tasks));
+    next += tasks;
   }
-  const at = spec.samePlace ? best : sum;
-  return {
-    now: Math.max(0, at.now - taken),
-    yields: Math.max(0, at.yields - taken),
-    soon: Math.max(0, at.soon - taken),
-  };
-}
-
-/** What was handed to a group since it wrote its room, in tasks of this job. */
-function pendingTasksOf(
-  spec: JobSpec,
-  pending: readonly PendingAssignment[],
-): number {
-  let n = 0;
-  for (const h of pending)
-    if (backlogKindOf(h.spec) === backlogKindOf(spec))
-      n +=
-        h.tasks *
-        Math.max(1, Math.ceil(spec.cpus > 0 ? h.spec.cpus / spec.cpus : 1));
-  return n;
-}
-
-interface WeightedPartition extends CapablePartition {
-  /** Tasks that fit at once. */
-  room: number;
-  /** How fast it may come to the rest: machines it has or could have, over what waits there. */
-  later: number;
-  cap: number;
+  const isComplete = next >= spec.tasks && !spec.samePlace;
+  const [first] = ranked;
+  // It has zones enough nowhere, or asks for one and for two at once: it waits where it may find them one day.
+  if (!isComplete && first)
+    return new Map([[first.partition, RangeSet.upTo(spec.tasks)]]);
+  return assignment;
 }
 
-function weighPartition(
+/** Partitions with zones enough for an undivided job, or all if none has: those where it starts first come first. */
+function rankForWhole(
   spec: JobSpec,
-  capable: readonly CapablePartition[],
-  rooms: ReadonlyMap<string, CapacityRecord>,
-  catalog: readonly MachineType[],
-  short: boolean,
-  pending: ReadonlyMap<string, readonly PendingAssignment[]>,
+  weighted: readonly WeightedPartition[],
+  { capacities, catalog, isShort, pending }: CapacityView,
 ): WeightedPartition[] {
-  return capable.map((c) => {
-    const r = rooms.get(c.partition);
-    const given = pending.get(c.partition) ?? [];
-    let waiting = waitingBefore(spec, r);
-    for (const h of given)
-      if (backlogKindOf(h.spec) === backlogKindOf(spec)) waiting += h.tasks;
-    return {
-      ...c,
-      room: placesLeft(spec, r, catalog, short, given),
-      later: 1 / expectedWaitS(spec, c.zones, r, catalog, waiting),
-      cap: maxTasksPerZone(spec) * c.zones.length,
-    };
-  });
-}
-
-/** An offer that this group's cloud calls have not found sold out of late. */
-export function canRent(
-  spec: JobSpec,
-  zones: readonly string[],
-  room: CapacityRecord | undefined,
-  catalog: readonly MachineType[],
-): MachineType | null {
-  const gone = new Set(room?.soldOut);
-  let best: MachineType | null = null;
-  for (const t of catalog)
-    for (const z of zones)
-      for (const spot of spec.spot ? [false, true] : [false])
-        if (
-          canRunOn(spec, t, z) &&
-          isSuitable(spec, t, spot, catalog) &&
-          !gone.has(offerKey(t.name, z, spot)) &&
-          (!best || t.bootS < best.bootS)
-        )
-          best = t;
-  return best;
-}
-
-/** About how long a task would wait in a group without room: for a machine to boot, or for its turn. */
-function expectedWaitS(
-  spec: JobSpec,
-  zones: readonly string[],
-  room: CapacityRecord | undefined,
-  catalog: readonly MachineType[],
-  waiting: number,
-): number {
-  const rent = canRent(spec, zones, room, catalog);
-  if (rent) return rent.bootS + 5 + waiting;
-  return (
-    ((waiting + 1) * (spec.estimateS || 120)) / placesOnAll(spec, room, catalog)
+  const sufficient = weighted.filter(({ limit }) => limit >= spec.tasks);
+  const rated = (sufficient.length > 0 ? sufficient : weighted).map(
+    (candidate) => {
+      const capacity = capacities.get(candidate.partition);
+      const places = placesForWhole(
+        spec,
+        candidate.zones,
+        capacity,
+        catalog,
+        isShort,
+        pending.get(candidate.partition),
+      );
+      const waitS = expectedWholeWaitS(
+        spec,
+        candidate,
+        places,
+        capacity,
+        catalog,
+      );
+      return { candidate, now: places.now, waitS };
+    },
   );
+  rated.sort(
+    (first, second) => first.waitS - second.waitS || second.now - first.now,
+  );
+  return rated.map(({ candidate }) => candidate);
 }
 
-/** Machines of this group that the job's tasks could use, as places. */
-function placesOnAll(
-  spec: JobSpec,
-  room: CapacityRecord | undefined,
-  catalog: readonly MachineType[],
-): number {
-  let slots = 0;
-  for (const row of room?.rows ?? []) {
-    const t = catalog.find((x) => x.name === row.type);
-    if (
-      t &&
-      isAllowedOn(spec, row.type, row.zone, row.spot) &&
-      isSuitable(spec, t, row.spot, catalog)
-    )
-      slots += row.machines * fitCount(spec, t);
-  }
-  return Math.max(0.1, slots);
-}
+/** The division of a job's tasks among partitions, phase by phase; each phase divides what the ones before left. */
+class TaskDistribution {
+  private readonly counts = new Map<WeightedPartition, number>();
+  private left: number;
 
-/** From the asking until work that gives way has saved and is gone, in seconds. */
-const PREEMPTION_DELAY_S = 12;
+  constructor(
+    private readonly tasks: number,
+    private readonly partitions: readonly WeightedPartition[],
+  ) {
+    this.left = tasks;
+  }
 
-/** About how long a whole job would wait in a group: not at all, for machines to boot, or for others to finish. */
-function expectedWholeWaitS(
-  spec: JobSpec,
-  c: CapablePartition,
-  at: { now: number; yields: number; soon: number },
-  room: CapacityRecord | undefined,
-  catalog: readonly MachineType[],
-): number {
-  const waiting = waitingBefore(spec, room);
-  if (at.now >= spec.tasks + waiting) return 0;
-  // What waits there does not fit yet and may be holding that room: a little worse than room for all.
-  if (at.now >= spec.tasks) return 1;
-  // Stopped first, with time to save.
-  if (at.yields >= spec.tasks + waiting) return PREEMPTION_DELAY_S;
-  const boots = catalog
-    .filter(
-      (t) =>
-        isSuitable(spec, t, spec.spot, catalog) &&
-        c.zones.some((z) => canRunOn(spec, t, z)),
-    )
-    .map((t) => t.bootS);
-  const bootS = Math.min(...boots) + 5;
-  const short = spec.tasks + waiting - at.soon;
-  return short <= 0
-    ? bootS
-    : bootS +
-        (short * (spec.estimateS || 120)) / placesOnAll(spec, room, catalog);
-}
+  /** Into the room there is, in proportion to it. */
+  fillRoom(): void {
+    const room = this.partitions.reduce(
+      (sum, partition) => sum + usableRoom(partition),
+      0,
+    );
+    if (room <= 0) return;
+    const share = Math.min(1, this.tasks / room);
+    for (const partition of this.partitions)
+      this.give(
+        partition,
+        Math.min(this.left, Math.floor(usableRoom(partition) * share)),
+      );
+  }
 
-/** A fixed shuffle by job id: equal groups take turns without a source of chance in the core. */
-export function turnOf(id: string, n: number): number {
-  let h = 2166136261;
-  for (const ch of id) h = Math.imul(h ^ ch.charCodeAt(0), 16777619) >>> 0;
-  return h % n;
-}
+  /** What rounding down left of the room: one task each, to those with the most room left. */
+  fillRoundingRest(): void {
+    for (
+      let round = 0;
+      this.left > 0 && round < this.partitions.length;
+      round++
+    ) {
+      const partition = this.best((candidate) =>
+        this.isFull(candidate)
+          ? -1
+          : usableRoom(candidate) - this.given(candidate),
+      );
+      const room = Math.max(0, usableRoom(partition) - this.given(partition));
+      this.give(partition, Math.min(1, this.left, room));
+    }
+  }
 
-/** A split with these tasks of one group given to another. */
-export function reassigned(
-  assignment: ReadonlyMap<string, RangeSet>,
-  from: string,
-  tasks: RangeSet,
-  to: string,
-): Map<string, RangeSet> {
-  const out = new Map([...assignment].map(([g, r]) => [g, r.clone()]));
-  out.get(from)!.removeAll(tasks);
-  const theirs = out.get(to) ?? RangeSet.empty();
-  theirs.addAll(tasks);
-  out.set(to, theirs);
-  return out;
-}
+  /** Without room: in inverse proportion to the expected wait. */
+  divideByExpectedWait(): void {
+    const open = this.partitions.filter((partition) => !this.isFull(partition));
+    const totalSpeed =
+      open.reduce((sum, partition) => sum + partition.speed, 0) || 1;
+    const rest = this.left;
+    for (const partition of open) {
+      const share = Math.floor((rest * partition.speed) / totalSpeed);
+      const allowed = partition.limit - this.given(partition);
+      this.give(partition, Math.min(this.left, share, allowed));
+    }
+  }
 
-export function partitionJob(
-  spec: JobSpec,
-  capable: readonly CapablePartition[],
-  rooms: ReadonlyMap<string, CapacityRecord>,
-  catalog: readonly MachineType[],
-  short: boolean,
-  pending: ReadonlyMap<string, readonly PendingAssignment[]>,
-): Map<string, RangeSet> {
-  const start = turnOf(spec.id, capable.length);
-  const ws = weighPartition(
-    spec,
-    [...capable.slice(start), ...capable.slice(0, start)],
-    rooms,
-    catalog,
-    short,
-    pending,
-  );
-  const best = (score: (w: WeightedPartition) => number): WeightedPartition =>
-    ws.reduce((a, b) => (score(b) > score(a) ? b : a));
-  if (startsWhole(spec)) {
-    const enough =
-      spec.kind === "gang" || spec.samePlace
-        ? ws.filter((w) => w.cap >= spec.tasks)
-        : ws;
-    const from = enough.length > 0 ? enough : ws;
-    // To the roomiest group that can hold it; if none can, to the one that is expected to be able to first.
-    const rated = from.map((w) => {
-      const room = rooms.get(w.partition);
-      const at = placesForWhole(
-        spec,
-        w.zones,
-        room,
-        catalog,
-        short,
-        pending.get(w.partition),
+  /** What is left after rounding and limits: to whichever comes to it first, beyond its limit if all are full. */
+  divideRest(): void {
+    while (this.left > 0) {
+      const partition = this.best((candidate) =>
+        this.isFull(candidate)
+          ? -1
+          : candidate.speed / (1 + this.given(candidate)),
+      );
+      const batch = Math.max(1, Math.floor(this.left / this.partitions.length));
+      const allowed = partition.limit - this.given(partition);
+      this.give(
+        partition,
+        this.isFull(partition)
+          ? this.left
+          : Math.min(this.left, batch, allowed),
       );
-      return {
-        group: w.partition,
-        cap: w.cap,
-        now: at.now,
-        waitS: expectedWholeWaitS(spec, w, at, room, catalog),
-      };
-    });
-    rated.sort((a, b) => a.waitS - b.waitS || b.now - a.now);
-    // A gang with `spread` that no group has zones enough for goes to as few groups as it can.
-    const whole = new Map<string, RangeSet>();
-    let first = 0;
-    for (const r of rated) {
-      const n = Math.min(r.cap, spec.tasks - first);
-      if (n > 0) whole.set(r.group, RangeSet.of([[first, first + n - 1]]));
-      first += n;
     }
-    // It has zones enough nowhere, or asks for one and for two at once: it waits where it may find them one day.
-    if (first < spec.tasks || spec.samePlace)
-      return new Map([[rated[0]!.group, RangeSet.upTo(spec.tasks)]]);
-    return whole;
   }
-  // First into the room there is, by weight; then the rest by who comes to it soonest.
-  const counts = new Map<string, number>(ws.map((w) => [w.partition, 0]));
-  const given = (w: WeightedPartition): number => counts.get(w.partition)!;
-  const total = ws.reduce((n, w) => n + Math.min(w.room, w.cap), 0);
-  let left = spec.tasks;
-  if (total > 0) {
-    const share = Math.min(1, spec.tasks / total);
-    for (const w of ws) {
-      const n = Math.min(left, Math.floor(Math.min(w.room, w.cap) * share));
-      counts.set(w.partition, n);
-      left -= n;
+
+  /** Consecutive tasks for each partition. */
+  assignment(): Map<string, RangeSet> {
+    const assignment = new Map<string, RangeSet>();
+    let next = 0;
+    for (const partition of this.partitions) {
+      const tasks = this.given(partition);
+      if (tasks > 0)
+        assignment.set(partition.partition, rangeFrom(next, tasks));
+      next += tasks;
     }
+    return assignment;
   }
-  for (let k = 0; left > 0 && k < ws.length; k++) {
-    const w = best((x) =>
-      given(x) < x.cap ? Math.min(x.room, x.cap) - given(x) : -1,
-    );
-    const n = Math.min(
-      1,
-      left,
-      Math.max(0, Math.min(w.room, w.cap) - given(w)),
-    );
-    counts.set(w.partition, given(w) + n);
-    left -= n;
+
+  private given(partition: WeightedPartition): number {
+    return this.counts.get(partition) ?? 0;
   }
-  const open = ws.filter((w) => given(w) < w.cap);
-  const weights = open.reduce((n, w) => n + w.later, 0) || 1;
-  const rest = left;
-  for (const w of open) {
-    const n = Math.min(
-      left,
-      Math.floor((rest * w.later) / weights),
-      w.cap - given(w),
-    );
-    counts.set(w.partition, given(w) + n);
-    left -= n;
+
+  private give(partition: WeightedPartition, tasks: number): void {
+    this.counts.set(partition, this.given(partition) + tasks);
+    this.left -= tasks;
   }
-  while (left > 0) {
-    const w = best((x) => (given(x) < x.cap ? x.later / (1 + given(x)) : -1));
-    const n =
-      given(w) < w.cap
-        ? Math.min(
-            left,
-            Math.max(1, Math.floor(left / ws.length)),
-            w.cap - given(w),
-          )
-        : left;
-    counts.set(w.partition, given(w) + n);
-    left -= n;
+
+  private isFull(partition: WeightedPartition): boolean {
+    return this.given(partition) >= partition.limit;
   }
-  const assignment = new Map<string, RangeSet>();
-  let next = 0;
-  for (const w of ws) {
-    const n = given(w);
-    if (n > 0) assignment.set(w.partition, RangeSet.of([[next, next + n - 1]]));
-    next += n;
+
+  /** The first partition of those with the highest score. */
+  private best(
+    score: (partition: WeightedPartition) => number,
+  ): WeightedPartition {
+    return this.partitions.reduce((best, candidate) =>
+      score(candidate) > score(best) ? candidate : best,
+    );
   }
-  return assignment;
 }
+
+/** Tasks that fit at once, within the limit of its zones. */
+const usableRoom = ({ room, limit }: WeightedPartition): number =>
+  Math.min(room, limit);
+
+const rangeFrom = (first: number, tasks: number): RangeSet =>
+  RangeSet.of([[first, first + tasks - 1]]);
--- a/src/coordination/jobs/pending-assignments.ts
+++ b/src/coordination/jobs/pending-assignments.ts
@@ -1,6 +1,6 @@
 /** Tasks assigned to partitions since these last wrote their capacity records: other assignments take them into account. */
 import type { JobSpec } from "../model.js";
-import type { PendingAssignment } from "./job-partitioner.js";
+import type { PendingAssignment } from "./partition-capacity.js";
 
 /**
  * Latest jobs assigned to a partition since it wrote its capacity that are remembered; the oldest is forgotten. Each was a commit, so
--- a/src/coordination/machines/scale-out-planner.ts
+++ b/src/coordination/machines/scale-out-planner.ts
@@ -4,7 +4,7 @@
  */
 import type { Context } from "../context.js";
 import type { JobSpec } from "../model.js";
-import { backlogKindOf } from "../jobs/job-partitioner.js";
+import { backlogKindOf } from "../jobs/partition-capacity.js";
 
 import {
   fitCount,
--- a/src/coordination/scheduling/capacity-report.ts
+++ b/src/coordination/scheduling/capacity-report.ts
@@ -19,7 +19,7 @@
 import {
   type PendingAssignment,
   backlogKindOf,
-} from "../jobs/job-partitioner.js";
+} from "../jobs/partition-capacity.js";
 import { freeOn, type Worker } from "../machines/worker-state.js";
 
 /** Which urgencies there are is looked at this often. */
--- a/src/coordination/scheduling/rebalancer.ts
+++ b/src/coordination/scheduling/rebalancer.ts
@@ -16,16 +16,16 @@
 import { isShort } from "./scheduling-round.js";
 import type { RangeSet } from "../jobs/range-set.js";
 import type { ScaleOut } from "../machines/scale-out.js";
+import { reassigned } from "../jobs/job-partitioner.js";
 import {
   canRent,
   capablePartitions,
   type PendingAssignment,
-  reassigned,
   backlogKindOf,
   placesLeft,
   waitingBefore,
   placesForWhole,
-} from "../jobs/job-partitioner.js";
+} from "../jobs/partition-capacity.js";
 import type { JobRun } from "../machines/worker-state.js";
 
 /** A task waits this long for its own group before it may move. */
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -7,10 +7,8 @@
 import { storeLeaseTtlMs } from "../src/coordination/leadership/store-lease-ttl.js";
 import { SchedulingRound } from "../src/coordination/scheduling/scheduling-round.js";
 import { RangeSet } from "../src/coordination/jobs/range-set.js";
-import {
-  capablePartitions,
-  partitionJob,
-} from "../src/coordination/jobs/job-partitioner.js";
+import { partitionJob } from "../src/coordination/jobs/job-partitioner.js";
+import { capablePartitions } from "../src/coordination/jobs/partition-capacity.js";
 import {
   encode,
   encodeReply,
--- a/test/renting.test.ts
+++ b/test/renting.test.ts
@@ -15,10 +15,8 @@
 import { MachineRegistry } from "../src/coordination/machines/machine-registry.js";
 import { ScaleOut } from "../src/coordination/machines/scale-out.js";
 import type { QuotaAllocator } from "../src/coordination/quota/index.js";
-import {
-  partitionJob,
-  placesForWhole,
-} from "../src/coordination/jobs/job-partitioner.js";
+import { partitionJob } from "../src/coordination/jobs/job-partitioner.js";
+import { placesForWhole } from "../src/coordination/jobs/partition-capacity.js";
 import {
   type JobRun,
   newJobRun,
