--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,31 +1,41 @@
+/**
+ * Where tasks fit: arithmetic on resources, and the rules on machine types, zones and prices. Owns no state but what
+ * `UnplaceableCache` keeps for one scheduling round.
+ */
 import type { JobSpec, MachineType } from "../model.js";
 
-/** Amounts are sums of decimal numbers: compare them with some slack. */
+/** Amounts are sums of decimal numbers: comparisons allow for this rounding error. */
 export const EPSILON = 1e-6;
 
+/** Resources of a task or a machine. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
+/** Whether a task of this need has room. */
 export const fits = (need: Resources, room: Resources): boolean =>
   need.cpus <= room.cpus + EPSILON &&
   need.gpus <= room.gpus + EPSILON &&
   need.memGb <= room.memGb + EPSILON;
 
+/** Tasks without any need are bounded by this a machine. */
+const MAX_TASKS_WITHOUT_NEED = 1_000;
+
 /** How many tasks of this need go into this room. */
 export function fitCount(need: Resources, room: Resources): number {
-  let n = Infinity;
-  if (need.cpus > 0)
-    n = Math.min(n, Math.floor((room.cpus + EPSILON) / need.cpus));
-  if (need.gpus > 0)
-    n = Math.min(n, Math.floor((room.gpus + EPSILON) / need.gpus));
-  if (need.memGb > 0)
-    n = Math.min(n, Math.floor((room.memGb + EPSILON) / need.memGb));
-  return n === Infinity ? 1_000 : Math.max(0, n);
+  const count = Math.min(
+    fitCountOf(need.cpus, room.cpus),
+    fitCountOf(need.gpus, room.gpus),
+    fitCountOf(need.memGb, room.memGb),
+  );
+  return count === Infinity ? MAX_TASKS_WITHOUT_NEED : Math.max(0, count);
 }
 
+const fitCountOf = (need: number, room: number): number =>
+  need > 0 ? Math.floor((room + EPSILON) / need) : Infinity;
+
 /** How many tasks go into what is left of a limit, which counts no memory. */
 export const fitWithinLimit = (
   need: Resources,
@@ -49,11 +59,16 @@
   return spec.spot || !spot;
 }
 
-export function canRunOn(spec: JobSpec, t: MachineType, zone: string): boolean {
+/** Whether a task of a job can run on an ordinary machine of this type in a zone. */
+export function canRunOn(
+  spec: JobSpec,
+  type: MachineType,
+  zone: string,
+): boolean {
   return (
-    t.zones.includes(zone) &&
-    isAllowedOn(spec, t.name, zone, false) &&
-    fits(spec, t)
+    type.zones.includes(zone) &&
+    isAllowedOn(spec, type.name, zone, false) &&
+    fits(spec, type)
   );
 }
 
@@ -67,72 +82,103 @@
  */
 export function isSuitable(
   spec: JobSpec,
-  t: MachineType | null,
+  type: MachineType | null,
   spot: boolean,
   catalog: readonly MachineType[] | null,
 ): boolean {
-  if (!t || spec.gpus > 0 || t.gpus === 0) return true;
-  let plain = Infinity;
-  for (const x of catalog ?? [])
-    if (x.gpus === 0 && x.zones.some((z) => canRunOn(spec, x, z)))
-      plain = Math.min(plain, x.price / fitCount(spec, x));
-  return (
-    (spot ? t.spotPrice : t.price) / Math.max(1, fitCount(spec, t)) <=
-    plain * MAX_PRICE_RATIO
-  );
+  if (!type || spec.gpus > 0 || type.gpus === 0) return true;
+  const price = spot ? type.spotPrice : type.price;
+  const pricePerPlace = price / Math.max(1, fitCount(spec, type));
+  return pricePerPlace <= plainPricePerPlace(spec, catalog) * MAX_PRICE_RATIO;
+}
+
+/** The lowest price of a place on a machine without accelerators; Infinity: none can run the job. */
+function plainPricePerPlace(
+  spec: JobSpec,
+  catalog: readonly MachineType[] | null,
+): number {
+  let lowest = Infinity;
+  for (const type of catalog ?? [])
+    if (
+      type.gpus === 0 &&
+      type.zones.some((zone) => canRunOn(spec, type, zone))
+    )
+      lowest = Math.min(lowest, type.price / fitCount(spec, type));
+  return lowest;
 }
 
 /** With `spread`, at most half of the tasks, rounded up, may be in one zone. */
 export const maxTasksPerZone = (spec: JobSpec): number =>
   spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
 
-/** All tasks go to one group: gangs start together, and `samePlace` wants one zone. */
+/** All tasks go to one partition: gangs start together, and `samePlace` wants one zone. */
 export const startsWhole = (spec: JobSpec): boolean =>
   spec.kind === "gang" || spec.samePlace;
 
-/** What a job asks of the place of a task, as one word: jobs that share it can use the same machines. */
-export const requestKeyOf = (s: JobSpec): string =>
-  JSON.stringify([s.cpus, s.gpus, s.memGb, s.machineTypes, s.zone, s.spot]);
+/** A key of what a job asks of the place of a task: jobs that share it can use the same machines. */
+export const requestKeyOf = (spec: JobSpec): string =>
+  JSON.stringify([
+    spec.cpus,
+    spec.gpus,
+    spec.memGb,
+    spec.machineTypes,
+    spec.zone,
+    spec.spot,
+  ]);
 
-/** A type in a zone, spot or ordinary, as one word. */
+/** A key of a type in a zone, spot or ordinary. */
 export const offerKey = (type: string, zone: string, spot: boolean): string =>
   `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
 
+/** A request that found no room. */
+interface UnplaceableRequest extends Resources {
+  tasks: number;
+}
+
 /**
- * What found no room in a placing pass. Room only shrinks during one: whatever asks for the same kind of place
- * and no less of it need not look again. `look`: which machines it may look at, beside what its description says.
+ * Requests that found no room in a scheduling round. Room only shrinks during one: a job that asks for the same kind of
+ * place and no less of it need not search again. `machineClass`: which machines the job may use, beside what its
+ * specification says.
  */
 export class UnplaceableCache {
-  private readonly of = new Map<string, (Resources & { tasks: number })[]>();
+  private readonly requestsByKind = new Map<string, UnplaceableRequest[]>();
 
-  private static kind(s: JobSpec, look: string): string {
-    return [s.machineTypes?.join("+"), s.zone, s.spot, s.samePlace, look].join(
-      "/",
-    );
-  }
-  /** Jobs that look at machines in a way of their own are never counted in. */
-  private static own(s: JobSpec): boolean {
-    return s.spread || (s.samePlace && s.kind !== "gang");
-  }
-  private static tasks(s: JobSpec): number {
-    return s.kind === "gang" ? s.tasks : 1;
-  }
-  add(s: JobSpec, look: string): void {
-    if (UnplaceableCache.own(s)) return;
-    const key = UnplaceableCache.kind(s, look);
-    const list = this.of.get(key) ?? [];
-    list.push({
-      cpus: s.cpus,
-      gpus: s.gpus,
-      memGb: s.memGb,
-      tasks: UnplaceableCache.tasks(s),
+  /** Remembers that a job found no room. */
+  add(spec: JobSpec, machineClass: string): void {
+    if (!isComparable(spec)) return;
+    const kind = placeKindOf(spec, machineClass);
+    const requests = this.requestsByKind.get(kind) ?? [];
+    requests.push({
+      cpus: spec.cpus,
+      gpus: spec.gpus,
+      memGb: spec.memGb,
+      tasks: tasksAtOnce(spec),
     });
-    this.of.set(key, list);
+    this.requestsByKind.set(kind, requests);
   }
-  includes(s: JobSpec, look: string): boolean {
-    if (UnplaceableCache.own(s)) return false;
-    return (this.of.get(UnplaceableCache.kind(s, look)) ?? []).some(
-      (m) => fits(m, s) && m.tasks <= UnplaceableCache.tasks(s),
+
+  /** Whether a job that asks for no more than this one found no room. */
+  includes(spec: JobSpec, machineClass: string): boolean {
+    if (!isComparable(spec)) return false;
+    const kind = placeKindOf(spec, machineClass);
+    return (this.requestsByKind.get(kind) ?? []).some(
+      (request) => fits(request, spec) && request.tasks <= tasksAtOnce(spec),
     );
   }
 }
+
+/** Jobs whose zones depend on where their other tasks are cannot be compared with others. */
+const isComparable = (spec: JobSpec): boolean =>
+  !spec.spread && (!spec.samePlace || spec.kind === "gang");
+
+const tasksAtOnce = (spec: JobSpec): number =>
+  spec.kind === "gang" ? spec.tasks : 1;
+
+const placeKindOf = (spec: JobSpec, machineClass: string): string =>
+  [
+    spec.machineTypes?.join("+"),
+    spec.zone,
+    spec.spot,
+    spec.samePlace,
+    machineClass,
+  ].join("/");
