--- /dev/null
+++ b/test/scenario-large-fleet.test.ts
@@ -0,0 +1,67 @@
+/** The scenario of a large fleet, with fewer machines and bounds lowered in proportion; the search command runs it at full size. */
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { Redirects } from "../src/coordination/machines/redirects.js";
+import { RateLimitedLog } from "../src/logging/rate-limited-log.js";
+import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
+import { largeFleet } from "./scenarios/large-fleet.js";
+import { boundsInProportion } from "./scenarios/lowered-bounds.js";
+import type { ScenarioRun } from "./scenarios/stage.js";
+
+const MACHINES = 300;
+/** For the tests that the checks notice what they are there for. */
+const FEW_MACHINES = 100;
+
+const fleet =
+  (controllers: 1 | 3, machines: number, lowered = {}) =>
+  (seed: number): ScenarioRun =>
+    largeFleet(seed, {
+      machines,
+      controllers,
+      lowered: { ...boundsInProportion(machines), ...lowered },
+    });
+
+test("a large fleet under one controller that restarts: the rules hold and the log stays bounded", () => {
+  expectRulesKept(fleet(1, MACHINES), [1], 1);
+});
+
+test("a large fleet under three controllers, a failover to one out of reach and a zone cut off: the rules hold, workers are relayed", () => {
+  expectRulesKept(fleet(3, MACHINES), [0, 2], 2);
+});
+
+test("more warning subjects than a log remembers in a large fleet: one line a minute counts the others", () => {
+  const { world, occurred } = fleet(1, FEW_MACHINES, {
+    maxWarningSubjects: 20,
+  })(1);
+  assert.deepEqual(world.checker.broken, []);
+  const counted = occurred.get(
+    "further subjects of warnings counted in one line",
+  );
+  assert.ok(counted !== undefined && counted >= 1, `${counted}`);
+});
+
+test("guard: redirects are remembered for as many workers as come back", () => {
+  const forgetful = fleet(3, FEW_MACHINES, { maxRedirects: 3 });
+  expectDetected(forgetful, [0], "sent_back", () => () => {});
+});
+
+test("guard: a worker that comes back is relayed", () => {
+  expectDetected(fleet(3, FEW_MACHINES), [0], "sent_back", () => {
+    const before = Redirects.prototype.isBack;
+    Redirects.prototype.isBack = () => false;
+    return () => (Redirects.prototype.isBack = before);
+  });
+});
+
+test("guard: warnings about a subject are logged once a minute", () => {
+  expectDetected(fleet(1, FEW_MACHINES), [1], "log_flood", () => {
+    const before = RateLimitedLog.prototype.warn;
+    RateLimitedLog.prototype.warn = function (event, subject, details) {
+      const { ctx } = this as unknown as {
+        ctx: { log: (event: string, fields: object) => void };
+      };
+      ctx.log(event, { subject, ...details, occurrences: 1 });
+    };
+    return () => (RateLimitedLog.prototype.warn = before);
+  });
+});
--- a/test/scenarios/index.ts
+++ b/test/scenarios/index.ts
@@ -1,6 +1,7 @@
 import { cancelledInTransfer } from "./cancelled-in-handover.js";
 import { closeQuestions } from "./close-questions.js";
 import { heldCommands } from "./held-commands.js";
+import { largeFleetAtFullSize } from "./large-fleet.js";
 import { lastTask } from "./last-task.js";
 import { lateTransactions } from "./late-transactions.js";
 import { leaderChanges } from "./leader-changes.js";
@@ -18,6 +19,7 @@
   "cancelled-in-handover": cancelledInTransfer,
   "close-questions": closeQuestions,
   "held-commands": heldCommands,
+  "large-fleet": largeFleetAtFullSize,
   "last-task": lastTask,
   "late-transactions": lateTransactions,
   "leader-changes": leaderChanges,
--- /dev/null
+++ b/test/scenarios/large-fleet.ts
@@ -0,0 +1,217 @@
+/**
+ * A fleet as large as the software is built for: under one controller that restarts, and under three of which one fails while the
+ * machines of its partition can't reach its successor, and the zone of another is cut off later. Beyond the simulation's rules it checks
+ * that a worker is redirected once under a fencing token and relayed from then on, and that the log stays within bounds.
+ *
+ * What a size takes: 4,000 machines (`FULL_FLEET`, the search command) the software's own bounds, which the controllers derive from
+ * their settings. Smaller ones (CI) take bounds that stand in the same proportion to the number of machines: twice the machines
+ * for redirects, four times for the subjects of warnings.
+ */
+import { DEFAULTS } from "../../src/config/operator.js";
+import type { Heartbeat, JobSpec } from "../../src/coordination/model.js";
+import { largeJob, submitWorkload } from "../sim/days.js";
+import type { SimWorker } from "../sim/machine.js";
+import type { World } from "../sim/world.js";
+import { LogCheck, RedirectCheck } from "./large-fleet-checks.js";
+import { lowerBounds, type LoweredBounds } from "./lowered-bounds.js";
+import {
+  Occurrences,
+  partitionOf,
+  restart,
+  type ScenarioRun,
+  stage,
+  type Takeover,
+  watchPartitions,
+} from "./stage.js";
+
+export interface LargeFleetOptions {
+  machines: number;
+  controllers: 1 | 3;
+  lowered?: LoweredBounds;
+}
+
+/** The number of machines in one partition or under one controller that the software is built for. */
+const FULL_FLEET = 4_000;
+
+const FAILOVER_AT_MS = 10_000;
+/** Long enough for a store lease to end and another controller to take the partition. */
+const LEADER_DOWN_MS = 60_000;
+const ONLY_LEADER_DOWN_MS = 300;
+/** Workers ask three controllers one after the other, and give up on a silent one after 4 s. */
+const WORKERS_CUT_MS = 25_000;
+const ZONE_CUT_AT_MS = 50_000;
+const ZONE_CUT_MS = 14_000;
+const CONTRADICTIONS_EVERY_MS = 10_000;
+const SUBMIT_UNTIL_MS = 60_000;
+const OVER_MS = 80_000;
+
+const CONJUNCTIONS_OF_ONE = [
+  "the only controller restarted under the whole fleet",
+  "warning about a machine logged",
+] as const;
+const CONJUNCTIONS_OF_THREE = [
+  "failover",
+  "worker redirected to a leader that it can't reach",
+  "worker relayed by a peer to a leader that it can't reach",
+  "zone cut off",
+  "warning about a machine logged",
+] as const;
+
+/** The scenario at its full size, for the search command: odd seeds have one controller, even ones three. */
+export const largeFleetAtFullSize = (seed: number): ScenarioRun =>
+  largeFleet(seed, {
+    machines: FULL_FLEET,
+    controllers: seed % 2 === 1 ? 1 : 3,
+  });
+
+export function largeFleet(
+  seed: number,
+  options: LargeFleetOptions,
+): ScenarioRun {
+  const world = stageFleet(seed, options);
+  const isAlone = options.controllers === 1;
+  const occurred = new Occurrences(
+    isAlone ? CONJUNCTIONS_OF_ONE : CONJUNCTIONS_OF_THREE,
+  );
+  const redirects = new RedirectCheck(world, occurred);
+  const log = new LogCheck(world, options.machines, occurred);
+  world.onStep = (name, input, effects) => {
+    redirects.observe(name, input, effects);
+    log.observe(name, effects);
+  };
+  if (options.lowered) lowerBounds(world, options.lowered);
+  contradictMachines(world);
+  if (isAlone) restartOnlyController(world, occurred);
+  else {
+    failOver(world, redirects, occurred);
+    cutZone(world, occurred);
+  }
+  submitWorkload(world, SUBMIT_UNTIL_MS, fleetJob);
+  world.run(OVER_MS);
+  log.checkTotal();
+  return { world, occurred: occurred.counts };
+}
+
+/** Machines stay although they are idle, and no message is lost but where the scenario wants it. */
+function stageFleet(seed: number, options: LargeFleetOptions): World {
+  const perZone = Math.ceil(options.machines / 4);
+  const cpusMax = 8 * options.machines;
+  const world = stage(seed, {
+    controllers: options.controllers,
+    machinesPerZone: perZone,
+    capacity: perZone,
+    tuning: { ...DEFAULTS, idleReturnS: 3_600 },
+    teams: new Map(
+      ["red", "blue"].map((name) => [
+        name,
+        { name, cpus: cpusMax / 4, gpus: 0, cpusMax, gpusMax: Infinity },
+      ]),
+    ),
+  });
+  world.loss = 0;
+  return world;
+}
+
+const fleetJob = (world: World, n: number): JobSpec => ({
+  ...largeJob(world, n),
+  kind: "array",
+  samePlace: false,
+});
+
+// ---- troubles --------------------------------------------------------------------------------------------
+
+/**
+ * For each machine that its leader knows somebody sends a heartbeat that gives it another type, again and again. A leader that does
+ * not know the machine yet would take the first one that it gets for the true one.
+ */
+function contradictMachines(world: World): void {
+  world.every(CONTRADICTIONS_EVERY_MS, () => {
+    for (const machine of world.workers) {
+      if (!machine.up || machine.gone) continue;
+      const leader = leaderThatKnows(world, machine);
+      if (leader !== undefined)
+        world.heartbeat(leader, contradiction(machine), () => {});
+    }
+  });
+}
+
+const leaderThatKnows = (
+  world: World,
+  machine: SimWorker,
+): string | undefined =>
+  world.names.find((name) => {
+    const leaders = world.nodes.get(name)?.core.leaders.values() ?? [];
+    return [...leaders].some(
+      ({ state }) =>
+        state.workers.get(machine.id)?.typeName === machine.type.name,
+    );
+  });
+
+const contradiction = (machine: SimWorker): Heartbeat => ({
+  worker: machine.id,
+  address: "10.0.0.2:1",
+  type: "big",
+  zone: machine.zone,
+  spot: machine.spot,
+  incarnation: machine.incarnation,
+  sequence: machine.sequence,
+  token: machine.token,
+  noticeS: null,
+  tasks: [],
+});
+
+function restartOnlyController(world: World, occurred: Occurrences): void {
+  const name = world.names[0]!;
+  world.at(FAILOVER_AT_MS, () => restart(world, name, ONLY_LEADER_DOWN_MS));
+  world.at(OVER_MS - 1, () => {
+    const leaders = world.nodes.get(name)?.core.leaders;
+    if (leaders && leaders.size > 0)
+      occurred.note("the only controller restarted under the whole fleet");
+  });
+}
+
+/** A controller fails for good; the machines of its partition can't reach the one that takes it for a while. */
+function failOver(
+  world: World,
+  redirects: RedirectCheck,
+  occurred: Occurrences,
+): void {
+  const failing = world.names[0]!;
+  world.at(FAILOVER_AT_MS, () => restart(world, failing, LEADER_DOWN_MS));
+  let isCut = false;
+  watchPartitions(world, (takeover) => {
+    if (takeover.formerOwner !== failing || takeover.owner === failing) return;
+    occurred.note("failover");
+    if (isCut) return;
+    isCut = true;
+    cutFromLeader(world, takeover, redirects);
+  });
+}
+
+function cutFromLeader(
+  world: World,
+  takeover: Takeover,
+  redirects: RedirectCheck,
+): void {
+  const cut = world.workers.filter(
+    (machine) =>
+      machine.up &&
+      !machine.gone &&
+      partitionOf(world, machine) === takeover.partition,
+  );
+  for (const machine of cut) machine.cut.add(takeover.owner);
+  redirects.begin(takeover, cut);
+  world.at(WORKERS_CUT_MS, () => {
+    for (const machine of cut) machine.cut.clear();
+    redirects.end();
+  });
+}
+
+/** The zone of the last controller is cut off for longer than a lease, with the controller in it. */
+function cutZone(world: World, occurred: Occurrences): void {
+  const zone = world.zoneOf(world.names.at(-1)!);
+  world.at(ZONE_CUT_AT_MS, () => {
+    world.cutZone(zone, ZONE_CUT_MS);
+    occurred.note("zone cut off");
+  });
+}
--- a/test/scenarios/stage.ts
+++ b/test/scenarios/stage.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from "../../src/coordination/model.js";
+import type { JobSpec, Tuning } from "../../src/coordination/model.js";
 import type { Settings } from "../../src/config/settings.js";
 import { partitionKey } from "../../src/storage/records.js";
 import { randomJob } from "../sim/days.js";
@@ -38,11 +38,13 @@
   /** Most machines of a type and kind that a zone has. */
   capacity?: number;
   teams?: Settings["teams"];
+  /** The operators' tuning, where it is not the simulation's usual one. */
+  tuning?: Tuning;
 }
 
 /** A deployment whose machines are up from the start. */
 export function stage(seed: number, options: StageOptions = {}): World {
-  const world = new World(seed, undefined, [], options.controllers ?? 3);
+  const world = new World(seed, options.tuning, [], options.controllers ?? 3);
   world.capacity = options.capacity ?? 6;
   world.runFactor = options.runFactor ?? 2;
   world.carries = true;
