--- a/src/coordination/scheduling/rebalancer.ts
+++ b/src/coordination/scheduling/rebalancer.ts
@@ -1,3 +1,7 @@
+/**
+ * Moves waiting tasks of a partition to others that can start them sooner. Owns no state but when it last ran: a transfer
+ * in flight is kept in its `JobRun`.
+ */
 import {
   bytesOf,
   jobKey,
@@ -28,17 +32,17 @@
 } from "../jobs/partition-capacity.js";
 import type { JobRun } from "../machines/worker-state.js";
 
-/** A task waits this long for its own group before it may move. */
+/** A task waits this long in its own partition before it may move; transfers are considered this often. */
 const REBALANCE_INTERVAL_MS = 400;
 
 /**
- * Tasks of an array that have waited for so long go to any group with room beside all that waits there, whoever has the longest
- * queue: a gang that does not fit, or a longer queue of work for one zone, kept them from idle machines for as long as it waited.
+ * Tasks of an array that have waited for so long go to any partition with room beside all that waits there, whoever has the
+ * longest queue: a gang that does not fit, or a longer queue of work for one zone, kept them from idle machines for as long as it waited.
  * Sooner it cost deadlines: what waits there is mostly about to start.
  */
 const LONG_WAIT_MS = 20_000;
 
-/** A job goes where others would be stopped for it only after it has waited here for longer than that takes. */
+/** A job goes where others would be preempted for it only after it has waited here for longer than that takes. */
 const PREEMPT_ELSEWHERE_AFTER_MS = 6_000;
 
 /** Where tasks of a job go, and how many at most. */
@@ -47,41 +51,41 @@
   tasks: number;
 }
 
-/** Waiting tasks that go to other groups. */
 export class Rebalancer {
   private lastRunMs = -Infinity;
 
   constructor(
     private readonly ctx: Context,
-    private readonly own: PartitionState,
+    private readonly partition: PartitionState,
     private readonly scaleOut: ScaleOut,
-    private readonly sharing: QuotaAllocator,
+    private readonly quota: QuotaAllocator,
   ) {}
 
   /**
-   * Pigeon's groups keep their tasks; ours let an idle master with an empty queue take waiting ones from the
-   * longest queue's master. The giver writes the move into the job's record before the taker may start them,
+   * Pigeon's groups keep their tasks; here an idle partition with an empty queue takes waiting ones from the partition
+   * with the longest queue. The source writes the transfer into the job's record before the target may start the tasks,
    * and starts none of them itself from before that commit is sent.
    */
   tick(): void {
     if (
-      this.own.isFenced ||
+      this.partition.isFenced ||
       this.ctx.nowMs - this.lastRunMs < REBALANCE_INTERVAL_MS
     )
       return;
     this.lastRunMs = this.ctx.nowMs;
-    const waiting = [...this.own.jobs.values()].filter(
-      (j) => !j.waiting.isEmpty,
+    const waiting = [...this.partition.jobs.values()].filter(
+      (job) => !job.waiting.isEmpty,
     );
     if (waiting.length === 0) return;
-    const headroom = this.sharing.headroom();
-    const backlog = backlogOf(this.own.jobs.values(), headroom);
+    const headroomByTeam = this.quota.headroom();
+    const backlog = backlogOf(this.partition.jobs.values(), headroomByTeam);
     for (const job of waiting) {
       if (!this.mayMove(job, backlog)) continue;
-      const left = headroom.get(job.view.spec.team);
+      const headroom = headroomByTeam.get(job.view.spec.team);
       const target =
-        this.partitionWithRoom(job, left) ?? this.partitionToRentIn(job, left);
-      if (target) this.transfer(job, target, left);
+        this.partitionWithRoom(job, headroom) ??
+        this.partitionToRentIn(job, headroom);
+      if (target) this.transfer(job, target, headroom);
     }
   }
 
@@ -97,11 +101,11 @@
       job.quarantinedSinceMs !== null
     )
       return false;
-    if (spec.spread || !this.own.mayStart(job)) return false;
+    if (spec.spread || !this.partition.mayStart(job)) return false;
     if (this.waitedMs(job) < REBALANCE_INTERVAL_MS) return false;
     // A gang that can't start here goes to whoever holds it whole; a part of an array comes from the longest queue, but one that
     // has waited for long does not go on waiting for what a longer queue has that can't be served elsewhere.
-    if (startsWhole(spec)) return this.own.isWhollyWaiting(job);
+    if (startsWhole(spec)) return this.partition.isWhollyWaiting(job);
     return (
       this.waitedMs(job) >= LONG_WAIT_MS ||
       this.isLongestQueue(backlogKindOf(spec), backlog)
@@ -109,71 +113,80 @@
   }
 
   private isLongestQueue(kind: keyof Backlog, backlog: Backlog): boolean {
-    for (const [partition, room] of this.ctx.cache.capacities)
-      if (partition !== this.own.partition && room.queue[kind] > backlog[kind])
+    for (const [partition, capacity] of this.ctx.cache.capacities)
+      if (
+        partition !== this.partition.partition &&
+        capacity.queue[kind] > backlog[kind]
+      )
         return false;
     return true;
   }
 
-  /** The group that has places for most of the job's tasks, or for all of them if it goes whole. */
+  /** The partition that has places for most of the job's tasks, or for all of them if it goes whole. */
   private partitionWithRoom(
     job: JobRun,
-    left: ResourceUse | undefined,
+    headroom: ResourceUse | undefined,
   ): TransferTarget | null {
     const { spec } = job.view;
-    const whole = startsWhole(spec);
-    const short = isShort(spec, this.ctx.tuning);
-    const least = whole ? spec.tasks : 1;
+    const isWhole = startsWhole(spec);
+    const usesReserved = isShort(spec, this.ctx.tuning);
+    const minTasks = isWhole ? spec.tasks : 1;
     let best: TransferTarget | null = null;
-    for (const [partition, room] of this.ctx.cache.capacities) {
+    for (const [partition, capacity] of this.ctx.cache.capacities) {
       if (
-        partition === this.own.partition ||
+        partition === this.partition.partition ||
         !this.ctx.cache.partitions.has(partition)
       )
         continue;
-      const handed = this.ctx.pendingAssignments.get(partition);
+      const pending = this.ctx.pendingAssignments.get(partition);
       // What waits there does not fit, or the room would not be free, and what it holds is not written as free.
-      const fit = whole
-        ? this.wholeAt(job, partition, room, short, handed)
-        : this.placesAt(job, room, short, handed);
-      const tasks = Math.min(fit, this.allowed(spec, partition, left));
-      if (tasks >= least && (!best || tasks > best.tasks))
+      const places = isWhole
+        ? this.wholeAt(job, partition, capacity, usesReserved, pending)
+        : this.placesAt(job, capacity, usesReserved, pending);
+      const tasks = Math.min(places, this.allowed(spec, partition, headroom));
+      if (tasks >= minTasks && (!best || tasks > best.tasks))
         best = { partition, tasks };
     }
     return best;
   }
 
-  /** Nothing free anywhere and nothing more to be had here: a group with an empty queue that may still rent. */
+  /** Nothing is free anywhere and nothing more can be rented here: a partition with an empty queue that may still rent. */
   private partitionToRentIn(
     job: JobRun,
-    left: ResourceUse | undefined,
+    headroom: ResourceUse | undefined,
   ): TransferTarget | null {
     const { spec } = job.view;
     const { catalog } = this.ctx;
     if (!catalog || this.waitedMs(job) <= 2 * REBALANCE_INTERVAL_MS)
       return null;
     if (!this.scaleOut.exhausted(spec)) return null;
-    const whole = startsWhole(spec);
-    const short = isShort(spec, this.ctx.tuning);
+    const isWhole = startsWhole(spec);
+    const usesReserved = isShort(spec, this.ctx.tuning);
     for (const { partition, zones } of capablePartitions(
       spec,
       catalog,
       this.ctx.partitions,
     )) {
-      const room = this.ctx.cache.capacities.get(partition);
+      const capacity = this.ctx.cache.capacities.get(partition);
       if (
-        partition === this.own.partition ||
-        !room ||
+        partition === this.partition.partition ||
+        !capacity ||
         this.ctx.pendingAssignments.has(partition)
       )
         continue;
-      if (room.queue[backlogKindOf(spec)] > 0) continue;
-      if (!canRent(spec, zones, room, catalog)) continue;
-      const { soon } = placesForWhole(spec, zones, room, catalog, short);
-      if (whole && soon < spec.tasks) continue;
-      const wanted = whole ? spec.tasks : Math.ceil(job.waiting.size / 2);
-      const tasks = Math.min(this.allowed(spec, partition, left), wanted);
-      if (tasks >= (whole ? spec.tasks : 1)) return { partition, tasks };
+      if (capacity.queue[backlogKindOf(spec)] > 0) continue;
+      if (!canRent(spec, zones, capacity, catalog)) continue;
+      const { soon } = placesForWhole(
+        spec,
+        zones,
+        capacity,
+        catalog,
+        usesReserved,
+      );
+      if (isWhole && soon < spec.tasks) continue;
+      const wanted = isWhole ? spec.tasks : Math.ceil(job.waiting.size / 2);
+      const tasks = Math.min(this.allowed(spec, partition, headroom), wanted);
+      if (tasks >= (isWhole ? spec.tasks : 1)) return { partition, tasks };
     }
     return null;
   }
@@ -182,87 +195,87 @@
   private transfer(
     job: JobRun,
     target: TransferTarget,
-    left: ResourceUse | undefined,
+    headroom: ResourceUse | undefined,
   ): void {
     const { spec } = job.view;
-    const whole = startsWhole(spec);
+    const isWhole = startsWhole(spec);
     // Machines that are on their way for tasks of an array would come for nothing.
-    const movable = whole
+    const movable = isWhole
       ? spec.tasks
       : job.waiting.size - this.scaleOut.bootingFor(spec);
     if (movable <= 0) return;
-    const most = Math.min(target.tasks, movable);
-    const tasks = Math.min(most, job.waiting.size);
-    if (left) {
-      left.cpus -= spec.cpus * tasks;
-      left.gpus -= spec.gpus * tasks;
+    const maxTasks = Math.min(target.tasks, movable);
+    const tasks = Math.min(maxTasks, job.waiting.size);
+    if (headroom) {
+      headroom.cpus -= spec.cpus * tasks;
+      headroom.gpus -= spec.gpus * tasks;
     }
     this.ctx.notePendingAssignment(target.partition, spec, tasks);
     this.move(
       job,
-      job.waiting.take(whole ? spec.tasks : most),
+      job.waiting.take(isWhole ? spec.tasks : maxTasks),
       target.partition,
     );
   }
 
-  /** Tasks of an array that a group has places for: one with an empty queue, or after a while with room beside its queue. */
+  /** Tasks of an array that a partition has places for: one with an empty queue, or after a while with room beside its queue. */
   private placesAt(
     job: JobRun,
-    room: CapacityRecord,
-    short: boolean,
-    handed: readonly PendingAssignment[] | undefined,
+    capacity: CapacityRecord,
+    usesReserved: boolean,
+    pending: readonly PendingAssignment[] | undefined,
   ): number {
     const { spec } = job.view;
-    const queued = room.queue[backlogKindOf(spec)];
+    const queued = capacity.queue[backlogKindOf(spec)];
     if (queued > 0 && this.waitedMs(job) < LONG_WAIT_MS) return 0;
     const catalog = this.ctx.catalog ?? [];
-    return placesLeft(spec, room, catalog, short, handed) - queued;
+    return placesLeft(spec, capacity, catalog, usesReserved, pending) - queued;
   }
 
   /**
-   * Tasks of a job that goes whole that fit into a group now; or, once it has waited for longer than stopping takes, that fit
-   * there once less urgent work has given way, if nothing as urgent waits there.
+   * Tasks of an undivided job that fit into a partition now; or, once it has waited for longer than preemption takes, that
+   * fit there once lower priorities are preempted, if nothing of its priority or above waits there.
    */
   private wholeAt(
     job: JobRun,
     partition: string,
-    room: CapacityRecord,
-    short: boolean,
-    handed: readonly PendingAssignment[] | undefined,
+    capacity: CapacityRecord,
+    usesReserved: boolean,
+    pending: readonly PendingAssignment[] | undefined,
   ): number {
     const { spec } = job.view;
-    const at = placesForWhole(
+    const places = placesForWhole(
       spec,
       this.zonesFor(spec, partition),
-      room,
+      capacity,
       this.ctx.catalog ?? [],
-      short,
-      handed,
+      usesReserved,
+      pending,
     );
-    return at.now < spec.tasks &&
-      this.ctx.nowMs - job.waitingSinceMs > PREEMPT_ELSEWHERE_AFTER_MS &&
-      waitingBefore(spec, room) === 0
-      ? at.yields
-      : at.now;
+    return places.now < spec.tasks &&
+      this.waitedMs(job) > PREEMPT_ELSEWHERE_AFTER_MS &&
+      waitingBefore(spec, capacity) === 0
+      ? places.yields
+      : places.now;
   }
 
   /**
-   * Tasks that the team's limit would let start there, with what this group does not use of it itself: that follows them.
-   * Work that only its limit keeps from starting went from group to group, each having machines free and none a part of
+   * Tasks that the team's limit would let start there, with what this partition does not use of it itself: that follows them.
+   * Work that only its limit keeps from starting went from partition to partition, each having machines free and none a part of
    * the limit: 7,600 moves in 500 s on a day with limits of a quarter of what was asked.
    */
   private allowed(
     spec: JobSpec,
     partition: string,
-    here: ResourceUse | undefined,
+    headroomHere: ResourceUse | undefined,
   ): number {
-    const there = this.sharing.spareAt(partition, spec.team);
-    let cpus = there[0] + Math.max(0, here?.cpus ?? 0);
-    let gpus = there[1] + Math.max(0, here?.gpus ?? 0);
-    for (const h of this.ctx.pendingAssignments.get(partition) ?? [])
-      if (h.spec.team === spec.team) {
-        cpus -= h.spec.cpus * h.tasks;
-        gpus -= h.spec.gpus * h.tasks;
+    const [cpusThere, gpusThere] = this.quota.spareAt(partition, spec.team);
+    let cpus = cpusThere + Math.max(0, headroomHere?.cpus ?? 0);
+    let gpus = gpusThere + Math.max(0, headroomHere?.gpus ?? 0);
+    for (const pending of this.ctx.pendingAssignments.get(partition) ?? [])
+      if (pending.spec.team === spec.team) {
+        cpus -= pending.spec.cpus * pending.tasks;
+        gpus -= pending.spec.gpus * pending.tasks;
       }
     return cpus === Infinity && gpus === Infinity
       ? Infinity
@@ -272,19 +285,19 @@
   private zonesFor(spec: JobSpec, partition: string): string[] {
     return (
       capablePartitions(spec, this.ctx.catalog ?? [], this.ctx.partitions).find(
-        (c) => c.partition === partition,
+        (capable) => capable.partition === partition,
       )?.zones ?? []
     );
   }
 
   private move(job: JobRun, tasks: RangeSet, to: string): void {
-    for (const i of tasks)
-      if (this.own.ledger.hasUnconfirmed(job.id, i)) return;
+    for (const index of tasks)
+      if (this.partition.ledger.hasUnconfirmed(job.id, index)) return;
     const value = writeJob({
       ...job.view,
       assignment: reassigned(
         job.view.assignment,
-        this.own.partition,
+        this.partition.partition,
         tasks,
         to,
       ),
@@ -304,21 +317,22 @@
     this.send(job);
   }
 
+  /** Sends, or sends again, the commit of a job's transfer. */
   send(job: JobRun): void {
-    const m = job.pendingTransfer;
+    const transfer = job.pendingTransfer;
     const key = jobKey(job.id);
-    m?.change.send(
+    transfer?.change.send(
       (version, value, done) =>
-        this.own.commit(
+        this.partition.commit(
           [{ key, version }],
           [{ op: "put", key, value }],
           CallPriority.Background,
           done,
         ),
       () => {
-        if (job.pendingTransfer !== m) return;
+        if (job.pendingTransfer !== transfer) return;
         job.pendingTransfer = null;
-        if (!job.isOver) this.own.recomputeWaiting(job);
+        if (!job.isOver) this.partition.recomputeWaiting(job);
       },
     );
   }
