--- a/src/coordination/leadership/partition-map.ts
+++ b/src/coordination/leadership/partition-map.ts
@@ -1,38 +1,49 @@
+/** Which partition a zone belongs to: a pure function of the settings, the same on every controller. */
 import type { Settings } from "../../config/settings.js";
 
+/** Keeps the hash of a zone's name well within exact integers. */
+const HASH_MODULUS = 1_000_003;
+const HASH_MULTIPLIER = 31;
+
 /**
- * Which group a zone belongs to: a pure function of settings and zone, the same on every controller, so that
- * one master alone rents, uses and returns machines there. A zone with a controller is that controller's (the
- * first by label, if several); the others are dealt out by sorted order.
+ * The partitions and their zones. One leader alone rents, uses and returns machines in a zone, since all controllers agree on its
+ * partition. A zone with a controller is that controller's (the first by label, if several); the others are dealt out by sorted
+ * order.
  */
 export class PartitionMap {
-  /** A group bears the label of its home controller. */
+  /** A partition bears the label of its home controller; sorted. */
   readonly names: string[];
   private readonly partitionByZone = new Map<string, string>();
-  private readonly zonesWithoutController: string[];
 
-  constructor(s: Pick<Settings, "label" | "area" | "peers" | "zones">) {
-    const nodes = [{ label: s.label, area: s.area }, ...s.peers].sort((a, b) =>
-      a.label < b.label ? -1 : 1,
+  constructor(settings: Pick<Settings, "label" | "area" | "peers" | "zones">) {
+    const { label, area, peers, zones } = settings;
+    const controllers = [{ label, area }, ...peers].sort((first, second) =>
+      first.label < second.label ? -1 : 1,
     );
-    this.names = nodes.map((n) => n.label);
-    for (const n of nodes)
-      if (!this.partitionByZone.has(n.area))
-        this.partitionByZone.set(n.area, n.label);
-    this.zonesWithoutController = s.zones
-      .filter((z) => !this.partitionByZone.has(z))
+    this.names = controllers.map((controller) => controller.label);
+    for (const controller of controllers)
+      if (!this.partitionByZone.has(controller.area))
+        this.partitionByZone.set(controller.area, controller.label);
+    const zonesWithoutController = zones
+      .filter((zone) => !this.partitionByZone.has(zone))
       .sort();
-    this.zonesWithoutController.forEach((z, i) =>
-      this.partitionByZone.set(z, this.names[i % this.names.length]!),
-    );
+    for (const [index, zone] of zonesWithoutController.entries())
+      this.partitionByZone.set(zone, this.nameAt(index));
   }
 
   partitionOf(zone: string): string {
-    const g = this.partitionByZone.get(zone);
-    if (g !== undefined) return g;
     // A zone that the settings don't name (a machine may turn up anywhere): any fixed choice will do.
-    let sum = 0;
-    for (const ch of zone) sum = (sum * 31 + ch.charCodeAt(0)) % 1_000_003;
-    return this.names[sum % this.names.length]!;
+    return this.partitionByZone.get(zone) ?? this.nameAt(hashOf(zone));
+  }
+
+  private nameAt(index: number): string {
+    return this.names[index % this.names.length]!;
   }
 }
+
+function hashOf(zone: string): number {
+  let hash = 0;
+  for (const character of zone)
+    hash = (hash * HASH_MULTIPLIER + character.charCodeAt(0)) % HASH_MODULUS;
+  return hash;
+}
