--- a/src/coordination/leadership/partition-map.ts
+++ b/src/coordination/leadership/partition-map.ts
@@ -1,39 +1,38 @@
-/** Which partition each zone belongs to. */
+/** Which partition a zone belongs to: a pure function of the settings, the same on every controller. */
 import type { Settings } from "../../config/settings.js";
 
-/** Of the hash of a zone's name: a prime, and a factor as usual for strings. */
+/** Keeps the hash of a zone's name well within exact integers. */
 const HASH_MODULUS = 1_000_003;
-const HASH_FACTOR = 31;
+const HASH_MULTIPLIER = 31;
 
 /**
- * A pure function of settings and zone, the same on every controller, so that one leader alone rents, uses and returns
- * machines in a zone. A zone with a controller belongs to that controller's partition (to that of the first by label, if
- * there are several); the others are dealt out in sorted order.
+ * The partitions and their zones. One leader alone rents, uses and returns machines in a zone, since all controllers agree on its
+ * partition. A zone with a controller is that controller's (the first by label, if several); the others are dealt out by sorted
+ * order.
  */
 export class PartitionMap {
-  /** The partitions, sorted; each bears the label of its home controller. */
+  /** A partition bears the label of its home controller; sorted. */
   readonly names: string[];
   private readonly partitionByZone = new Map<string, string>();
 
   constructor(settings: Pick<Settings, "label" | "area" | "peers" | "zones">) {
     const { label, area, peers, zones } = settings;
-    const controllers = [{ label, area }, ...peers].sort((a, b) =>
-      a.label < b.label ? -1 : 1,
+    const controllers = [{ label, area }, ...peers].sort((first, second) =>
+      first.label < second.label ? -1 : 1,
     );
     this.names = controllers.map((controller) => controller.label);
     for (const controller of controllers)
       if (!this.partitionByZone.has(controller.area))
         this.partitionByZone.set(controller.area, controller.label);
-    zones
+    const zonesWithoutController = zones
       .filter((zone) => !this.partitionByZone.has(zone))
-      .sort()
-      .forEach((zone, index) =>
-        this.partitionByZone.set(zone, this.nameAt(index)),
-      );
+      .sort();
+    for (const [index, zone] of zonesWithoutController.entries())
+      this.partitionByZone.set(zone, this.nameAt(index));
   }
 
-  /** The partition of a zone. One that the settings don't name (a machine may turn up anywhere) has a fixed one, too. */
   partitionOf(zone: string): string {
+    // A zone that the settings don't name (a machine may turn up anywhere): any fixed choice will do.
     return this.partitionByZone.get(zone) ?? this.nameAt(hashOf(zone));
   }
 
@@ -42,9 +41,9 @@
   }
 }
 
-function hashOf(text: string): number {
+function hashOf(zone: string): number {
   let hash = 0;
-  for (const character of text)
-    hash = (hash * HASH_FACTOR + character.charCodeAt(0)) % HASH_MODULUS;
+  for (const character of zone)
+    hash = (hash * HASH_MULTIPLIER + character.charCodeAt(0)) % HASH_MODULUS;
   return hash;
 }
