--- a/src/coordination/quota/guarantee-reclaims.ts
+++ b/src/coordination/quota/guarantee-reclaims.ts
@@ -10,7 +10,7 @@
 import { NO_USE } from "../machines/resource-ledger.js";
 import { EPSILON } from "../scheduling/placement.js";
 import type { Guarantees } from "./guarantees.js";
-import { DIMENSIONS, type ResourceAmounts } from "./quota-records.js";
+import { DIMENSIONS, type ResourceAmounts } from "./resource-amounts.js";
 
 /** Until what is stopped for a claim is gone and what it was stopped for is published as started. */
 const CLAIM_TTL_S = 6;
--- a/src/coordination/quota/guarantees.ts
+++ b/src/coordination/quota/guarantees.ts
@@ -3,7 +3,8 @@
 import type { PartitionState } from "../scheduling/partition-state.js";
 import type { ResourceUse } from "../machines/resource-ledger.js";
 import { EPSILON } from "../scheduling/placement.js";
-import { DIMENSIONS, entryOf, type ResourceAmounts } from "./quota-records.js";
+import { entryOf } from "./quota-records.js";
+import { DIMENSIONS, type ResourceAmounts } from "./resource-amounts.js";
 
 /** What is guaranteed, where anything is: a dimension without a guarantee does not count where the other has one. */
 export function guaranteeOf(t: Team): ResourceAmounts | null {
--- a/src/coordination/quota/index.ts
+++ b/src/coordination/quota/index.ts
@@ -1,7 +1,7 @@
-/** Teams' limits and guarantees over all controllers: docs/design/limits.md. */
+/** Teams' limits and guarantees over all partitions: docs/design/limits.md. */
 export { ObservedLimits } from "./observed-limits.js";
 export { Guarantees } from "./guarantees.js";
 export { GuaranteeReclaims } from "./guarantee-reclaims.js";
 export { QuotaAllocator } from "./quota-allocator.js";
 export { GuaranteeShortfallLog } from "./guarantee-shortfall-log.js";
-export { type ResourceAmounts, withinShare } from "./quota-records.js";
+export { type ResourceAmounts, withinShare } from "./resource-amounts.js";
--- a/src/coordination/quota/quota-allocator.ts
+++ b/src/coordination/quota/quota-allocator.ts
@@ -1,408 +1,407 @@
+/**
+ * The partition's parts of the teams' limits: how much of each it may use, and giving of it to partitions that want more.
+ * Owns the change of the quota records that is under way. Design: docs/design/limits.md.
+ */
 import type { Team } from "../../config/settings.js";
-import {
-  partitionKey,
-  QUOTA_KEY,
-  type Shares,
-  type TeamRow,
-  type QuotaWant,
-} from "../../storage/records.js";
-import type { Context } from "../context.js";
+import { partitionKey, QUOTA_KEY, type Shares } from "../../storage/records.js";
+import type { Context, TransactionOutcome } from "../context.js";
 import { CallPriority } from "../effects.js";
 import { PendingTransfer } from "../leadership/pending-transfer.js";
-import type { PartitionState } from "../scheduling/partition-state.js";
 import type { ResourceUse } from "../machines/resource-ledger.js";
 import type { JobSpec } from "../model.js";
-import { EPSILON } from "../scheduling/placement.js";
-import { QuotaDemand } from "./quota-demand.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
 import {
+  demandBeyondShare,
   type PartitionDemand,
-  planQuotas,
-  type QuotaSituation,
-} from "./quota-plan.js";
+  publishedDemands,
+} from "./partition-demand.js";
+import { QuotaDemand } from "./quota-demand.js";
+import { planQuotas } from "./quota-plan.js";
+import type { QuotaPlan, QuotaSituation } from "./quota-situation.js";
 import {
   CAPS_NAME,
-  DIMENSIONS,
-  type QuotaEntry,
   entryOf,
-  roundUpToHundredth,
   limitOf,
   mayUse,
-  type ResourceAmounts,
+  type QuotaEntry,
 } from "./quota-records.js";
+import { type QuotaReport, quotaWantOf, teamRowOf } from "./quota-report.js";
+import {
+  isAnyPositive,
+  perDimension,
+  type ResourceAmounts,
+} from "./resource-amounts.js";
 
 /** Parts are given no more often than this: what comes together goes together. */
 const TRANSFER_INTERVAL_MS = 600;
+/** Quota records that one change writes at the most. */
+const MAX_RECORDS_PER_CHANGE = 3;
+/** Stands for "no limit" in what is published: JSON knows no Infinity. */
+const UNLIMITED_USE = 1e9;
 
-/** What a plan's commit depends on and says. */
+/** Revisions that a change depends on. */
 interface ChangeBase {
   records: [key: string, version: number][];
-  /** Groups that no settings name, with the token under which this controller has them. */
-  gone: [group: string, token: number][];
+  /** Partitions that no settings name, with the token under which they have no leader. */
+  removedPartitions: [partition: string, token: number][];
 }
 
-/** A group's part of the teams' limits, and giving of it to groups that want more. */
+/** A change of the quota records until the records show how it ended. */
+interface PendingChange {
+  /** By team: what it gives away. */
+  reserved: Map<string, ResourceAmounts>;
+  priority: CallPriority;
+  transfer: PendingTransfer<ChangeBase, Map<string, Shares>>;
+}
+
+/** A partition's use of the teams' limits. */
 export class QuotaAllocator {
-  private pendingChange: {
-    reserved: Map<string, ResourceAmounts>;
-    urgent: CallPriority;
-    change: PendingTransfer<ChangeBase, Map<string, Shares>>;
-  } | null = null;
-  private nextMs = -Infinity;
+  private pendingChange: PendingChange | null = null;
+  private nextPlanMs = -Infinity;
   private readonly quotaDemand: QuotaDemand;
+  /** Entries looked up since the records last changed. */
   private entries = new Map<string, QuotaEntry | null>();
-  private entriesSeq = -1;
+  private entriesSequence = -1;
 
+  /** `hasPlace`: whether the partition has, or may get, a machine with free resources for a task of such a job. */
   constructor(
-    private readonly ctx: Context,
-    private readonly own: PartitionState,
-    /** Whether this group has, or may get, a machine with room for a task of such a job. */
+    private readonly context: Context,
+    private readonly state: PartitionState,
     hasPlace: (spec: JobSpec) => boolean,
   ) {
-    this.quotaDemand = new QuotaDemand(ctx, own, hasPlace);
+    this.quotaDemand = new QuotaDemand(context, state, hasPlace);
   }
 
-  /** What is written of a team's limit. */
+  // ---- what may be used ------------------------------------------------------------------------------------
+
+  /** What is written of a team's limit; null: nothing. */
   entry(team: string): QuotaEntry | null {
-    const { cache } = this.ctx;
-    if (this.entriesSeq !== cache.quotaRecordsSequence) {
-      this.entriesSeq = cache.quotaRecordsSequence;
+    const { cache } = this.context;
+    if (this.entriesSequence !== cache.quotaRecordsSequence) {
+      this.entriesSequence = cache.quotaRecordsSequence;
       this.entries = new Map();
     }
-    let e = this.entries.get(team);
-    if (e === undefined)
-      this.entries.set(team, (e = entryOf(cache.quotaRecords, team)));
-    return e;
+    let entry = this.entries.get(team);
+    if (entry === undefined) {
+      entry = entryOf(cache.quotaRecords, team);
+      this.entries.set(team, entry);
+    }
+    return entry;
   }
 
   /**
-   * Up to how much this group may start tasks of a team, in CPUs and accelerators; Infinity: no limit. Invariant (quota):
+   * Up to how much this partition may start tasks of a team, in CPUs and accelerators; Infinity: no limit. Invariant (quota):
    * what is on its way to others is not used from before the commit that gives it is sent.
    */
   share(team: string): ResourceAmounts {
-    const t = this.ctx.settings.teams.get(team);
-    if (!t) return [0, 0];
-    const [cpus, gpus] = mayUse(t, this.entry(team), this.own.partition, () =>
-      this.uses()(team),
+    const settings = this.context.settings.teams.get(team);
+    if (!settings) return [0, 0];
+    const [cpus, gpus] = mayUse(
+      settings,
+      this.entry(team),
+      this.state.partition,
+      () => this.uses()(team),
     );
-    const r = this.pendingChange?.reserved.get(team);
-    return r && !this.settled() ? [cpus - r[0], gpus - r[1]] : [cpus, gpus];
+    const reserved = this.inFlight(team);
+    return [cpus - reserved[0], gpus - reserved[1]];
   }
 
-  /** On its way to other groups, of a team: CPUs and accelerators. */
+  /** What of a team's limit is on its way to other partitions. */
   inFlight(team: string): ResourceAmounts {
-    const r = this.settled()
-      ? undefined
-      : this.pendingChange?.reserved.get(team);
-    return r ? [r[0], r[1]] : [0, 0];
-  }
-  /** What waits here of a team and has a place, now or to be rented. */
-  waiting(team: string): ResourceAmounts {
-    return this.quotaDemand
-      .waitingOf(team)
-      .reduce<ResourceAmounts>(
-        (s, w) => [s[0] + w.need[0], s[1] + w.need[1]],
-        [0, 0],
-      );
+    const reserved = this.pendingChange?.reserved.get(team);
+    return reserved && !this.isSettled() ? [reserved[0], reserved[1]] : [0, 0];
   }
 
-  /** The record shows how the last change ended. */
-  private settled(): boolean {
-    return (
-      this.pendingChange !== null &&
-      this.pendingChange.change.baseRevision.records.some(
-        ([key, version]) => this.versionOf(key) !== version,
-      )
-    );
+  /** By team: what it may still use in this partition, a fresh copy. */
+  headroom(): Map<string, ResourceUse> {
+    const useOf = this.uses();
+    const headroom = new Map<string, ResourceUse>();
+    for (const team of this.context.settings.teams.keys()) {
+      const share = this.share(team);
+      const use = useOf(team);
+      headroom.set(team, { cpus: share[0] - use[0], gpus: share[1] - use[1] });
+    }
+    return headroom;
   }
-  private versionOf(key: string): number {
-    return this.ctx.cache.quotaRecords.get(key)?.revision ?? 0;
+
+  /**
+   * What another partition has of a team's limit and does not use, as far as it is known; Infinity: no limit, or it can't be
+   * judged.
+   */
+  spareAt(partition: string, team: string): ResourceAmounts {
+    const entry = this.entry(team);
+    const rows = this.context.cache.capacities.get(partition)?.teams;
+    return perDimension((dimension) => {
+      if (!entry || !rows || entry.cap[dimension] === Infinity) return Infinity;
+      const part = entry.parts[partition]?.[dimension] ?? 0;
+      return Math.max(0, part - (rows.get(team)?.use[dimension] ?? 0));
+    });
   }
 
+  /** The use of each team, as it is now. */
   private uses(): (team: string) => ResourceAmounts {
-    const used = this.own.usage();
+    const usage = this.state.usage();
     return (team) => {
-      const u = used.get(team);
-      return u ? [u.cpus, u.gpus] : [0, 0];
+      const use = usage.get(team);
+      return use ? [use.cpus, use.gpus] : [0, 0];
     };
   }
 
-  /** By team: what it may still use in this group. */
-  headroom(): Map<string, ResourceUse> {
-    const use = this.uses();
-    const out = new Map<string, ResourceUse>();
-    for (const team of this.ctx.settings.teams.keys()) {
-      const share = this.share(team);
-      const u = use(team);
-      out.set(team, { cpus: share[0] - u[0], gpus: share[1] - u[1] });
+  // ---- what is wanted --------------------------------------------------------------------------------------
+
+  /** What waits here of a team and has a place, now or to be rented. */
+  waiting(team: string): ResourceAmounts {
+    const sum: ResourceAmounts = [0, 0];
+    for (const { need } of this.quotaDemand.waitingOf(team)) {
+      sum[0] += need[0];
+      sum[1] += need[1];
     }
-    return out;
+    return sum;
   }
 
-  /** What another group has of a team's limit and does not use, as far as it is known; Infinity: no limit, or it can't be judged. */
-  spareAt(partition: string, team: string): ResourceAmounts {
-    const e = this.entry(team);
-    const rows = this.ctx.cache.capacities.get(partition)?.teams;
-    return DIMENSIONS.map((d) =>
-      !e || !rows || e.cap[d] === Infinity
-        ? Infinity
-        : Math.max(
-            0,
-            (e.parts[partition]?.[d] ?? 0) - (rows.get(team)?.use[d] ?? 0),
-          ),
-    ) as ResourceAmounts;
+  /** What is published of the teams with this partition's capacity. */
+  rows(): QuotaReport {
+    const report: QuotaReport = { teams: new Map(), wants: new Map() };
+    const useOf = this.uses();
+    for (const team of this.context.settings.teams.values()) {
+      const { name } = team;
+      const demand = this.demand(name, useOf(name));
+      const { cpus, gpus } = this.state.ledger.useOf(name);
+      const row = teamRowOf({
+        demand,
+        use: [cpus, gpus],
+        waiting: this.waiting(name),
+        possibleUse: this.state.isFenced
+          ? this.boundedUse(team, useOf(name))
+          : [cpus, gpus],
+      });
+      if (!row) continue;
+      report.teams.set(name, row);
+      if (demand) {
+        const waiting = this.quotaDemand.waitingOf(name);
+        report.wants.set(name, quotaWantOf(demand, waiting));
+      }
+    }
+    return report;
   }
 
-  /** By team: what this group could use beyond its part. */
-  private demands(
-    use: (team: string) => ResourceAmounts,
-  ): Map<string, PartitionDemand> {
-    const out = new Map<string, PartitionDemand>();
-    for (const team of this.ctx.settings.teams.keys()) {
-      const d = this.demand(team, use(team));
-      if (d) out.set(team, d);
-    }
-    return out;
+  /** During a failover: no more than what the former leader could have started. */
+  private boundedUse(team: Team, use: ResourceAmounts): ResourceAmounts {
+    const part = this.entry(team.name)?.parts[this.state.partition];
+    const limit = limitOf(team);
+    return perDimension((dimension) => {
+      const isLimited = part && Number.isFinite(limit[dimension]);
+      return Math.min(
+        use[dimension],
+        isLimited ? Math.max(part[dimension], 0) : UNLIMITED_USE,
+      );
+    });
   }
 
+  /** What this partition could use of a team beyond its part; null: nothing. */
   private demand(team: string, use: ResourceAmounts): PartitionDemand | null {
     const waiting = this.quotaDemand.waitingOf(team);
     if (waiting.length === 0) return null;
-    const beyond = this.share(team);
-    const d: PartitionDemand = {
-      now: [0, 0],
-      nowSince: [Infinity, Infinity],
-      soon: [0, 0],
-      soonSince: [Infinity, Infinity],
-      beyond,
-    };
-    const spare: ResourceAmounts = [beyond[0] - use[0], beyond[1] - use[1]];
-    // Who can start at once takes what there is first; what it lacks is wanted.
-    for (const now of [true, false])
-      for (const w of waiting) {
-        if (w.now !== now) continue;
-        const lack = DIMENSIONS.map((k) =>
-          Math.max(
-            0,
-            roundUpToHundredth(Math.min(w.need[k], w.need[k] - spare[k])),
-          ),
-        ) as ResourceAmounts;
-        spare[0] -= w.need[0];
-        spare[1] -= w.need[1];
-        const [to, since] = now ? [d.now, d.nowSince] : [d.soon, d.soonSince];
-        for (const k of DIMENSIONS) {
-          if (lack[k] <= EPSILON) continue;
-          to[k] += lack[k];
-          since[k] = Math.min(since[k], w.since);
-        }
-      }
-    return DIMENSIONS.some((k) => d.now[k] > 0 || d.soon[k] > 0) ? d : null;
+    return demandBeyondShare(waiting, this.share(team), use);
   }
 
-  /** What is written with the room, by team: use, wants, and what waits; and the wants as an earlier version reads them. */
-  rows(): { teams: Map<string, TeamRow>; wants: Map<string, QuotaWant> } {
-    const teams = new Map<string, TeamRow>();
-    const wants = new Map<string, QuotaWant>();
-    const use = this.uses();
-    for (const t of this.ctx.settings.teams.values()) {
-      const d = this.demand(t.name, use(t.name));
-      const k = this.own.ledger.useOf(t.name);
-      const waits = this.waiting(t.name);
-      const may = this.own.isFenced
-        ? this.bounded(t, use(t.name))
-        : ([k.cpus, k.gpus] as ResourceAmounts);
-      if (
-        !d &&
-        k.cpus <= EPSILON &&
-        k.gpus <= EPSILON &&
-        may[0] <= EPSILON &&
-        may[1] <= EPSILON &&
-        waits[0] <= EPSILON &&
-        waits[1] <= EPSILON
-      )
-        continue;
-      const finite = (p: ResourceAmounts): ResourceAmounts => [
-        Number.isFinite(p[0]) ? p[0] : 0,
-        Number.isFinite(p[1]) ? p[1] : 0,
-      ];
-      teams.set(t.name, {
-        use: [k.cpus, k.gpus],
-        may,
-        now: d?.now ?? [0, 0],
-        nowSince: d?.nowSince ?? [Infinity, Infinity],
-        soon: d?.soon ?? [0, 0],
-        soonSince: d?.soonSince ?? [Infinity, Infinity],
-        beyond: finite(d?.beyond ?? [0, 0]),
-        waits,
-      });
-      if (d)
-        wants.set(t.name, {
-          cpus: d.now[0] + d.soon[0],
-          gpus: d.now[1] + d.soon[1],
-          since: this.quotaDemand
-            .waitingOf(t.name)
-            .reduce((n, w) => Math.min(n, w.readyAt), Infinity),
-        });
+  private ownDemands(
+    useOf: (team: string) => ResourceAmounts,
+  ): Map<string, PartitionDemand> {
+    const demands = new Map<string, PartitionDemand>();
+    for (const team of this.context.settings.teams.keys()) {
+      const demand = this.demand(team, useOf(team));
+      if (demand) demands.set(team, demand);
     }
-    return { teams, wants };
-  }
-  /** During a takeover: no more than what the former master could have started. */
-  private bounded(t: Team, use: ResourceAmounts): ResourceAmounts {
-    const e = this.entry(t.name)?.parts[this.own.partition];
-    const limit = limitOf(t);
-    return DIMENSIONS.map((d) =>
-      Math.min(
-        use[d],
-        e && Number.isFinite(limit[d]) ? Math.max(e[d], 0) : 1e9,
-      ),
-    ) as ResourceAmounts;
+    return demands;
   }
 
-  /** What other groups want, as they last wrote it. */
-  private others(): Map<string, Map<string, PartitionDemand>> {
-    const out = new Map<string, Map<string, PartitionDemand>>();
-    for (const [partition, room] of this.ctx.cache.capacities) {
-      if (partition === this.own.partition) continue;
-      const of = new Map<string, PartitionDemand>();
-      if (room.teams) for (const [team, r] of room.teams) of.set(team, r);
-      // An earlier version wants beyond what it has at the moment.
-      else
-        for (const [team, w] of room.wants) {
-          const p = this.entry(team)?.parts[partition] ?? [0, 0];
-          of.set(team, {
-            now: [w.cpus, w.gpus],
-            nowSince: [w.since, w.since],
-            soon: [0, 0],
-            soonSince: [Infinity, Infinity],
-            beyond: [p[0], p[1]],
-          });
-        }
-      out.set(partition, of);
+  /** What other partitions want, as they last published it. */
+  private othersDemands(): Map<string, ReadonlyMap<string, PartitionDemand>> {
+    const demands = new Map<string, ReadonlyMap<string, PartitionDemand>>();
+    for (const [partition, capacity] of this.context.cache.capacities) {
+      if (partition === this.state.partition) continue;
+      const published = publishedDemands(
+        capacity,
+        (team) => this.entry(team)?.parts[partition] ?? [0, 0],
+      );
+      demands.set(partition, published);
     }
-    return out;
+    return demands;
   }
 
-  /** Groups that the settings do not name and that have a part still, once nothing of theirs can run; with the tokens that say so. */
-  private removedPartitions(): Map<string, number> {
-    const gone = new Map<string, number>();
-    for (const { shares } of this.ctx.cache.quotaRecords.values())
-      for (const [team, parts] of Object.entries(shares))
-        for (const [g, p] of Object.entries(parts)) {
-          if (
-            team === CAPS_NAME ||
-            this.ctx.partitions.names.includes(g) ||
-            (p[0] <= EPSILON && p[1] <= EPSILON)
-          )
-            continue;
-          const token = this.ctx.leaderlessToken(g);
-          if (token !== null) gone.set(g, token);
-        }
-    return gone;
-  }
+  // ---- changes of the records --------------------------------------------------------------------------------
 
+  /** `agreed`: every live controller goes by the same limits as this one. */
   tick(agreed: boolean): void {
     if (this.pendingChange) {
-      if (!this.settled()) return this.send();
+      if (!this.isSettled()) {
+        this.send(this.pendingChange);
+        return;
+      }
       this.pendingChange = null;
     }
-    if (this.ctx.nowMs < this.nextMs) return;
-    const { settings, tuning, cache } = this.ctx;
-    const use = this.uses();
-    const gone = this.removedPartitions();
-    const situation: QuotaSituation = {
-      partition: this.own.partition,
-      partitions: this.ctx.partitions.names,
+    if (this.context.nowMs < this.nextPlanMs) return;
+    const removedTokens = this.removedPartitions();
+    const plan = planQuotas(this.situation(agreed, removedTokens));
+    if (!plan) return;
+    this.nextPlanMs = this.context.nowMs + TRANSFER_INTERVAL_MS;
+    const change = this.toChange(plan, removedTokens);
+    this.pendingChange = change;
+    this.logPlan(plan, agreed);
+    this.send(change);
+  }
+
+  private situation(
+    agreed: boolean,
+    removedTokens: ReadonlyMap<string, number>,
+  ): QuotaSituation {
+    const { settings, tuning, cache, partitions } = this.context;
+    const useOf = this.uses();
+    return {
+      partition: this.state.partition,
+      partitions: partitions.names,
       teams: settings.teams,
       records: cache.quotaRecords,
       valueBytes: settings.state.valueBytes,
-      writes: Math.min(3, settings.state.txnOps),
-      use,
-      known: (team) => {
-        if (this.own.isFenced) return null;
-        const unconfirmed = this.own.ledger.unconfirmedUse(team);
-        const u = this.own.ledger.useOf(team);
-        return [u.cpus - unconfirmed.cpus, u.gpus - unconfirmed.gpus];
-      },
-      mine: this.demands(use),
-      others: this.others(),
-      keep: (team, since, partition, now) =>
-        this.keep(team, since, partition, now),
+      writes: Math.min(MAX_RECORDS_PER_CHANGE, settings.state.txnOps),
+      use: useOf,
+      known: (team) => this.confirmedUse(team),
+      mine: this.ownDemands(useOf),
+      others: this.othersDemands(),
+      keep: (team, sinceMs, partition, now) =>
+        this.needBefore(team, sinceMs, partition, now),
       agreed,
-      gone: new Set(gone.keys()),
+      gone: new Set(removedTokens.keys()),
       // The version before takes an equal part of what the first record does not name, so elsewhere nothing may move
       // while one of its controllers can come back.
       movable: (key) => key === QUOTA_KEY || tuning.dividedLimits,
     };
-    const plan = planQuotas(situation);
-    if (!plan) return;
-    this.nextMs = this.ctx.nowMs + TRANSFER_INTERVAL_MS;
-    const base: ChangeBase = {
-      records: [...plan.writes.keys()].map((key) => [key, this.versionOf(key)]),
-      gone: plan.gone.map((g) => [g, gone.get(g)!]),
-    };
-    this.pendingChange = {
-      reserved: plan.reserved,
-      urgent:
-        plan.caps.length > 0 ? CallPriority.Leader : CallPriority.Background,
-      change: new PendingTransfer(base, plan.writes),
-    };
-    for (const g of plan.given)
-      this.ctx.log("transferring quota to another partition", {
-        team: g.team,
-        to: g.to,
-        cpus: g.give[0],
-        gpus: g.give[1],
-      });
-    for (const team of plan.caps)
-      this.ctx.log("writing team quota", { team, agreed });
-    for (const partition of plan.gone)
-      this.ctx.log("reclaiming quota of removed partition", {
-        partition: partition,
-      });
-    this.send();
   }
 
-  /** What the own waiting tasks that come before such a demand are going to use. */
-  private keep(
+  /** What surely runs of a team; null during a failover, when it is not known yet. */
+  private confirmedUse(team: string): ResourceAmounts | null {
+    if (this.state.isFenced) return null;
+    const unconfirmed = this.state.ledger.unconfirmedUse(team);
+    const use = this.state.ledger.useOf(team);
+    return [use.cpus - unconfirmed.cpus, use.gpus - unconfirmed.gpus];
+  }
+
+  /** What the own waiting tasks that come before such a demand of another partition are going to use. */
+  private needBefore(
     team: string,
-    since: number,
+    sinceMs: number,
     partition: string,
     now: boolean,
   ): ResourceAmounts {
     const sum: ResourceAmounts = [0, 0];
-    for (const w of this.quotaDemand.waitingOf(team)) {
-      const older =
-        w.since < since ||
-        (w.since === since && this.own.partition < partition);
-      if (now ? !(w.now && older) : !(w.now || older)) continue;
-      sum[0] += w.need[0];
-      sum[1] += w.need[1];
+    for (const { need, turnMs, isStartable } of this.quotaDemand.waitingOf(
+      team,
+    )) {
+      const isOlder =
+        turnMs < sinceMs ||
+        (turnMs === sinceMs && this.state.partition < partition);
+      const comesBefore = now ? isStartable && isOlder : isStartable || isOlder;
+      if (!comesBefore) continue;
+      sum[0] += need[0];
+      sum[1] += need[1];
     }
     return sum;
   }
 
-  private send(): void {
-    const c = this.pendingChange;
-    c?.change.send(
-      (base, value, done) =>
-        this.own.commit(
-          [
-            ...base.records.map(([key, version]) => ({ key, version })),
-            ...base.gone.map(([g, version]) => ({
-              key: partitionKey(g),
-              version,
-            })),
-          ],
-          [...value].map(([key, shares]) => ({
-            op: "put" as const,
-            key,
-            value: shares,
-          })),
-          c.urgent,
-          done,
-        ),
+  /**
+   * Partitions that the settings do not name and that have a part still, once nothing of theirs can run; with the tokens that
+   * say so.
+   */
+  private removedPartitions(): Map<string, number> {
+    const removed = new Map<string, number>();
+    for (const { shares } of this.context.cache.quotaRecords.values())
+      for (const [team, parts] of Object.entries(shares)) {
+        if (team === CAPS_NAME) continue;
+        for (const [partition, part] of Object.entries(parts)) {
+          const isNamed = this.context.partitions.names.includes(partition);
+          if (isNamed || !isAnyPositive(part)) continue;
+          const token = this.context.leaderlessToken(partition);
+          if (token !== null) removed.set(partition, token);
+        }
+      }
+    return removed;
+  }
+
+  private toChange(
+    plan: QuotaPlan,
+    removedTokens: ReadonlyMap<string, number>,
+  ): PendingChange {
+    const base: ChangeBase = {
+      records: [...plan.writes.keys()].map((key) => [key, this.versionOf(key)]),
+      removedPartitions: plan.gone.flatMap((partition) => {
+        const token = removedTokens.get(partition);
+        return token === undefined ? [] : [[partition, token]];
+      }),
+    };
+    return {
+      reserved: plan.reserved,
+      priority:
+        plan.caps.length > 0 ? CallPriority.Leader : CallPriority.Background,
+      transfer: new PendingTransfer(base, plan.writes),
+    };
+  }
+
+  private logPlan(plan: QuotaPlan, agreed: boolean): void {
+    for (const { team, to, give } of plan.given)
+      this.context.log("transferring quota to another partition", {
+        team,
+        to,
+        cpus: give[0],
+        gpus: give[1],
+      });
+    for (const team of plan.caps)
+      this.context.log("writing team quota", { team, agreed });
+    for (const partition of plan.gone)
+      this.context.log("reclaiming quota of removed partition", { partition });
+  }
+
+  private send(change: PendingChange): void {
+    change.transfer.send(
+      (base, writes, done) => this.commit(change.priority, base, writes, done),
       () => {
-        if (this.pendingChange === c) this.pendingChange = null;
+        if (this.pendingChange === change) this.pendingChange = null;
       },
     );
   }
+
+  private commit(
+    priority: CallPriority,
+    base: ChangeBase,
+    writes: ReadonlyMap<string, Shares>,
+    done: (outcome: TransactionOutcome) => void,
+  ): void {
+    const conditions = [
+      ...base.records.map(([key, version]) => ({ key, version })),
+      ...base.removedPartitions.map(([partition, version]) => ({
+        key: partitionKey(partition),
+        version,
+      })),
+    ];
+    const puts = [...writes].map(([key, value]) => ({
+      op: "put" as const,
+      key,
+      value,
+    }));
+    this.state.commit(conditions, puts, priority, done);
+  }
+
+  /** Whether the records show how the pending change ended. */
+  private isSettled(): boolean {
+    return (
+      this.pendingChange !== null &&
+      this.pendingChange.transfer.baseRevision.records.some(
+        ([key, version]) => this.versionOf(key) !== version,
+      )
+    );
+  }
+
+  private versionOf(key: string): number {
+    return this.context.cache.quotaRecords.get(key)?.revision ?? 0;
+  }
 }
--- a/src/coordination/quota/quota-demand.ts
+++ b/src/coordination/quota/quota-demand.ts
@@ -1,30 +1,41 @@
+/**
+ * Which waiting tasks of a partition ask for parts of their teams' limits. Owns the list by team, recomputed from the jobs
+ * and machines a few times a second.
+ */
 import type { Context } from "../context.js";
-import type { PartitionState } from "../scheduling/partition-state.js";
 import type { JobSpec } from "../model.js";
+import type { Team } from "../../config/settings.js";
+import type { PartitionState } from "../scheduling/partition-state.js";
 import {
-  isAllowedOn,
   EPSILON,
   fitCount,
-  startsWhole,
+  isAllowedOn,
   isSuitable,
+  startsWhole,
 } from "../scheduling/placement.js";
 import { isShort, turnAt } from "../scheduling/scheduling-round.js";
 import { freeOn, type JobRun } from "../machines/worker-state.js";
-import type { ResourceAmounts } from "./quota-records.js";
+import type { ResourceAmounts } from "./resource-amounts.js";
 
 /** Tasks of one job that wait for a part of a limit. */
-interface WaitingTasks {
+export interface WaitingTasks {
   /** What they take together. */
   need: ResourceAmounts;
-  /** Whose turn it is, as the queues have it: a time of day, in ms. */
-  since: number;
+  /** Whose turn it is, as the queues have it: a time of day, in whole ms. */
+  turnMs: number;
   /** Time of day, in ms, since which they could run. */
   readyAt: number;
   /** They have a place at once, or have waited for so long that they count as if they had. */
-  now: boolean;
+  isStartable: boolean;
 }
 
-/** Looked at anew no more often than this. */
+/** What jobs that ask for nearly the same find; `placesNow` shrinks as jobs take of it. */
+interface PlacesOfKind {
+  hasPlace: boolean;
+  placesNow: number;
+}
+
+/** The waiting tasks are looked at anew no more often than this. */
 const RECOMPUTE_INTERVAL_MS = 300;
 /**
  * Who has waited for this long comes before younger work that has a place already, though its own place is yet to be
@@ -32,9 +43,11 @@
  */
 const AGED_MS = 20_000;
 /** Tasks of an array whose places are yet to be rented ask for so much at once: the rest will ask as these start. */
-const SOON_TASKS = 20;
+const MAX_TASKS_TO_COME = 20;
 /** The oldest waiting jobs of a team that are looked at. */
 const MAX_JOBS_PER_TEAM = 100;
+/** Jobs whose memory lies in the same step of this size share one look at the machines. */
+const MEMORY_STEP_GB = 8;
 
 /**
  * What waits here of each team, whether it has a place, and since when. Work without any place, now or to be rented,
@@ -44,110 +57,150 @@
   private computedMs = -Infinity;
   private byTeam = new Map<string, WaitingTasks[]>();
 
+  /** `hasPlace`: whether the partition has, or may get, a machine with free resources for a task of such a job. */
   constructor(
-    private readonly ctx: Context,
-    private readonly own: PartitionState,
+    private readonly context: Context,
+    private readonly state: PartitionState,
     private readonly hasPlace: (spec: JobSpec) => boolean,
   ) {}
 
   /** In the order of their turns. */
   waitingOf(team: string): readonly WaitingTasks[] {
-    if (this.ctx.nowMs - this.computedMs >= RECOMPUTE_INTERVAL_MS)
+    if (this.context.nowMs - this.computedMs >= RECOMPUTE_INTERVAL_MS)
       this.recompute();
     return this.byTeam.get(team) ?? [];
   }
 
   private recompute(): void {
-    this.computedMs = this.ctx.nowMs;
+    this.computedMs = this.context.nowMs;
     this.byTeam = new Map();
-    // Parts of a limit go where the queues go, in every group: the one that could start what comes first next.
-    const turn = (j: JobRun): number =>
-      this.ctx.tuning.fleetOrder
-        ? turnAt(j.view.readyAt, j.view.spec, this.own.unfinishedTasks(j))
-        : j.view.readyAt;
-    const jobs = [...this.own.jobs.values()]
-      .filter((j) => this.own.mayStart(j) && !j.pendingTransfer)
-      .sort((a, b) => turn(a) - turn(b) || (a.id < b.id ? -1 : 1));
-    const kinds = new Map<string, { has: boolean; places: number }>();
-    const seen = new Map<string, number>();
-    for (const j of jobs) {
-      const { spec, readyAt } = j.view;
-      const n = (seen.get(spec.team) ?? 0) + 1;
-      seen.set(spec.team, n);
-      // The limit of a team without one is never short.
-      const team = this.ctx.settings.teams.get(spec.team);
-      if (n > MAX_JOBS_PER_TEAM || !team) continue;
-      const whole = startsWhole(spec) || spec.kind === "service";
-      // Accepted under a larger limit: it can't begin under this one, and what it waited for would be kept from all others.
-      const least = spec.kind === "array" ? 1 : spec.tasks;
-      if (
-        spec.cpus * least > team.cpusMax + EPSILON ||
-        spec.gpus * least > team.gpusMax + EPSILON
-      )
+    const kinds = new Map<string, PlacesOfKind>();
+    const jobCounts = new Map<string, number>();
+    for (const job of this.jobsByTurn()) {
+      const { spec } = job.view;
+      const jobCount = (jobCounts.get(spec.team) ?? 0) + 1;
+      jobCounts.set(spec.team, jobCount);
+      // The limit of a team that the settings don't name is never short.
+      const team = this.context.settings.teams.get(spec.team);
+      if (!team || jobCount > MAX_JOBS_PER_TEAM || !canBeginUnder(team, spec))
         continue;
-      const short = isShort(spec, this.ctx.tuning);
-      // Jobs whose amounts differ by little share one look.
-      const key = JSON.stringify([
-        Math.ceil(spec.cpus),
-        spec.gpus,
-        Math.ceil(spec.memGb / 8),
-        spec.machineTypes,
-        spec.zone,
-        spec.spot,
-        spec.samePlace,
-        short,
-      ]);
-      let kind = kinds.get(key);
-      if (!kind)
-        kinds.set(
-          key,
-          (kind = {
-            has: this.hasPlace(spec),
-            places: this.placesNow(spec, short),
-          }),
-        );
-      if (!kind.has && kind.places === 0) continue;
-      const all = j.waiting.size;
-      const list = this.byTeam.get(spec.team) ?? [];
-      this.byTeam.set(spec.team, list);
-      const add = (tasks: number, now: boolean): void => {
-        // Whole milliseconds, as they are published: two groups that saw the same time differently each took the other to be
-        // first, and neither took what nobody had.
-        if (tasks > 0)
-          list.push({
-            need: [spec.cpus * tasks, spec.gpus * tasks],
-            since: Math.round(turn(j)),
-            readyAt,
-            now,
-          });
+      const places = this.placesOfKind(spec, kinds);
+      if (places.hasPlace || places.placesNow > 0) this.addJob(job, places);
+    }
+  }
+
+  private jobsByTurn(): JobRun[] {
+    return [...this.state.jobs.values()]
+      .filter((job) => this.state.mayStart(job) && !job.pendingTransfer)
+      .sort(
+        (a, b) => this.turnOf(a) - this.turnOf(b) || (a.id < b.id ? -1 : 1),
+      );
+  }
+
+  /** Parts of a limit go where the queues go, in every partition: to the one that could start what comes first next. */
+  private turnOf(job: JobRun): number {
+    const { readyAt, spec } = job.view;
+    return this.context.tuning.fleetOrder
+      ? turnAt(readyAt, spec, this.state.unfinishedTasks(job))
+      : readyAt;
+  }
+
+  private placesOfKind(
+    spec: JobSpec,
+    kinds: Map<string, PlacesOfKind>,
+  ): PlacesOfKind {
+    const short = isShort(spec, this.context.tuning);
+    const key = kindKeyOf(spec, short);
+    let kind = kinds.get(key);
+    if (!kind) {
+      kind = {
+        hasPlace: this.hasPlace(spec),
+        placesNow: this.countPlacesNow(spec, short),
       };
-      const fit = whole && kind.places < all ? 0 : Math.min(all, kind.places);
-      kind.places -= fit;
-      const aged = this.ctx.wallMs - readyAt > AGED_MS;
-      if (whole) add(all, fit === all || aged);
-      else {
-        const later = Math.min(all - fit, SOON_TASKS);
-        add(fit + (aged ? later : 0), true);
-        if (!aged) add(later, false);
-      }
+      kinds.set(key, kind);
+    }
+    return kind;
+  }
+
+  private addJob(job: JobRun, places: PlacesOfKind): void {
+    const { spec, readyAt } = job.view;
+    const waiting = job.waiting.size;
+    const isWhole = startsWhole(spec) || spec.kind === "service";
+    const fitting =
+      isWhole && places.placesNow < waiting
+        ? 0
+        : Math.min(waiting, places.placesNow);
+    places.placesNow -= fitting;
+    const isAged = this.context.wallMs - readyAt > AGED_MS;
+    if (isWhole) {
+      this.addTasks(job, waiting, fitting === waiting || isAged);
+      return;
+    }
+    const toCome = Math.min(waiting - fitting, MAX_TASKS_TO_COME);
+    this.addTasks(job, fitting + (isAged ? toCome : 0), true);
+    if (!isAged) this.addTasks(job, toCome, false);
+  }
+
+  private addTasks(job: JobRun, taskCount: number, isStartable: boolean): void {
+    if (taskCount <= 0) return;
+    const { spec, readyAt } = job.view;
+    let list = this.byTeam.get(spec.team);
+    if (!list) {
+      list = [];
+      this.byTeam.set(spec.team, list);
     }
+    list.push({
+      need: [spec.cpus * taskCount, spec.gpus * taskCount],
+      // Whole milliseconds, as they are published: two partitions that saw the same time differently each took the other to
+      // be first, and neither took what nobody had.
+      turnMs: Math.round(this.turnOf(job)),
+      readyAt,
+      isStartable,
+    });
   }
 
   /** Tasks of such a job that would start at once if the limit let them; with `samePlace` in the best zone. */
-  private placesNow(spec: JobSpec, short: boolean): number {
-    const { usable, reserved } = this.own.usableWorkers();
-    const zones = new Map<string, number>();
-    for (const w of usable) {
-      if ((!short && reserved.has(w.id)) || this.own.isReservedForOther(w))
-        continue;
+  private countPlacesNow(spec: JobSpec, short: boolean): number {
+    const { usable, reserved } = this.state.usableWorkers();
+    const placesByZone = new Map<string, number>();
+    for (const worker of usable) {
+      const { id, type, typeName, zone, spot } = worker;
       if (
-        !isAllowedOn(spec, w.typeName, w.zone, w.spot) ||
-        !isSuitable(spec, w.type, w.spot, this.ctx.catalog)
+        (!short && reserved.has(id)) ||
+        this.state.isReservedForOther(worker) ||
+        !isAllowedOn(spec, typeName, zone, spot) ||
+        !isSuitable(spec, type, spot, this.context.catalog)
       )
         continue;
-      const key = spec.samePlace ? w.zone : "";
-      zones.set(key, (zones.get(key) ?? 0) + fitCount(spec, freeOn(w)));
+      const key = spec.samePlace ? zone : "";
+      const places = placesByZone.get(key) ?? 0;
+      placesByZone.set(key, places + fitCount(spec, freeOn(worker)));
     }
-    return Math.max(0, ...zones.values());
+    return Math.max(0, ...placesByZone.values());
   }
 }
+
+/**
+ * Whether the job can begin under the team's present limit. One that was accepted under a larger limit may not, and what it
+ * waited for would be kept from all others.
+ */
+function canBeginUnder(team: Team, spec: JobSpec): boolean {
+  const minTasks = spec.kind === "array" ? 1 : spec.tasks;
+  return (
+    spec.cpus * minTasks <= team.cpusMax + EPSILON &&
+    spec.gpus * minTasks <= team.gpusMax + EPSILON
+  );
+}
+
+/** Jobs whose amounts differ by little share one look at the machines. */
+const kindKeyOf = (spec: JobSpec, short: boolean): string =>
+  JSON.stringify([
+    Math.ceil(spec.cpus),
+    spec.gpus,
+    Math.ceil(spec.memGb / MEMORY_STEP_GB),
+    spec.machineTypes,
+    spec.zone,
+    spec.spot,
+    spec.samePlace,
+    short,
+  ]);
--- /dev/null
+++ b/src/coordination/quota/quota-report.ts
@@ -0,0 +1,67 @@
+/**
+ * What a partition publishes of each team with its capacity record: use, wants and what waits; and the wants once more as an
+ * earlier version reads them. Owns no state.
+ */
+import type { QuotaWant, TeamRow } from "../../storage/records.js";
+import type { PartitionDemand } from "./partition-demand.js";
+import type { WaitingTasks } from "./quota-demand.js";
+import { isAnyPositive, type ResourceAmounts } from "./resource-amounts.js";
+
+/** The rows of a capacity record that concern teams, by team. */
+export interface QuotaReport {
+  teams: Map<string, TeamRow>;
+  wants: Map<string, QuotaWant>;
+}
+
+/** How a team stands in one partition. */
+export interface TeamQuotaState {
+  demand: PartitionDemand | null;
+  /** On machines, known to be there. */
+  use: ResourceAmounts;
+  /** The most that may be on machines. */
+  possibleUse: ResourceAmounts;
+  /** What waits and has a place, now or to be rented. */
+  waiting: ResourceAmounts;
+}
+
+/** The row of a team; null when there is nothing to say of it. */
+export function teamRowOf(state: TeamQuotaState): TeamRow | null {
+  const { demand, use, possibleUse, waiting } = state;
+  const isIdle =
+    !demand &&
+    !isAnyPositive(use) &&
+    !isAnyPositive(possibleUse) &&
+    !isAnyPositive(waiting);
+  if (isIdle) return null;
+  return {
+    use,
+    may: possibleUse,
+    now: demand?.now ?? [0, 0],
+    nowSince: demand?.nowSince ?? [Infinity, Infinity],
+    soon: demand?.soon ?? [0, 0],
+    soonSince: demand?.soonSince ?? [Infinity, Infinity],
+    beyond: finiteOrZero(demand?.beyond ?? [0, 0]),
+    waits: waiting,
+  };
+}
+
+/** The want of a team as an earlier version reads it. */
+export function quotaWantOf(
+  demand: PartitionDemand,
+  waiting: readonly WaitingTasks[],
+): QuotaWant {
+  return {
+    cpus: demand.now[0] + demand.soon[0],
+    gpus: demand.now[1] + demand.soon[1],
+    since: waiting.reduce(
+      (oldest, tasks) => Math.min(oldest, tasks.readyAt),
+      Infinity,
+    ),
+  };
+}
+
+/** JSON knows no Infinity. */
+const finiteOrZero = ([cpus, gpus]: ResourceAmounts): ResourceAmounts => [
+  Number.isFinite(cpus) ? cpus : 0,
+  Number.isFinite(gpus) ? gpus : 0,
+];
--- /dev/null
+++ b/src/coordination/quota/quota-situation.ts
@@ -0,0 +1,53 @@
+/** What planning of the teams' limits starts from, and what it results in. Owns no state. */
+import type { Team } from "../../config/settings.js";
+import type { Shares } from "../../storage/records.js";
+import type { PartitionDemand } from "./partition-demand.js";
+import type { QuotaRecords } from "./quota-records.js";
+import type { ResourceAmounts } from "./resource-amounts.js";
+
+/** What a partition knows when it considers the records of the limits; none of it is changed. */
+export interface QuotaSituation {
+  partition: string;
+  /** All partitions that the settings name. */
+  partitions: readonly string[];
+  teams: ReadonlyMap<string, Team>;
+  records: QuotaRecords;
+  /** The most bytes that a record may have. */
+  valueBytes: number;
+  /** Records that one commit may write. */
+  writes: number;
+  /** What this partition uses of a team, counting all that may be running. */
+  use(team: string): ResourceAmounts;
+  /** The same, counting only what surely runs; null: not known yet (the failover fence). */
+  known(team: string): ResourceAmounts | null;
+  /** What this partition wants, by team. */
+  mine: ReadonlyMap<string, PartitionDemand>;
+  /** What the others want, by partition and team. */
+  others: ReadonlyMap<string, ReadonlyMap<string, PartitionDemand>>;
+  /** What the own waiting tasks that come before such a demand are going to use; `since` in ms since the epoch. */
+  keep(
+    team: string,
+    since: number,
+    partition: string,
+    now: boolean,
+  ): ResourceAmounts;
+  /** Every live controller goes by the same limits as this one. */
+  agreed: boolean;
+  /** Partitions that no settings name any more and of which nothing can run. */
+  gone: ReadonlySet<string>;
+  /** Whether parts of teams in that record may go from partition to partition. */
+  movable(key: string): boolean;
+}
+
+/** What a partition writes in one commit. */
+export interface QuotaPlan {
+  /** New values of records, by key. */
+  writes: Map<string, Shares>;
+  /** By team: what this partition gives away, and does not use from before the commit is sent. */
+  reserved: Map<string, ResourceAmounts>;
+  given: { team: string; to: string; give: ResourceAmounts }[];
+  /** Partitions whose absence it rests on. */
+  gone: string[];
+  /** Teams whose limit was written anew. */
+  caps: string[];
+}
--- a/src/verification/quota-model.ts
+++ b/src/verification/quota-model.ts
@@ -1,16 +1,14 @@
 import type { Team } from "../config/settings.js";
-import {
-  type PartitionDemand,
-  planQuotas,
-  type QuotaPlan,
-} from "../coordination/quota/quota-plan.js";
+import type { PartitionDemand } from "../coordination/quota/partition-demand.js";
+import { planQuotas } from "../coordination/quota/quota-plan.js";
+import type { QuotaPlan } from "../coordination/quota/quota-situation.js";
 import {
   CAPS_NAME,
   entryOf,
   type QuotaRecords,
   mayUse,
-  type ResourceAmounts,
 } from "../coordination/quota/quota-records.js";
+import type { ResourceAmounts } from "../coordination/quota/resource-amounts.js";
 import { QUOTA_KEY, type Shares } from "../storage/records.js";
 import type { Model, Step } from "./explore.js";
 
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -3,11 +3,9 @@
 import fc from "fast-check";
 import { DEFAULTS } from "../src/config/operator.js";
 import type { Team } from "../src/config/settings.js";
-import {
-  type PartitionDemand,
-  planQuotas,
-  type QuotaSituation,
-} from "../src/coordination/quota/quota-plan.js";
+import type { PartitionDemand } from "../src/coordination/quota/partition-demand.js";
+import { planQuotas } from "../src/coordination/quota/quota-plan.js";
+import type { QuotaSituation } from "../src/coordination/quota/quota-situation.js";
 import {
   GuaranteeReclaims,
   QuotaAllocator,
@@ -18,8 +16,8 @@
   type QuotaRecord,
   mayUse,
   overdrawn,
-  type ResourceAmounts,
 } from "../src/coordination/quota/quota-records.js";
+import type { ResourceAmounts } from "../src/coordination/quota/resource-amounts.js";
 import type { JobSpec } from "../src/coordination/model.js";
 import { SchedulingRound } from "../src/coordination/scheduling/scheduling-round.js";
 import { explore } from "../src/verification/explore.js";
--- a/test/sim/limits.ts
+++ b/test/sim/limits.ts
@@ -71,16 +71,17 @@
   const before = QuotaAllocator.prototype.share;
   if (central)
     QuotaAllocator.prototype.share = function (t) {
-      const own = (this as unknown as { own: PartitionLeader["state"] }).own;
+      const own = (this as unknown as { state: PartitionLeader["state"] })
+        .state;
       let elsewhere = 0;
       // Group by group, what its master counts, or what really runs there if that is more, or it has none.
       const { partitions } = (
         this as unknown as {
-          ctx: {
+          context: {
             partitions: { names: string[]; partitionOf(zone: string): string };
           };
         }
-      ).ctx;
+      ).context;
       for (const g of partitions.names) {
         if (g === own.partition) continue;
         let real = 0;
