--- a/test/imports.test.ts
+++ b/test/imports.test.ts
@@ -39,6 +39,7 @@
     "coordination/model",
     "coordination/scheduling",
     "coordination/store",
+    "logging",
     "protocol",
     "storage/records",
   ],
