--- a/src/coordination/machines/delivery-tracker.ts
+++ b/src/coordination/machines/delivery-tracker.ts
@@ -100,33 +100,46 @@
 
   /** Notes what a heartbeat that is news says of delivery, before the rest of it is looked at. */
   note(worker: Worker, heartbeat: Heartbeat, isNewIncarnation: boolean): void {
-    const { delivery } = worker;
     if (isNewIncarnation) {
-      delivery.incarnationSinceMs = this.ctx.nowMs;
-      // Its lease expired although a heartbeat of it was answered within the last half of one.
-      if (
-        !worker.leaseExpired &&
-        this.ctx.nowMs - worker.lastAnsweredMs < this.leaseMs / 2
-      )
-        this.markUnreachable(
-          worker,
-          "its lease ended although its reports are answered",
-        );
+      this.noteNewIncarnation(worker);
+      return;
+    }
+    this.noteToken(worker, heartbeat);
+    if (this.hasRenewedLease(worker))
+      this.markReachable(worker, "its lease goes on");
+  }
+
+  /** A worker whose lease expired although a heartbeat of it was answered within the last half of one receives no answers. */
+  private noteNewIncarnation(worker: Worker): void {
+    worker.delivery.incarnationSinceMs = this.ctx.nowMs;
+    const wasAnswered =
+      !worker.leaseExpired &&
+      this.ctx.nowMs - worker.lastAnsweredMs < this.leaseMs / 2;
+    if (wasAnswered)
+      this.markUnreachable(
+        worker,
+        "its lease ended although its reports are answered",
+      );
+  }
+
+  private noteToken(worker: Worker, heartbeat: Heartbeat): void {
+    const { delivery } = worker;
+    if (heartbeat.token === this.token) {
+      if (worker.token === this.token) delivery.proven = true;
+      else this.markReachable(worker, "it has seen this master's token");
       return;
     }
-    if (heartbeat.token === this.token && worker.token !== this.token)
-      this.markReachable(worker, "it has seen this master's token");
-    else if (heartbeat.token === this.token) delivery.proven = true;
     // Answered several times under this token, and it still has not seen it.
-    else if (worker.token < this.token && ++delivery.missed > MAX_MISSED)
+    if (worker.token < this.token && ++delivery.missed > MAX_MISSED)
       this.markUnreachable(worker, "it does not see this master's token");
-    if (
-      delivery.unreachableSinceMs !== null &&
-      this.ctx.nowMs -
-        Math.max(delivery.unreachableSinceMs, delivery.incarnationSinceMs) >
-        this.leaseMs * 1.1 + 1_000
-    )
-      this.markReachable(worker, "its lease goes on");
+  }
+
+  /** An unreachable worker of the same incarnation for longer than a lease must have received an answer. */
+  private hasRenewedLease(worker: Worker): boolean {
+    const { unreachableSinceMs, incarnationSinceMs } = worker.delivery;
+    if (unreachableSinceMs === null) return false;
+    const sinceMs = Math.max(unreachableSinceMs, incarnationSinceMs);
+    return this.ctx.nowMs - sinceMs > this.leaseMs * 1.1 + 1_000;
   }
 
   /** What a heartbeat shows of the starts that answers before it contained: some that should be there are not, or all are. */
