--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,13 +1,17 @@
+/**
+ * Decides which running tasks are stopped for a waiting job that comes first: for its higher priority, or to give a team its
+ * guarantee back. Owns no state: reservations are kept on the machines, reclaims in the quota's records.
+ */
 import type { Context } from "../context.js";
 import type { PartitionState } from "./partition-state.js";
-import type { ResourceUse } from "../machines/resource-ledger.js";
+import { NO_USE, type ResourceUse } from "../machines/resource-ledger.js";
 import {
   type ResourceAmounts,
   type GuaranteeReclaims,
   type QuotaAllocator,
   withinShare,
 } from "../quota/index.js";
-import { PRIORITIES } from "../model.js";
+import { type JobSpec, PRIORITIES } from "../model.js";
 import {
   isAllowedOn,
   type Resources,
@@ -24,68 +28,87 @@
   type Worker,
 } from "../machines/worker-state.js";
 
-/** Which running tasks are stopped for a waiting job that comes first. */
+const MS_PER_S = 1_000;
+/** What stopping any task loses, in CPU seconds. */
+const RESTART_LOSS = 5;
+/** Room is reserved for so many heartbeats after the victims should be gone, and for a margin. */
+const RESERVED_HEARTBEATS = 2;
+const RESERVATION_MARGIN_MS = 3_000;
+
 export class Preemption {
   constructor(
     private readonly ctx: Context,
-    private readonly own: PartitionState,
-    private readonly sharing: QuotaAllocator,
+    private readonly partition: PartitionState,
+    private readonly quota: QuotaAllocator,
     private readonly scaleOut: ScaleOut,
     private readonly reclaims: GuaranteeReclaims,
   ) {}
 
-  /** PROTOCOL, "Preemption": for a job of higher urgency, or to give a team its guarantee back. */
-  private mayPreempt(job: JobRun, t: TaskRun, why: Why): boolean {
+  /** PROTOCOL, "Preemption": for a job of higher priority, or to give a team its guarantee back. */
+  private mayPreempt(
+    job: JobRun,
+    task: TaskRun,
+    reclaimable: ReclaimableTeams,
+  ): boolean {
     return (
-      !t.stop &&
-      t.phase !== "saving" &&
-      !isGang(t.job) &&
-      this.comesBefore(job, t.job, why)
+      !task.stop &&
+      task.phase !== "saving" &&
+      !isGang(task.job) &&
+      this.comesBefore(job, task.job, reclaimable)
     );
   }
 
-  private comesBefore(job: JobRun, running: JobRun, why: Why): boolean {
+  private comesBefore(
+    job: JobRun,
+    running: JobRun,
+    reclaimable: ReclaimableTeams,
+  ): boolean {
     if (
       PRIORITIES.indexOf(job.view.priority) >
       PRIORITIES.indexOf(running.view.priority)
     )
       return true;
-    return why.has(running.view.spec.team);
+    return reclaimable.has(running.view.spec.team);
   }
 
   /**
    * Teams that work may be taken of for the guarantee of the job's team, with how much: they are surely beyond their own,
-   * whole fleet and claims of all groups counted, and the job fits into what its team is promised.
+   * all machines and reclaims of all partitions counted, and the job fits into what its team is promised.
    */
-  private teamsToReclaimFrom(job: JobRun, want: number): Why {
+  private teamsToReclaimFrom(job: JobRun, want: number): ReclaimableTeams {
     const { spec } = job.view;
-    const out = new Map<string, ResourceAmounts>();
+    const teams = new Map<string, ResourceAmounts>();
     if (
       !this.reclaims.mayClaim(spec.team, [spec.cpus * want, spec.gpus * want])
     )
-      return out;
+      return teams;
     for (const team of this.ctx.settings.teams.keys()) {
       if (team === spec.team) continue;
       const left = this.reclaims.left(team);
-      if (left[0] > EPSILON || left[1] > EPSILON) out.set(team, left);
+      const [cpus, gpus] = left;
+      if (cpus > EPSILON || gpus > EPSILON) teams.set(team, left);
     }
-    return out;
+    return teams;
   }
 
   /** Whether any job here runs tasks that may be stopped for this one: mostly none does, and no machine need be looked at. */
-  private anyBehind(job: JobRun, why: Why): boolean {
-    for (const j of this.own.jobs.values())
-      if (j.active.size > 0 && this.comesBefore(job, j, why)) return true;
+  private anyBehind(job: JobRun, reclaimable: ReclaimableTeams): boolean {
+    for (const running of this.partition.jobs.values())
+      if (
+        running.active.size > 0 &&
+        this.comesBefore(job, running, reclaimable)
+      )
+        return true;
     return false;
   }
 
   /** What stopping a task loses, in seconds of its CPUs. */
-  private lostWorkOf(t: TaskRun): number {
-    const spec = t.job.view.spec;
-    const ran = t.phase === "running" ? (this.ctx.nowMs - t.sinceMs) / 1000 : 0;
-    return (
-      5 + (spec.checkpointS > 0 ? spec.saveS : ran) * Math.max(1, spec.cpus)
-    );
+  private lostWorkOf(task: TaskRun): number {
+    const { spec } = task.job.view;
+    const ranS =
+      task.phase === "running" ? (this.ctx.nowMs - task.sinceMs) / MS_PER_S : 0;
+    const lostS = spec.checkpointS > 0 ? spec.saveS : ranS;
+    return RESTART_LOSS + lostS * Math.max(1, spec.cpus);
   }
 
   /**
@@ -93,52 +116,54 @@
    * `left`: what may still be taken of each team for a guarantee.
    */
   private victimsOn(
-    w: Worker,
+    worker: Worker,
     job: JobRun,
     free: Resources,
-    why: Why,
+    reclaimable: ReclaimableTeams,
     left: Map<string, ResourceAmounts>,
-  ): { victims: TaskRun[]; loss: number } | null {
+  ): Victims | null {
     const spec = job.view.spec;
     const room = { ...free };
     const victims: TaskRun[] = [];
     let loss = 0;
-    for (const t of [...w.tasks.values()]
-      .filter((x) => this.mayPreempt(job, x, why))
-      .sort((x, y) => this.lostWorkOf(x) - this.lostWorkOf(y))) {
+    for (const task of [...worker.tasks.values()]
+      .filter((task) => this.mayPreempt(job, task, reclaimable))
+      .sort(
+        (first, second) => this.lostWorkOf(first) - this.lostWorkOf(second),
+      )) {
       if (fits(spec, room)) break;
-      if (!this.charge(t, job, left)) continue;
-      victims.push(t);
-      loss += this.lostWorkOf(t);
-      addTo(room, t.job.view.spec);
+      if (!this.charge(task, job, left)) continue;
+      victims.push(task);
+      loss += this.lostWorkOf(task);
+      addTo(room, task.job.view.spec);
     }
     return victims.length > 0 && fits(spec, room) ? { victims, loss } : null;
   }
 
   /** Counts a task against what may be taken of its team, if it is stopped for a guarantee; false: nothing may be any more. */
   private charge(
-    t: TaskRun,
+    task: TaskRun,
     job: JobRun,
     left: Map<string, ResourceAmounts>,
   ): boolean {
-    const { spec, priority } = t.job.view;
+    const { spec, priority } = task.job.view;
     if (PRIORITIES.indexOf(job.view.priority) > PRIORITIES.indexOf(priority))
       return true;
-    const l = left.get(spec.team);
+    const teamLeft = left.get(spec.team);
+    if (!teamLeft) return false;
+    const [cpus, gpus] = teamLeft;
     // The last task may go beyond, so that no guarantee stays unmet for the size of a task.
-    if (
-      !l ||
-      !((spec.cpus > 0 && l[0] > EPSILON) || (spec.gpus > 0 && l[1] > EPSILON))
-    )
-      return false;
-    left.set(spec.team, [l[0] - spec.cpus, l[1] - spec.gpus]);
+    const isAnyLeft =
+      (spec.cpus > 0 && cpus > EPSILON) || (spec.gpus > 0 && gpus > EPSILON);
+    if (!isAnyLeft) return false;
+    left.set(spec.team, [cpus - spec.cpus, gpus - spec.gpus]);
     return true;
   }
 
   /**
-   * Stops tasks that may be stopped for a waiting job that fits nowhere, where nothing more can be rented: on the
-   * machines where the least is lost, for a gang as many as it lacks, in one zone if it must be. The room is held for
-   * the job until they are gone.
+   * Preempts tasks for a waiting job that fits nowhere, where nothing more can be rented: on the machines where the least
+   * is lost, for a gang as many as it lacks, in one zone if it must be. The room is reserved for the job until they are
+   * gone.
    */
   consider(
     job: JobRun,
@@ -146,50 +171,88 @@
     free: ReadonlyMap<Worker, Resources>,
     used: ReadonlyMap<string, ResourceUse>,
   ): void {
-    const spec = job.view.spec;
-    const gang = spec.kind === "gang";
-    if (spec.spread || (spec.samePlace && !gang)) return;
-    if (gang && !this.own.isWhollyWaiting(job)) return;
-    const want = gang ? spec.tasks : 1;
+    const { spec } = job.view;
+    const want = spec.kind === "gang" ? spec.tasks : 1;
     if (
-      !withinShare(
-        used.get(spec.team) ?? { cpus: 0, gpus: 0 },
-        { cpus: spec.cpus * want, gpus: spec.gpus * want },
-        this.sharing.share(spec.team),
-      )
+      !this.isEligible(job) ||
+      !this.isWithinQuota(spec, want, used) ||
+      this.hasReservation(job, workers)
     )
       return;
-    const now = this.ctx.nowMs;
-    if (
-      workers.some(
-        (w) => w.reservedFor?.job === job.id && now < w.reservedFor.untilMs,
-      )
-    )
+    const reclaimable = this.teamsToReclaimFrom(job, want);
+    if (!this.anyBehind(job, reclaimable) || !this.scaleOut.exhausted(spec))
       return;
-    const why = this.teamsToReclaimFrom(job, want);
-    if (!this.anyBehind(job, why) || !this.scaleOut.exhausted(spec)) return;
-    const may = workers.filter(
-      (w) =>
-        isAllowedOn(spec, w.typeName, w.zone, w.spot) &&
-        isSuitable(spec, w.type, w.spot, this.ctx.catalog) &&
-        !(w.reservedFor && now < w.reservedFor.untilMs) &&
-        !job.failuresByMachine.has(w.id),
+    const usable = workers.filter((worker) => this.mayUse(job, worker));
+    const best = this.bestCandidate(job, want, usable, free, reclaimable);
+    if (best) this.carryOut(job, want, best);
+  }
+
+  private isEligible(job: JobRun): boolean {
+    const { spec } = job.view;
+    const isGangJob = spec.kind === "gang";
+    if (spec.spread || (spec.samePlace && !isGangJob)) return false;
+    return !isGangJob || this.partition.isWhollyWaiting(job);
+  }
+
+  private isWithinQuota(
+    spec: JobSpec,
+    want: number,
+    used: ReadonlyMap<string, ResourceUse>,
+  ): boolean {
+    return withinShare(
+      used.get(spec.team) ?? NO_USE,
+      { cpus: spec.cpus * want, gpus: spec.gpus * want },
+      this.quota.share(spec.team),
+    );
+  }
+
+  /** Whether room is being made for a job already. */
+  private hasReservation(job: JobRun, workers: readonly Worker[]): boolean {
+    return workers.some(
+      (worker) => worker.reservedFor?.job === job.id && this.isReserved(worker),
+    );
+  }
+
+  private isReserved({ reservedFor }: Worker): boolean {
+    return reservedFor !== null && this.ctx.nowMs < reservedFor.untilMs;
+  }
+
+  /** Whether a job's tasks may run on a machine once there is room. */
+  private mayUse(job: JobRun, worker: Worker): boolean {
+    const { spec } = job.view;
+    return (
+      isAllowedOn(spec, worker.typeName, worker.zone, worker.spot) &&
+      isSuitable(spec, worker.type, worker.spot, this.ctx.catalog) &&
+      !this.isReserved(worker) &&
+      !job.failuresByMachine.has(worker.id)
     );
+  }
+
+  /** The tasks that lose the least, zone by zone if the job needs one. */
+  private bestCandidate(
+    job: JobRun,
+    want: number,
+    usable: readonly Worker[],
+    free: ReadonlyMap<Worker, Resources>,
+    reclaimable: ReclaimableTeams,
+  ): Candidate | null {
+    const { spec } = job.view;
     let best: Candidate | null = null;
-    for (const zone of spec.samePlace
-      ? new Set(may.map((w) => w.zone))
-      : [null]) {
-      const here = zone === null ? may : may.filter((w) => w.zone === zone);
-      const rooms = here.filter((w) => fits(spec, free.get(w)!));
+    for (const here of spec.samePlace ? byZone(usable) : [usable]) {
+      const rooms = here.filter((worker) => fits(spec, free.get(worker)!));
       const lacking =
-        want - rooms.reduce((n, w) => n + fitCount(spec, free.get(w)!), 0);
+        want -
+        rooms.reduce(
+          (places, worker) => places + fitCount(spec, free.get(worker)!),
+          0,
+        );
       if (lacking <= 0) continue;
-      const choice =
-        this.tasksFor(job, here, rooms, lacking, free, why) ??
-        this.gangFor(job, here, rooms, lacking, free, why);
-      if (choice && (!best || choice.loss < best.loss)) best = choice;
+      const candidate =
+        this.tasksFor(job, here, rooms, lacking, free, reclaimable) ??
+        this.gangFor(job, here, rooms, lacking, free, reclaimable);
+      if (candidate && (!best || candidate.loss < best.loss)) best = candidate;
     }
-    if (best) this.carryOut(job, want, best);
+    return best;
   }
 
   /** Single tasks, machine by machine, where the least is lost. */
@@ -199,35 +262,40 @@
     rooms: readonly Worker[],
     lacking: number,
     free: ReadonlyMap<Worker, Resources>,
-    why: Why,
+    reclaimable: ReclaimableTeams,
   ): Candidate | null {
+    const victimsOn = (
+      worker: Worker,
+      left: Map<string, ResourceAmounts>,
+    ): Victims | null =>
+      this.victimsOn(worker, job, free.get(worker)!, reclaimable, left);
     const options = here
-      .filter((w) => !rooms.includes(w))
-      .flatMap((w) => {
-        const v = this.victimsOn(w, job, free.get(w)!, why, new Map(why));
-        return v ? [{ w, loss: v.loss }] : [];
+      .filter((worker) => !rooms.includes(worker))
+      .flatMap((worker) => {
+        const found = victimsOn(worker, new Map(reclaimable));
+        return found ? [{ worker, loss: found.loss }] : [];
       })
-      .sort((x, y) => x.loss - y.loss);
+      .sort((first, second) => first.loss - second.loss);
     if (options.length < lacking) return null;
     // Chosen in this order, what may be taken of a team is charged once for all machines.
-    const left = new Map(why);
-    const out: Candidate = { workers: [...rooms], victims: [], loss: 0 };
-    let found = 0;
-    for (const { w } of options) {
-      if (found === lacking) break;
-      const v = this.victimsOn(w, job, free.get(w)!, why, left);
-      if (!v) continue;
-      found++;
-      out.workers.push(w);
-      out.victims.push(...v.victims);
-      out.loss += v.loss;
+    const left = new Map(reclaimable);
+    const candidate: Candidate = { workers: [...rooms], victims: [], loss: 0 };
+    let freed = 0;
+    for (const { worker } of options) {
+      if (freed === lacking) break;
+      const found = victimsOn(worker, left);
+      if (!found) continue;
+      freed++;
+      candidate.workers.push(worker);
+      candidate.victims.push(...found.victims);
+      candidate.loss += found.loss;
     }
-    return found === lacking ? out : null;
+    return freed === lacking ? candidate : null;
   }
 
   /**
-   * Only gangs may give: the one that loses the least and makes enough room, whole and by an orderly stop. One that can't
-   * save, or that other groups have a part of, is left alone.
+   * Where only gangs can be preempted: the one that loses the least and makes enough room, whole and by an orderly stop.
+   * One that can't save, or that other partitions have a part of, is left alone.
    */
   private gangFor(
     job: JobRun,
@@ -235,110 +303,157 @@
     rooms: readonly Worker[],
     lacking: number,
     free: ReadonlyMap<Worker, Resources>,
-    why: Why,
+    reclaimable: ReclaimableTeams,
   ): Candidate | null {
-    const spec = job.view.spec;
+    const { spec } = job.view;
     let best: Candidate | null = null;
-    for (const g of this.own.jobs.values()) {
-      const other = g.view.spec;
-      if (
-        !isGang(g) ||
-        other.checkpointS <= 0 ||
-        g.active.size < other.tasks ||
-        !why.has(other.team) ||
-        !this.comesBefore(job, g, why)
-      )
-        continue;
-      const tasks = [...g.active.values()];
-      if (tasks.some((t) => t.stop || t.phase !== "running")) continue;
-      if (!this.charge(tasks[0]!, job, new Map(why))) continue;
-      const room = new Map<Worker, Resources>();
-      for (const t of tasks) {
-        const r = room.get(t.worker) ?? {
-          ...(free.get(t.worker) ?? { cpus: 0, gpus: 0, memGb: 0 }),
-        };
-        addTo(r, other);
-        room.set(t.worker, r);
-      }
-      const makes = [...room].filter(
-        ([w]) => here.includes(w) && !rooms.includes(w),
+    for (const gang of this.partition.jobs.values()) {
+      if (!this.mayPreemptGang(job, gang, reclaimable)) continue;
+      const victims = [...gang.active.values()];
+      const freeing = [...freeWithout(victims, free)].filter(
+        ([worker]) => here.includes(worker) && !rooms.includes(worker),
       );
-      if (makes.reduce((n, [, r]) => n + fitCount(spec, r), 0) < lacking)
-        continue;
-      const loss = tasks.reduce((n, t) => n + this.lostWorkOf(t), 0);
-      if (!best || loss < best.loss)
-        best = {
-          workers: [...rooms, ...makes.map(([w]) => w)],
-          victims: tasks,
-          loss,
-        };
+      const places = freeing.reduce(
+        (sum, [, room]) => sum + fitCount(spec, room),
+        0,
+      );
+      if (places < lacking) continue;
+      const loss = victims.reduce(
+        (sum, task) => sum + this.lostWorkOf(task),
+        0,
+      );
+      if (!best || loss < best.loss) {
+        const workers = [...rooms, ...freeing.map(([worker]) => worker)];
+        best = { workers, victims, loss };
+      }
     }
     return best;
   }
 
-  private carryOut(
+  private mayPreemptGang(
     job: JobRun,
-    want: number,
-    { workers, victims }: Candidate,
-  ): void {
-    const spec = job.view.spec;
-    const grace = Math.max(0, ...victims.map(saveTimeS));
-    const stop = (): void => {
-      // It may have begun, or ended, while the claim was written.
-      if (job.isOver || job.waiting.isEmpty) return;
-      const untilMs =
-        this.ctx.nowMs +
-        grace * 1000 +
-        2_000 * this.ctx.settings.reportS +
-        3_000;
-      for (const w of workers) w.reservedFor = { job: job.id, untilMs };
-      const still = victims.filter(
-        (t) => !t.stop && t.job.active.get(t.index) === t,
-      );
-      this.ctx.log("preempting tasks", {
-        job: job.id,
-        team: spec.team,
-        workers: [...new Set(still.map((t) => t.worker.id))],
-        tasks: still.length,
-      });
-      for (const t of still) {
-        this.own.stop(t, isGang(t.job) ? grace : saveTimeS(t), "preempted");
-        // It does not come up elsewhere a moment later: whoever it was stopped for comes first there, too.
-        t.job.backoffUntilMs = Math.max(t.job.backoffUntilMs, untilMs);
-      }
-    };
-    const from = new Map<string, ResourceAmounts>();
-    for (const t of victims) {
-      const v = t.job.view;
-      if (
-        PRIORITIES.indexOf(job.view.priority) > PRIORITIES.indexOf(v.priority)
-      )
-        continue;
-      const p = from.get(v.spec.team) ?? [0, 0];
-      from.set(v.spec.team, [p[0] + v.spec.cpus, p[1] + v.spec.gpus]);
-    }
-    if (from.size === 0) return stop();
+    gang: JobRun,
+    reclaimable: ReclaimableTeams,
+  ): boolean {
+    const { spec } = gang.view;
+    if (
+      !isGang(gang) ||
+      spec.checkpointS <= 0 ||
+      gang.active.size < spec.tasks ||
+      !reclaimable.has(spec.team) ||
+      !this.comesBefore(job, gang, reclaimable)
+    )
+      return false;
+    const tasks = [...gang.active.values()];
+    if (tasks.some((task) => task.stop || task.phase !== "running"))
+      return false;
+    return this.charge(tasks[0]!, job, new Map(reclaimable));
+  }
+
+  /** Stops the victims; those that are stopped for a guarantee only once the reclaim is written. */
+  private carryOut(job: JobRun, want: number, candidate: Candidate): void {
+    const { spec } = job.view;
+    const graceS = Math.max(0, ...candidate.victims.map(saveTimeS));
+    const stop = (): void => this.stopVictims(job, candidate, graceS);
+    const reclaimed = reclaimedByTeam(job, candidate.victims);
+    if (reclaimed.size === 0) return stop();
     this.reclaims.claim(
       spec.team,
       [spec.cpus * want, spec.gpus * want],
-      from,
-      grace,
+      reclaimed,
+      graceS,
       stop,
     );
   }
+
+  private stopVictims(
+    job: JobRun,
+    { workers, victims }: Candidate,
+    graceS: number,
+  ): void {
+    // It may have begun, or ended, while the reclaim was written.
+    if (job.isOver || job.waiting.isEmpty) return;
+    const untilMs =
+      this.ctx.nowMs +
+      graceS * MS_PER_S +
+      RESERVED_HEARTBEATS * MS_PER_S * this.ctx.settings.reportS +
+      RESERVATION_MARGIN_MS;
+    for (const worker of workers) worker.reservedFor = { job: job.id, untilMs };
+    const active = victims.filter(
+      (task) => !task.stop && task.job.active.get(task.index) === task,
+    );
+    this.ctx.log("preempting tasks", {
+      job: job.id,
+      team: job.view.spec.team,
+      workers: [...new Set(active.map(({ worker }) => worker.id))],
+      tasks: active.length,
+    });
+    for (const task of active) {
+      const taskGraceS = isGang(task.job) ? graceS : saveTimeS(task);
+      this.partition.stop(task, taskGraceS, "preempted");
+      // It does not come up elsewhere a moment later: whoever it was stopped for comes first there, too.
+      task.job.backoffUntilMs = Math.max(task.job.backoffUntilMs, untilMs);
+    }
+  }
 }
 
 /** Teams that work may be taken of for a guarantee, with how much. */
-type Why = ReadonlyMap<string, ResourceAmounts>;
-interface Candidate {
-  /** Where the room is, or will be. */
-  workers: Worker[];
+type ReclaimableTeams = ReadonlyMap<string, ResourceAmounts>;
+
+/** Tasks to stop, and what that loses in CPU seconds. */
+interface Victims {
   victims: TaskRun[];
   loss: number;
 }
+
+interface Candidate extends Victims {
+  /** Where the room is, or will be. */
+  workers: Worker[];
+}
+
+/** What is reclaimed of each team: victims of lower priority are no reclaim. */
+function reclaimedByTeam(
+  job: JobRun,
+  victims: readonly TaskRun[],
+): Map<string, ResourceAmounts> {
+  const reclaimed = new Map<string, ResourceAmounts>();
+  const priority = PRIORITIES.indexOf(job.view.priority);
+  for (const task of victims) {
+    const { spec, priority: taskPriority } = task.job.view;
+    if (priority > PRIORITIES.indexOf(taskPriority)) continue;
+    const [cpus, gpus] = reclaimed.get(spec.team) ?? [0, 0];
+    reclaimed.set(spec.team, [cpus + spec.cpus, gpus + spec.gpus]);
+  }
+  return reclaimed;
+}
+
+/** What is free on the machines of some tasks once these are gone. */
+function freeWithout(
+  tasks: readonly TaskRun[],
+  free: ReadonlyMap<Worker, Resources>,
+): Map<Worker, Resources> {
+  const freed = new Map<Worker, Resources>();
+  for (const { worker, job } of tasks) {
+    const room = freed.get(worker) ?? {
+      ...(free.get(worker) ?? { cpus: 0, gpus: 0, memGb: 0 }),
+    };
+    addTo(room, job.view.spec);
+    freed.set(worker, room);
+  }
+  return freed;
+}
+
+/** Machines by zone, in the order in which the zones come up. */
+function byZone(workers: readonly Worker[]): Worker[][] {
+  const zones = new Set(workers.map(({ zone }) => zone));
+  return [...zones].map((zone) =>
+    workers.filter((worker) => worker.zone === zone),
+  );
+}
+
 /** A gang that loses one task loses all. */
-const isGang = (j: JobRun): boolean =>
-  j.view.spec.kind === "gang" && j.view.spec.tasks > 1;
+const isGang = ({ view: { spec } }: JobRun): boolean =>
+  spec.kind === "gang" && spec.tasks > 1;
 
 function addTo(room: Resources, spec: Resources): void {
   room.cpus += spec.cpus;
