--- a/src/coordination/leadership/leaderless-partitions.ts
+++ b/src/coordination/leadership/leaderless-partitions.ts
@@ -1,87 +1,129 @@
+/**
+ * Partitions that no settings name any more and of which something is left in the store: parts of jobs, parts of limits. Owns which
+ * of them this controller wants and since when it has them.
+ */
 import {
-  type Context,
+  type Clock,
+  type Configuration,
+  type StoreView,
   CLOCK_DRIFT_FACTOR,
   STALE_CACHE_MS,
 } from "../context.js";
-import type { Leadership } from "./leadership.js";
 import { turnOf } from "../jobs/job-partitioner.js";
+import type { Leadership } from "./leadership.js";
 
-const LEASE_SLACK_MS = 2_000;
-/** Nobody's for so long before it is taken: a controller that goes by other settings may be about to. */
+/** Beyond a worker lease and the drift of clocks, until whatever a former leader started has surely ended. */
+const LEASE_MARGIN_MS = 2_000;
+/** Without an owner for so long before it is acquired: a controller that goes by other settings may be about to. */
 const ABSENT_BEFORE_ACQUIRING_MS = 1_000;
-/** Between the turns of two controllers, in ms. */
+/** Between the turns of two controllers. */
 const TURN_INTERVAL_MS = 1_000;
-/** Given up when nothing was asked of it for so long, in ms. */
+/** Released when nothing was asked of it for so long. */
 const RELEASE_AFTER_UNUSED_MS = 10_000;
 
+/** Since when, in steady time, the record of a partition's owner is absent. */
+interface Absence {
+  /** The revision that deleted the record. */
+  changedRevision: number;
+  sinceMs: number;
+}
+
+/** A partition that this controller owns, under which fencing token and since when, in steady time. */
+interface OwnedPartition {
+  token: number;
+  sinceMs: number;
+}
+
 /**
- * Groups that no settings name any more, and of which something is left: parts of jobs, parts of limits. One controller takes such a
- * group, as any group is taken, and holds it without a master: nobody can be its master meanwhile.
+ * One controller acquires such a partition, as any is acquired, and keeps it without a leader: nobody can lead it meanwhile.
  *
- * Invariant (ran_twice, quota): what is done in its name is conditional on the token that it was taken under, and is sent once that has
- * been seen for longer than a lease: what a former master left there has ended by then, and nobody has started anything since. That it
- * is nobody's would not do: absence is no revision, and a commit that is carried out late could find it absent again after another had
- * it in between.
+ * Invariant (ran_twice, quota): what is done in its name is conditional on the token that it was acquired under, and is sent once that
+ * has been seen for longer than a worker lease: what a former leader left there has ended by then, and nobody has started anything
+ * since. That nobody owns it would not do: absence is no revision, and a transaction that is carried out late could find it absent
+ * again after another had it in between.
  */
 export class LeaderlessPartitions {
-  private readonly wanted = new Map<string, number>();
-  private readonly absentSince = new Map<
-    string,
-    { changed: number; ms: number }
-  >();
-  private readonly held = new Map<string, { token: number; ms: number }>();
+  /** When each partition was last asked for. */
+  private readonly wantedMs = new Map<string, number>();
+  private readonly absences = new Map<string, Absence>();
+  private readonly owned = new Map<string, OwnedPartition>();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: Clock & Configuration & StoreView,
     private readonly leadership: Pick<
       Leadership,
       "tokenOf" | "acquireLeaderless" | "release"
     >,
   ) {}
 
-  /** The token to act under for a group that no settings name; null: not yet, or another does. Asking for it is wanting it. */
+  /**
+   * The token to act under for a partition that no settings name; null: not yet, or another controller does. Asking for it is wanting
+   * it.
+   */
   token(partition: string): number | null {
-    this.wanted.set(partition, this.ctx.nowMs);
-    const h = this.held.get(partition);
-    if (!h || this.leadership.tokenOf(partition) !== h.token) return null;
-    return this.ctx.nowMs - h.ms >
-      this.ctx.settings.leaseS * 1000 * CLOCK_DRIFT_FACTOR + LEASE_SLACK_MS
-      ? h.token
+    this.wantedMs.set(partition, this.ctx.nowMs);
+    const owned = this.owned.get(partition);
+    if (!owned || this.leadership.tokenOf(partition) !== owned.token)
+      return null;
+    return this.ctx.nowMs - owned.sinceMs > this.quietPeriodMs
+      ? owned.token
       : null;
   }
 
-  /** Only called by a controller that has a group. */
+  /** After this time nothing that a former leader started runs any more. */
+  private get quietPeriodMs(): number {
+    return (
+      this.ctx.settings.leaseS * 1000 * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_MS
+    );
+  }
+
+  /** Only called by a controller that leads a partition. */
   tick(): void {
-    const { cache, nowMs, partitions, settings } = this.ctx;
-    for (const [partition, askedMs] of this.wanted) {
+    for (const [partition, wantedMs] of this.wantedMs) {
+      const isUnused = this.ctx.nowMs - wantedMs > RELEASE_AFTER_UNUSED_MS;
       const token = this.leadership.tokenOf(partition);
-      if (token !== null) {
-        if (this.held.get(partition)?.token !== token)
-          this.held.set(partition, { token, ms: nowMs });
-        if (nowMs - askedMs > RELEASE_AFTER_UNUSED_MS)
-          this.leadership.release(partition);
-        continue;
-      }
-      this.held.delete(partition);
-      if (nowMs - askedMs > RELEASE_AFTER_UNUSED_MS)
-        this.wanted.delete(partition);
-      if (
-        cache.partitions.has(partition) ||
-        this.ctx.readAgeMs() >= STALE_CACHE_MS
-      ) {
-        this.absentSince.delete(partition);
-        continue;
-      }
-      const changed = cache.leaderChangedRevision.get(partition) ?? 0;
-      let a = this.absentSince.get(partition);
-      if (!a || a.changed !== changed)
-        this.absentSince.set(partition, (a = { changed, ms: nowMs }));
-      const n = partitions.names.length;
-      const rank =
-        (partitions.names.indexOf(settings.label) - turnOf(partition, n) + n) %
-        n;
-      if (nowMs - a.ms > ABSENT_BEFORE_ACQUIRING_MS + rank * TURN_INTERVAL_MS)
-        this.leadership.acquireLeaderless(partition);
+      if (token === null) this.tickNotOwned(partition, isUnused);
+      else this.tickOwned(partition, token, isUnused);
     }
   }
+
+  private tickOwned(partition: string, token: number, isUnused: boolean): void {
+    if (this.owned.get(partition)?.token !== token)
+      this.owned.set(partition, { token, sinceMs: this.ctx.nowMs });
+    if (isUnused) this.leadership.release(partition);
+  }
+
+  private tickNotOwned(partition: string, isUnused: boolean): void {
+    this.owned.delete(partition);
+    if (isUnused) this.wantedMs.delete(partition);
+    const isKnownAbsent =
+      !this.ctx.cache.partitions.has(partition) &&
+      this.ctx.readAgeMs() < STALE_CACHE_MS;
+    if (!isKnownAbsent) {
+      this.absences.delete(partition);
+      return;
+    }
+    const absentMs = this.ctx.nowMs - this.absenceOf(partition).sinceMs;
+    if (absentMs > this.acquisitionDelayMs(partition))
+      this.leadership.acquireLeaderless(partition);
+  }
+
+  /** An owner in between starts the time anew, though it was never seen. */
+  private absenceOf(partition: string): Absence {
+    const changedRevision =
+      this.ctx.cache.leaderChangedRevision.get(partition) ?? 0;
+    const known = this.absences.get(partition);
+    if (known?.changedRevision === changedRevision) return known;
+    const absence = { changedRevision, sinceMs: this.ctx.nowMs };
+    this.absences.set(partition, absence);
+    return absence;
+  }
+
+  private acquisitionDelayMs(partition: string): number {
+    const { names } = this.ctx.partitions;
+    const ownIndex = names.indexOf(this.ctx.settings.label);
+    const firstIndex = turnOf(partition, names.length);
+    const turn = (ownIndex - firstIndex + names.length) % names.length;
+    return ABSENT_BEFORE_ACQUIRING_MS + turn * TURN_INTERVAL_MS;
+  }
 }
--- a/src/coordination/leadership/orphaned-tasks.ts
+++ b/src/coordination/leadership/orphaned-tasks.ts
@@ -1,92 +1,132 @@
+/**
+ * Unfinished tasks assigned to a partition that no settings name any more: nobody would ever start them. They are reassigned to a
+ * partition that exists, once none of them can run. Owns which jobs are being reassigned.
+ */
 import {
   bytesOf,
-  partitionKey,
   jobKey,
+  partitionKey,
   writeJob,
 } from "../../storage/records.js";
-import type { Context } from "../context.js";
+import type { EventLog } from "../../logging/events.js";
+import type {
+  Clock,
+  Configuration,
+  StoreTransactions,
+  StoreView,
+} from "../context.js";
 import { CallPriority } from "../effects.js";
-import type { JobView } from "../store/job-view.js";
-import type { JobSpec } from "../model.js";
-import type { RangeSet } from "../jobs/range-set.js";
 import { reassigned } from "../jobs/job-partitioner.js";
+import type { RangeSet } from "../jobs/range-set.js";
+import type { JobSpec } from "../model.js";
+import type { JobView } from "../store/job-view.js";
 import type { LeaderlessPartitions } from "./leaderless-partitions.js";
 
+/** Between two searches for such tasks: each reads all jobs. */
 const CHECK_INTERVAL_MS = 5_000;
 
+/** The tasks of a job in one partition that no settings name, and the token to act under there. */
+interface OrphanedPart {
+  partition: string;
+  tasks: RangeSet;
+  token: number;
+}
+
+/** A job's record with its orphaned tasks in another partition. */
+interface Reassignment {
+  to: string;
+  tasks: RangeSet;
+  value: object;
+}
+
 /**
- * Parts of jobs in splits that name a group which no settings name any more: nobody would ever start them. They go to a group
- * that there is, once nothing of them can run.
- *
- * Invariant (ran_twice): the group has been this controller's for longer than a lease, so that nothing of it runs (`UnownedGroups`). The
- * commit is conditional on that token and on the job's record.
+ * Invariant (ran_twice): the partition has been this controller's for longer than a worker lease, so that nothing of it runs
+ * (`LeaderlessPartitions`). The transaction is conditional on that token and on the job's record.
  */
 export class OrphanedTasks {
-  private checkedMs = 0;
-  private readonly busy = new Set<string>();
+  private lastCheckMs = 0;
+  private readonly reassigning = new Set<string>();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: Clock &
+      Configuration &
+      StoreView &
+      StoreTransactions &
+      EventLog,
     private readonly leaderlessPartitions: Pick<LeaderlessPartitions, "token">,
+    /** How a job would be assigned now, by partition; null: it cannot be decided yet. */
     private readonly partitionJob: (
       spec: JobSpec,
     ) => Map<string, RangeSet> | null,
   ) {}
 
-  /** Only called by a controller that has a group. */
+  /** Only called by a controller that leads a partition. */
   tick(): void {
-    const now = this.ctx.nowMs;
-    if (now - this.checkedMs < CHECK_INTERVAL_MS) return;
-    this.checkedMs = now;
+    const { nowMs } = this.ctx;
+    if (nowMs - this.lastCheckMs < CHECK_INTERVAL_MS) return;
+    this.lastCheckMs = nowMs;
+    for (const job of this.ctx.cache.jobs.values()) this.check(job);
+  }
+
+  private check(job: JobView): void {
     const { names } = this.ctx.partitions;
-    for (const job of this.ctx.cache.jobs.values())
-      for (const [partition, part] of job.assignment) {
-        if (part.isEmpty || names.includes(partition)) continue;
-        const token = this.leaderlessPartitions.token(partition);
-        if (token !== null) this.move(job, partition, part, token);
-      }
+    for (const [partition, tasks] of job.assignment) {
+      if (tasks.isEmpty || names.includes(partition)) continue;
+      const token = this.leaderlessPartitions.token(partition);
+      if (token !== null) this.reassign(job, { partition, tasks, token });
+    }
   }
 
-  private move(
-    job: JobView,
-    partition: string,
-    part: RangeSet,
-    token: number,
-  ): void {
-    if (this.busy.has(job.id)) return;
-    const rest = part.clone();
-    const done = this.ctx.cache.finished(job.id).get(partition);
-    if (done) rest.removeAll(done);
-    const split = this.partitionJob(job.spec);
-    // A gang whose parts lie in several groups starts under one attempt that all have called: it is left alone.
-    if (
-      !split ||
-      (job.spec.kind === "gang" && job.spec.spread && job.assignment.size > 1)
-    )
-      return;
-    const to = [...split].sort(
-      ([a, x], [b, y]) => y.size - x.size || (a < b ? -1 : 1),
-    )[0]?.[0];
-    if (to === undefined) return;
-    const next = reassigned(job.assignment, partition, rest, to);
-    next.delete(partition);
-    const value = writeJob({ ...job, assignment: next });
+  private reassign(job: JobView, part: OrphanedPart): void {
+    if (this.reassigning.has(job.id)) return;
+    const reassignment = this.plan(job, part);
+    if (!reassignment) return;
+    const { to, tasks, value } = reassignment;
     if (bytesOf(value) > this.ctx.settings.state.valueBytes) return;
-    this.busy.add(job.id);
+    this.reassigning.add(job.id);
     this.ctx.log("reassigning tasks of removed partition", {
       job: job.id,
-      tasks: rest.size,
-      from: partition,
+      tasks: tasks.size,
+      from: part.partition,
       to,
     });
     this.ctx.commit(
       [
-        { key: partitionKey(partition), version: token },
+        { key: partitionKey(part.partition), version: part.token },
         { key: jobKey(job.id), version: job.revision },
       ],
       [{ op: "put", key: jobKey(job.id), value }],
       CallPriority.Background,
-      () => this.busy.delete(job.id),
+      () => this.reassigning.delete(job.id),
     );
   }
+
+  private plan(job: JobView, part: OrphanedPart): Reassignment | null {
+    const tasks = part.tasks.clone();
+    const completed = this.ctx.cache.finished(job.id).get(part.partition);
+    if (completed) tasks.removeAll(completed);
+    const newAssignment = this.partitionJob(job.spec);
+    if (!newAssignment || isSpreadGang(job)) return null;
+    const to = largestPartition(newAssignment);
+    if (to === undefined) return null;
+    const assignment = reassigned(job.assignment, part.partition, tasks, to);
+    assignment.delete(part.partition);
+    return { to, tasks, value: writeJob({ ...job, assignment }) };
+  }
+}
+
+/** A gang whose tasks lie in several partitions starts under one attempt that all have announced: it is left alone. */
+function isSpreadGang({ spec, assignment }: JobView): boolean {
+  return spec.kind === "gang" && spec.spread && assignment.size > 1;
+}
+
+/** The partition with the most tasks, the first by name if several have as many. */
+function largestPartition(
+  assignment: ReadonlyMap<string, RangeSet>,
+): string | undefined {
+  const bySize = [...assignment].sort(
+    ([firstName, first], [secondName, second]) =>
+      second.size - first.size || (firstName < secondName ? -1 : 1),
+  );
+  return bySize[0]?.[0];
 }
