--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -228,11 +228,11 @@
         );
       case "peers":
         return this.leadership.setReachablePeers(input.up);
-      case "state":
+      case "storeReply":
         return this.calls.onStoreReply(input.op, input.reply, input.sentMs);
-      case "cloud":
+      case "cloudReply":
         return this.calls.onCloudReply(input.op, input.reply);
-      case "command":
+      case "commandReply":
         return this.calls.onCommandReply(input.op, input.reply);
       case "inspectReply":
         return this.calls.onInspectReply(input.op, input.heartbeat);
@@ -342,7 +342,7 @@
    */
   mayLeave(effect: Effect, nowMs: number): boolean {
     const needsLeadershipLease =
-      effect.type === "command" ||
+      effect.type === "workerCommand" ||
       (effect.type === "answer" && effect.answer.kind === "commands");
     return (
       !needsLeadershipLease || nowMs < this.leadership.leadershipLeaseUntilMs
--- a/src/coordination/effects.ts
+++ b/src/coordination/effects.ts
@@ -1,11 +1,15 @@
+/**
+ * The messages between the core of a controller and the process around it: inputs go in, effects come out. A call goes out with a number
+ * (`op`), and the input with the same number brings its reply. `req` numbers what users and workers ask.
+ */
 import type { LogEntry } from "../logging/events.js";
 import type { Change, StateCall, StateReply } from "../protocol/state.js";
 import type {
+  Command,
+  Heartbeat,
   JobSpec,
   ListedMachine,
   MachineType,
-  Command,
-  Heartbeat,
 } from "./model.js";
 
 /** What the core is told. Times come with each input: the core has no clock of its own. */
@@ -20,21 +24,24 @@
   | { type: "cancel"; req: number; id: string }
   /** `relayed`: by a peer that the worker can reach; it is not passed on again. */
   | { type: "heartbeat"; req: number; heartbeat: Heartbeat; relayed: boolean }
-  /** A report could not be passed on to its master. */
+  /** A heartbeat could not be relayed to the leader of its partition. */
   | { type: "leaderUnreachable"; zone: string }
   /** The other controllers that answer. */
   | { type: "peers"; up: readonly string[] }
-  | { type: "state"; op: number; reply: StateReply; sentMs: number }
-  | { type: "cloud"; op: number; reply: CloudReply }
-  | { type: "command"; op: number; reply: CommandReply }
-  /** A machine's own answer to a question; null: none. */
+  /** `sentMs`: the steady time at which the call was sent. */
+  | { type: "storeReply"; op: number; reply: StateReply; sentMs: number }
+  | { type: "cloudReply"; op: number; reply: CloudReply }
+  | { type: "commandReply"; op: number; reply: CommandReply }
+  /** A machine's own answer to `inspect`; null: none came. */
   | { type: "inspectReply"; op: number; heartbeat: Heartbeat | null }
   /** Whether memory is nearly used up. */
   | { type: "memory"; short: boolean }
+  /** Time has passed; comes at a steady rate. */
   | { type: "tick" }
-  /** What was asked for by `wake`. */
+  /** The time is over that the effect `wake` asked for. */
   | { type: "wake" };
 
+/** A call to the cloud platform. */
 export type CloudCall =
   | { op: "catalog" }
   | {
@@ -46,34 +53,43 @@
       count: number;
     }
   | { op: "return"; machines: string[] }
+  /** `after`: the last machine of the page before; empty: the first page. */
   | { op: "list"; after: string };
 
+/** How a call to the cloud platform ended. */
 export type CloudReply =
   | { kind: "catalog"; types: MachineType[] }
   | { kind: "rented"; machines: string[] }
   | { kind: "noCapacity" }
   | { kind: "returned" }
   | { kind: "list"; machines: ListedMachine[]; more: boolean }
-  /** Not carried out, or it can't be known. */
+  /** Not carried out, or it cannot be known. */
   | { kind: "failed"; why: string };
 
-/** Why a call was not even sent: this controller's part of the limit was used up. */
+/** Why a call was not even sent: this controller's part of the rate limit was used up. */
 export const OWN_LIMIT = "own rate limit";
 
-/** `refused`: no connection came about, so nothing can arrive later. `unknown`: it may, minutes later. */
+/** How a command to a worker ended. */
 export type CommandReply =
   | { kind: "answered"; status: number }
+  /** No connection came about, so nothing can arrive later. */
   | { kind: "refused" }
+  /** It may arrive, minutes later. */
   | { kind: "unknown" };
 
-/** Which calls go first when a rate limit is short: rule-keeping ones. */
+/** Which calls go first when a rate limit is short: those that keep the rules. Lower goes first. */
 export const enum CallPriority {
+  /** Leases and leadership. */
   Lease = 0,
+  /** What a user waits for. */
   UserRequest = 1,
+  /** The work of partition leaders. */
   Leader = 2,
+  /** What may wait for minutes. */
   Background = 3,
 }
 
+/** The answer to a user or a worker. */
 export type Answer =
   | {
       kind: "job";
@@ -84,29 +100,34 @@
       running?: number;
       dependsOn?: readonly string[];
     }
+  /** No machine type that is offered can run the job. */
   | { kind: "cannotRun"; error: string }
-  /** Its record would not fit a value of the state service. */
+  /** The job's record would not fit a value of the store. */
   | { kind: "recordTooLarge"; error: string }
   | { kind: "unknownJob" }
   | { kind: "retryLater"; afterS: number; why: string }
+  /** Renews the worker's lease. */
   | { kind: "commands"; token: number; commands: Command[] }
+  /** The worker belongs to another leader; null: nobody knows whose it is. */
   | { kind: "redirect"; leader: string | null }
-  /** The worker can't reach its master: the report is to be passed on to it. */
+  /** The worker cannot reach its leader: the heartbeat is to be relayed to it. */
   | { kind: "relay"; leader: string };
 
+/** What the core wants done. */
 export type Effect =
   | { type: "answer"; req: number; answer: Answer }
-  | { type: "state"; op: number; call: StateCall; priority: CallPriority }
-  | { type: "cloud"; op: number; call: CloudCall; priority: CallPriority }
+  | { type: "storeCall"; op: number; call: StateCall; priority: CallPriority }
+  | { type: "cloudCall"; op: number; call: CloudCall; priority: CallPriority }
+  /** Commands under a fencing token for one incarnation of a worker. */
   | {
-      type: "command";
+      type: "workerCommand";
       op: number;
       address: string;
       token: number;
       incarnation: number;
       commands: Command[];
     }
-  /** Asks a machine for its report. */
+  /** Asks a machine for its heartbeat. */
   | { type: "inspect"; op: number; address: string }
   /**
    * All changes of final records and of records that this core does not know itself, between two revisions. After a gap `from` is
--- a/src/coordination/pending-calls.ts
+++ b/src/coordination/pending-calls.ts
@@ -64,7 +64,7 @@
   readonly callStore: CallStore = (call, priority, done) => {
     const op = ++this.lastCallId;
     this.storeCalls.set(op, done);
-    this.emit({ type: "state", op, call, priority });
+    this.emit({ type: "storeCall", op, call, priority });
   };
 
   callCloud(
@@ -74,13 +74,13 @@
   ): void {
     const op = ++this.lastCallId;
     this.cloudCalls.set(op, done);
-    this.emit({ type: "cloud", op, call, priority });
+    this.emit({ type: "cloudCall", op, call, priority });
   }
 
   sendCommands(batch: CommandBatch, done: (reply: CommandReply) => void): void {
     const op = ++this.lastCallId;
     this.commandCalls.set(op, done);
-    this.emit({ type: "command", op, ...batch });
+    this.emit({ type: "workerCommand", op, ...batch });
   }
 
   inspect(address: string, done: (heartbeat: Heartbeat | null) => void): void {
--- a/src/coordination/statistics.ts
+++ b/src/coordination/statistics.ts
@@ -6,13 +6,13 @@
 
 /** How things stand in the partitions that this controller leads. */
 export interface Statistics {
-  unfinished: number;
-  partitions: number;
+  unfinishedJobs: number;
+  ledPartitions: number;
   machines: number;
-  idle: number;
-  queuedPlain: number;
-  queuedAccelerated: number;
-  running: number;
+  idleMachines: number;
+  queuedTasksWithoutAccelerator: number;
+  queuedTasksWithAccelerator: number;
+  runningTasks: number;
   /** Machines whose heartbeats arrive and which get no commands. */
   unreachableMachines: number;
   /** Heartbeats that were no newer than what was known, since these partitions were acquired. */
@@ -20,11 +20,11 @@
   /** Jobs that fail wherever they run. */
   quarantinedJobs: number;
   /** The longest that a gang which has not begun has waited, in seconds. */
-  longestGangS: number;
+  longestGangWaitS: number;
   /** Queries refused so far. */
-  refused: number;
+  refusedQueries: number;
   /** For how long the job has been refused that was refused longest, in seconds. */
-  refusedForS: number;
+  longestRefusalS: number;
 }
 
 /** One team in one partition; amounts in CPUs and accelerators. */
@@ -35,14 +35,14 @@
   limit: ResourceAmounts;
   guarantee: ResourceAmounts;
   /** Part of the limit that the partition may use. */
-  share: ResourceAmounts;
+  limitShare: ResourceAmounts;
   used: ResourceAmounts;
   /** Waiting work that has a place, now or to be rented. */
   waiting: ResourceAmounts;
   /** Of that, what the team is promised and does not have. */
-  deficit: ResourceAmounts;
+  guaranteeDeficit: ResourceAmounts;
   /** Part of the limit on its way to other partitions. */
-  inFlight: ResourceAmounts;
+  limitInTransfer: ResourceAmounts;
   /** Preempted of other teams for this team since this controller acquired the partition. */
   reclaimed: ResourceAmounts;
 }
@@ -67,19 +67,19 @@
     ...refusals.map((queue) => queue.oldestMs ?? Infinity),
   );
   const statistics: Statistics = {
-    unfinished: ctx.cache.jobs.size,
-    partitions: leaders.size,
+    unfinishedJobs: ctx.cache.jobs.size,
+    ledPartitions: leaders.size,
     machines: 0,
-    idle: 0,
-    queuedPlain: 0,
-    queuedAccelerated: 0,
-    running: 0,
+    idleMachines: 0,
+    queuedTasksWithoutAccelerator: 0,
+    queuedTasksWithAccelerator: 0,
+    runningTasks: 0,
     unreachableMachines: 0,
     staleHeartbeats: 0,
     quarantinedJobs: 0,
-    longestGangS: 0,
-    refused: refusals.reduce((sum, { refused }) => sum + refused, 0),
-    refusedForS: oldestMs === Infinity ? 0 : (ctx.nowMs - oldestMs) / 1000,
+    longestGangWaitS: 0,
+    refusedQueries: refusals.reduce((sum, { refused }) => sum + refused, 0),
+    longestRefusalS: oldestMs === Infinity ? 0 : (ctx.nowMs - oldestMs) / 1000,
   };
   for (const leader of leaders.values()) {
     addMachines(statistics, leader);
@@ -94,8 +94,8 @@
   statistics.staleHeartbeats += leader.staleHeartbeats;
   statistics.machines += state.workers.size;
   for (const { tasks } of state.workers.values()) {
-    statistics.running += tasks.size;
-    if (tasks.size === 0) statistics.idle++;
+    statistics.runningTasks += tasks.size;
+    if (tasks.size === 0) statistics.idleMachines++;
   }
 }
 
@@ -105,8 +105,8 @@
   wallMs: number,
 ): void {
   const backlog = state.backlog();
-  statistics.queuedPlain += backlog.plain;
-  statistics.queuedAccelerated += backlog.accelerated;
+  statistics.queuedTasksWithoutAccelerator += backlog.plain;
+  statistics.queuedTasksWithAccelerator += backlog.accelerated;
   for (const job of state.jobs.values()) {
     const isWaitingGang =
       job.view.spec.kind === "gang" &&
@@ -114,8 +114,8 @@
       job.active.size === 0;
     if (job.quarantinedSinceMs !== null) statistics.quarantinedJobs++;
     else if (isWaitingGang)
-      statistics.longestGangS = Math.max(
-        statistics.longestGangS,
+      statistics.longestGangWaitS = Math.max(
+        statistics.longestGangWaitS,
         (wallMs - job.view.readyAt) / 1000,
       );
   }
@@ -148,14 +148,14 @@
   const waiting = quota.waiting(team);
   const lacking = guarantees.lacks(team, usage) ?? [0, 0];
   return {
-    share: quota.share(team),
+    limitShare: quota.share(team),
     used: [known.cpus, known.gpus],
     waiting,
-    deficit: [
+    guaranteeDeficit: [
       Math.max(0, Math.min(waiting[0], lacking[0])),
       Math.max(0, Math.min(waiting[1], lacking[1])),
     ],
-    inFlight: quota.inFlight(team),
+    limitInTransfer: quota.inFlight(team),
     reclaimed: reclaims.reclaimed.get(team) ?? [0, 0],
   };
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -321,9 +321,13 @@
         ...e,
         answer: { kind: "retryLater", afterS: 1, why: "no permit" },
       });
-    else if (e.type === "command")
+    else if (e.type === "workerCommand")
       setImmediate(() =>
-        this.feed({ type: "command", op: e.op, reply: { kind: "refused" } }),
+        this.feed({
+          type: "commandReply",
+          op: e.op,
+          reply: { kind: "refused" },
+        }),
       );
   }
 
@@ -334,23 +338,25 @@
         this.pending.get(e.req)?.(e.answer);
         this.pending.delete(e.req);
         break;
-      case "state":
+      case "storeCall":
         void this.callState(e.call, e.priority).then(({ reply, sentMs }) =>
-          this.feed({ type: "state", op: e.op, reply, sentMs }),
+          this.feed({ type: "storeReply", op: e.op, reply, sentMs }),
         );
         break;
-      case "cloud":
+      case "cloudCall":
         void this.callCloud(e.call, e.priority).then((reply) =>
-          this.feed({ type: "cloud", op: e.op, reply }),
+          this.feed({ type: "cloudReply", op: e.op, reply }),
         );
         break;
       case "storeChanges":
         for (const x of this.extensions) x.onStoreChanges?.(e);
         break;
-      case "command":
+      case "workerCommand":
         void this.workers
           .command(e.address, e.token, e.incarnation, e.commands)
-          .then((reply) => this.feed({ type: "command", op: e.op, reply }));
+          .then((reply) =>
+            this.feed({ type: "commandReply", op: e.op, reply }),
+          );
         break;
       case "inspect":
         void this.workers
--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -74,25 +74,33 @@
     gauge(
       "jobs_unfinished",
       "Jobs that are not over, on all controllers",
-      () => figures().unfinished,
+      () => figures().unfinishedJobs,
     );
     gauge(
       "groups",
       "Groups whose master this controller is",
-      () => figures().partitions,
+      () => figures().ledPartitions,
     );
     gauge("machines", "Machines of these groups", () => figures().machines);
-    gauge("machines_idle", "Those without a task", () => figures().idle);
-    gauge("tasks_running", "Tasks on these machines", () => figures().running);
+    gauge(
+      "machines_idle",
+      "Those without a task",
+      () => figures().idleMachines,
+    );
+    gauge(
+      "tasks_running",
+      "Tasks on these machines",
+      () => figures().runningTasks,
+    );
     gauge(
       "tasks_queued_plain",
       "Waiting tasks of these groups that need no accelerator",
-      () => figures().queuedPlain,
+      () => figures().queuedTasksWithoutAccelerator,
     );
     gauge(
       "tasks_queued_accelerated",
       "Those that need one",
-      () => figures().queuedAccelerated,
+      () => figures().queuedTasksWithAccelerator,
     );
     gauge(
       "machines_deaf",
@@ -112,17 +120,17 @@
     gauge(
       "gang_wait_longest_seconds",
       "Age of the oldest gang that has not begun",
-      () => figures().longestGangS,
+      () => figures().longestGangWaitS,
     );
     gauge(
       "questions_refused",
       "Users' questions refused since the start",
-      () => figures().refused,
+      () => figures().refusedQueries,
     );
     gauge(
       "question_refused_longest_seconds",
       "How long the job that was refused longest has been",
-      () => figures().refusedForS,
+      () => figures().longestRefusalS,
     );
     gauge(
       "permit_seconds",
@@ -163,11 +171,11 @@
         (
           | "limit"
           | "guarantee"
-          | "share"
+          | "limitShare"
           | "used"
           | "waiting"
-          | "deficit"
-          | "inFlight"
+          | "guaranteeDeficit"
+          | "limitInTransfer"
           | "reclaimed"
         ),
       string,
@@ -175,7 +183,7 @@
     ][] = [
       ["limit", "limit", "The team's limit over all groups; absent: none"],
       ["guarantee", "guarantee", "What the team is guaranteed over all groups"],
-      ["share", "share", "Part of the limit that the group may use"],
+      ["limitShare", "share", "Part of the limit that the group may use"],
       ["used", "used", "What its tasks have on machines of the group"],
       [
         "waiting",
@@ -183,12 +191,12 @@
         "What its waiting tasks ask for that have a place, now or to be rented",
       ],
       [
-        "deficit",
+        "guaranteeDeficit",
         "deficit",
         "Of that, what it is guaranteed and does not have",
       ],
       [
-        "inFlight",
+        "limitInTransfer",
         "share_in_flight",
         "Part of the limit on its way to other groups",
       ],
--- a/test/golden/core-trace.ts
+++ b/test/golden/core-trace.ts
@@ -239,11 +239,11 @@
       return ["not relayed", input.zone];
     case "peers":
       return ["peers", input.up];
-    case "state":
+    case "storeReply":
       return ["state", input.op, input.sentMs, stateReplyLine(input.reply)];
-    case "cloud":
+    case "cloudReply":
       return ["cloud", input.op, cloudReplyLine(input.reply)];
-    case "command":
+    case "commandReply":
       return ["command", input.op, commandReplyLine(input.reply)];
     case "inspectReply":
       return [
@@ -313,11 +313,11 @@
   switch (effect.type) {
     case "answer":
       return ["answer", effect.req, answerLine(effect.answer)];
-    case "state":
+    case "storeCall":
       return ["state", effect.op, effect.priority, stateCallLine(effect.call)];
-    case "cloud":
+    case "cloudCall":
       return ["cloud", effect.op, effect.priority, cloudCallLine(effect.call)];
-    case "command":
+    case "workerCommand":
       return [
         "command",
         effect.op,
@@ -368,7 +368,7 @@
       this.add("submissions that name other jobs");
   }
   effect(effect: Effect): void {
-    if (effect.type !== "state" || effect.call.op !== "commit") return;
+    if (effect.type !== "storeCall" || effect.call.op !== "commit") return;
     this.add("commits");
     for (const write of effect.call.writes) {
       const kind = write.key.split("/").slice(0, 3).join("/");
--- a/test/golden/metrics.ts
+++ b/test/golden/metrics.ts
@@ -8,30 +8,30 @@
 import { expectText } from "./expect.js";
 
 const FIGURES: Statistics = {
-  unfinished: 1,
-  partitions: 2,
+  unfinishedJobs: 1,
+  ledPartitions: 2,
   machines: 3,
-  idle: 4,
-  queuedPlain: 5,
-  queuedAccelerated: 6,
-  running: 7,
+  idleMachines: 4,
+  queuedTasksWithoutAccelerator: 5,
+  queuedTasksWithAccelerator: 6,
+  runningTasks: 7,
   unreachableMachines: 8,
   staleHeartbeats: 9,
   quarantinedJobs: 10,
-  longestGangS: 11,
-  refused: 12,
-  refusedForS: 13,
+  longestGangWaitS: 11,
+  refusedQueries: 12,
+  longestRefusalS: 13,
 };
 const TEAM: TeamStatistics = {
   team: "red",
   partition: "east",
   limit: [1, Infinity],
   guarantee: [2, 3],
-  share: [4, 5],
+  limitShare: [4, 5],
   used: [6, 7],
   waiting: [8, 9],
-  deficit: [10, 11],
-  inFlight: [12, 13],
+  guaranteeDeficit: [10, 11],
+  limitInTransfer: [12, 13],
   reclaimed: [14, 15],
 };
 const WEBHOOK_FIGURES: WebhookCore["figures"] = {
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -120,7 +120,7 @@
     Controller.prototype.step = function (input: Input, nowMs, wallMs) {
       return before.call(
         this,
-        input.type === "state" ? { ...input, sentMs: nowMs } : input,
+        input.type === "storeReply" ? { ...input, sentMs: nowMs } : input,
         nowMs,
         wallMs,
       );
--- a/test/nights.test.ts
+++ b/test/nights.test.ts
@@ -76,7 +76,7 @@
     answer: { kind: "commands", token: 1, commands: [] },
   };
   const command: Effect = {
-    type: "command",
+    type: "workerCommand",
     op: 1,
     address: "",
     token: 1,
--- a/test/sim/checker.ts
+++ b/test/sim/checker.ts
@@ -157,7 +157,7 @@
   leaves(name: string, core: Controller, e: Effect): void {
     if (!this.invariants) return;
     const needsPermit =
-      e.type === "command" ||
+      e.type === "workerCommand" ||
       (e.type === "answer" && e.answer.kind === "commands");
     if (needsPermit && core.leadershipLease.untilMs <= this.world.clockOf(name))
       this.fail("no_permit", `${name}: ${e.type}`);
--- a/test/sim/production-controller.ts
+++ b/test/sim/production-controller.ts
@@ -115,13 +115,20 @@
       };
     case "leaderUnreachable":
       return { is: "unserved", zone: input.zone };
-    case "cloud":
+    case "storeReply":
+      return {
+        is: "state",
+        op: input.op,
+        reply: input.reply,
+        sentMs: input.sentMs,
+      };
+    case "cloudReply":
       return {
         is: "cloud",
         op: input.op,
         reply: productionCloudReply(input.reply),
       };
-    case "command": {
+    case "commandReply": {
       const { kind, ...rest } = input.reply;
       return {
         is: "command",
@@ -171,7 +178,7 @@
       };
     case "command":
       return {
-        type: "command",
+        type: "workerCommand",
         op: effect.op,
         address: effect.address,
         token: effect.token,
@@ -180,14 +187,14 @@
       };
     case "state":
       return {
-        type: "state",
+        type: "storeCall",
         op: effect.op,
         call: effect.call,
         priority: effect.urgent as number,
       };
     case "cloud":
       return {
-        type: "cloud",
+        type: "cloudCall",
         op: effect.op,
         call: effect.call,
         priority: effect.urgent as number,
--- a/test/sim/world.ts
+++ b/test/sim/world.ts
@@ -516,9 +516,9 @@
           if (this.nodes.get(name) === node)
             this.checker.leaves(name, node.core, e);
           this.carryOut(name, node, e);
-        } else if (e.type === "command")
+        } else if (e.type === "workerCommand")
           this.feed(name, node.life, {
-            type: "command",
+            type: "commandReply",
             op: e.op,
             reply: { kind: "refused" },
           });
@@ -639,13 +639,13 @@
         done?.(e.answer);
         break;
       }
-      case "state": {
+      case "storeCall": {
         const sentMs = this.now * node.drift;
         let over = false;
         const reply = (r: StateReply): void => {
           if (over) return;
           over = true;
-          back({ type: "state", op: e.op, reply: r, sentMs });
+          back({ type: "storeReply", op: e.op, reply: r, sentMs });
         };
         const wait = e.call.op === "changes" ? e.call.waitMs + 1500 : 1500;
         this.at(wait, () => reply({ is: "unknown", why: "timeout" }));
@@ -671,12 +671,12 @@
         }
         break;
       }
-      case "cloud": {
+      case "cloudCall": {
         let over = false;
         const reply = (r: CloudReply): void => {
           if (over) return;
           over = true;
-          back({ type: "cloud", op: e.op, reply: r });
+          back({ type: "cloudReply", op: e.op, reply: r });
         };
         this.at(4_000, () => reply({ kind: "failed", why: "timeout" }));
         const held =
@@ -687,12 +687,12 @@
         });
         break;
       }
-      case "command": {
+      case "workerCommand": {
         let over = false;
         const reply = (r: CommandReply): void => {
           if (over) return;
           over = true;
-          back({ type: "command", op: e.op, reply: r });
+          back({ type: "commandReply", op: e.op, reply: r });
         };
         this.at(3_000, () => reply({ kind: "unknown" }));
         const id = `n-${e.address.split(":")[1]}`;
