--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -72,7 +72,9 @@
   catalog: MachineType[] | null = null;
   readonly partitions: PartitionMap;
   readonly cache = new StoreCache();
+  /** Calls whose replies have not come yet. */
   readonly calls = new PendingCalls((effect) => this.effects.push(effect));
+  /** By partition, those that this controller leads. */
   readonly leaders: ReadonlyMap<string, PartitionLeader>;
   readonly leadership: Leadership;
   readonly dependencies: DependencyTracker;
@@ -104,16 +106,9 @@
     this.wallMs = wallMs;
     this.partitions = new PartitionMap(settings);
     this.observedLimits = new ObservedLimits(this);
-    this.dependencies = new DependencyTracker(this, {
-      assign: (spec) => this.jobAssigner.assign(spec),
-      lookUpFinalRecord: (id) => this.jobStatus.lookUpFinalRecord(id),
-    });
+    this.dependencies = this.createDependencies();
     this.leadership = this.createLeadership();
-    this.transactions = new Transactions(this, {
-      callStore: this.calls.callStore,
-      onStoreLeaseEnded: (storeLease) =>
-        this.leadership.storeLeaseEnded(storeLease),
-    });
+    this.transactions = this.createTransactions();
     this.partitionLeaders = new PartitionLeaders(this, this.leadership);
     this.leaders = this.partitionLeaders.byPartition;
     this.heartbeats = new HeartbeatRouter(this, this.leaders, this.leadership);
@@ -128,56 +123,83 @@
       this.leaderlessPartitions,
       (spec) => this.jobAssigner.assign(spec),
     );
-    this.storeEvents = new StoreEventHandler(this, {
+    this.storeEvents = this.createStoreEvents();
+    this.watcher = this.createWatcher();
+    this.jobAssigner = new JobAssigner(this, this.leaders);
+    this.jobStatus = this.createJobStatus();
+    this.jobAdmission = this.createJobAdmission();
+    this.jobCancellation = new JobCancellation(this, {
+      replies: this.replies,
+      watcher: this.watcher,
+      status: this.jobStatus,
+    });
+  }
+
+  // ---- wiring --------------------------------------------------------------------------------------------
+
+  private createDependencies(): DependencyTracker {
+    return new DependencyTracker(this, {
+      assign: (spec) => this.jobAssigner.assign(spec),
+      lookUpFinalRecord: (id) => this.jobStatus.lookUpFinalRecord(id),
+    });
+  }
+
+  private createLeadership(): Leadership {
+    return new Leadership(this, {
+      callStore: (call, done) =>
+        this.calls.callStore(call, CallPriority.Lease, done),
+      onStoreLeaseLost: () => this.partitionLeaders.dropAll(),
+      onLeadershipChanged: () => this.partitionLeaders.update(),
+      isUnreachable: (partition) =>
+        this.leaders.get(partition)?.state.unreachableIn() ?? false,
+    });
+  }
+
+  private createTransactions(): Transactions {
+    return new Transactions(this, {
+      callStore: this.calls.callStore,
+      onStoreLeaseEnded: (storeLease) =>
+        this.leadership.storeLeaseEnded(storeLease),
+    });
+  }
+
+  private createStoreEvents(): StoreEventHandler {
+    return new StoreEventHandler(this, {
       leaders: this.partitionLeaders,
       dependencies: this.dependencies,
       pendingAssignments: this.assignments,
       inconsistencyLog: new RateLimitedLog(this),
     });
-    this.watcher = new StoreWatcher(this, this.leadership, {
+  }
+
+  private createWatcher(): StoreWatcher {
+    return new StoreWatcher(this, this.leadership, {
       callStore: this.calls.callStore,
       onEvents: (events) => this.storeEvents.handle(events),
       onChanges: (from, to, changes) => this.publishChanges(from, to, changes),
       requestWake: (afterMs) => this.effects.push({ type: "wake", afterMs }),
       refuse: this.retryLater,
     });
-    const replies: RequestReplies = {
-      answer: (req, answer) => this.answer(req, answer),
-      retryLater: this.retryLater,
-    };
-    const { leaders, leadership, dependencies, watcher } = this;
-    this.jobAssigner = new JobAssigner(this, leaders);
-    this.jobStatus = new JobStatus(this, {
-      replies,
-      leaders,
-      dependencies,
-      watcher,
+  }
+
+  private createJobStatus(): JobStatus {
+    return new JobStatus(this, {
+      replies: this.replies,
+      leaders: this.leaders,
+      dependencies: this.dependencies,
+      watcher: this.watcher,
       callStore: this.calls.callStore,
     });
-    const { jobAssigner: assigner, jobStatus: status } = this;
-    this.jobAdmission = new JobAdmission(this, {
-      replies,
-      leadership,
-      dependencies,
-      watcher,
-      status,
-      assigner,
-    });
-    this.jobCancellation = new JobCancellation(this, {
-      replies,
-      watcher,
-      status,
-    });
   }
 
-  private createLeadership(): Leadership {
-    return new Leadership(this, {
-      callStore: (call, done) =>
-        this.calls.callStore(call, CallPriority.Lease, done),
-      onStoreLeaseLost: () => this.partitionLeaders.dropAll(),
-      onLeadershipChanged: () => this.partitionLeaders.update(),
-      isUnreachable: (partition) =>
-        this.leaders.get(partition)?.state.unreachableIn() ?? false,
+  private createJobAdmission(): JobAdmission {
+    return new JobAdmission(this, {
+      replies: this.replies,
+      leadership: this.leadership,
+      dependencies: this.dependencies,
+      watcher: this.watcher,
+      status: this.jobStatus,
+      assigner: this.jobAssigner,
     });
   }
 
@@ -268,6 +290,11 @@
   private readonly retryLater = (req: number, why: string, afterS = 1): void =>
     this.answer(req, { kind: "retryLater", afterS, why });
 
+  private readonly replies: RequestReplies = {
+    answer: (req, answer) => this.answer(req, answer),
+    retryLater: this.retryLater,
+  };
+
   commit(
     conditions: Condition[],
     writes: Write[],
--- a/src/coordination/jobs/leftovers-sweep.ts
+++ b/src/coordination/jobs/leftovers-sweep.ts
@@ -19,6 +19,7 @@
     private readonly leadership: { mayAct(): boolean },
   ) {}
 
+  /** Sweeps if it is time. */
   tick(): void {
     if (this.ctx.nowMs - this.lastSweepMs <= SWEEP_INTERVAL_MS) return;
     this.lastSweepMs = this.ctx.nowMs;
--- a/src/coordination/jobs/pending-assignments.ts
+++ b/src/coordination/jobs/pending-assignments.ts
@@ -12,10 +12,12 @@
 export class PendingAssignments {
   private readonly assignments = new Map<string, PendingAssignment[]>();
 
+  /** Each partition's assignments, oldest first. */
   get byPartition(): ReadonlyMap<string, readonly PendingAssignment[]> {
     return this.assignments;
   }
 
+  /** Tasks of a job were assigned to the partition. */
   note(partition: string, spec: JobSpec, tasks: number): void {
     let pending = this.assignments.get(partition);
     if (!pending) this.assignments.set(partition, (pending = []));
--- a/src/coordination/leadership/leadership-bids.ts
+++ b/src/coordination/leadership/leadership-bids.ts
@@ -3,7 +3,13 @@
  * release the partition. This module owns what decides when to bid: which peers answer, and which partitions go unserved.
  */
 import { leadershipBidKey, partitionKey } from "../../storage/records.js";
-import type { Context } from "../context.js";
+import type { EventLog } from "../../logging/events.js";
+import type {
+  Clock,
+  Configuration,
+  StoreTransactions,
+  StoreView,
+} from "../context.js";
 import { CallPriority } from "../effects.js";
 
 /** Workers of a partition must have gone unserved for this long before a peer bids for the partition. */
@@ -13,6 +19,13 @@
 /** The home controller must have been in touch with the leader for this long before it bids for its partition. */
 const HOME_BID_AFTER_MS = 8_000;
 
+/** What leadership uses of the context of the core. */
+export type LeadershipContext = Clock &
+  Configuration &
+  StoreView &
+  StoreTransactions &
+  EventLog;
+
 /** When the workers of a partition could not be served, in steady time. */
 interface UnservedPeriod {
   firstMs: number;
@@ -26,7 +39,7 @@
   private readonly reachableSinceMs = new Map<string, number>();
   private readonly lastSeenTokens = new Map<string, number>();
 
-  constructor(private readonly ctx: Context) {}
+  constructor(private readonly ctx: LeadershipContext) {}
 
   /** No other controller answers. */
   get isIsolated(): boolean {
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -4,9 +4,12 @@
  */
 import type { StateCall, StateReply } from "../../protocol/state.js";
 import { type PartitionRecord, partitionKey } from "../../storage/records.js";
-import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
-import { BID_INTERVAL_MS, LeadershipBids } from "./leadership-bids.js";
+import {
+  BID_INTERVAL_MS,
+  LeadershipBids,
+  type LeadershipContext,
+} from "./leadership-bids.js";
 import { storeLeaseTtlMs } from "./store-lease-ttl.js";
 
 /** The store lease is renewed this many times within its duration. */
@@ -68,7 +71,7 @@
   private readonly releasesSent = new Set<string>();
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: LeadershipContext,
     private readonly ports: LeadershipPorts,
   ) {
     this.leaseTtlMs = storeLeaseTtlMs(ctx.settings);
--- a/src/coordination/leadership/partition-leaders.ts
+++ b/src/coordination/leadership/partition-leaders.ts
@@ -12,6 +12,7 @@
     private readonly leadership: Pick<Leadership, "tokenOf" | "mayAct">,
   ) {}
 
+  /** The present leaders; changes as they come and go. */
   get byPartition(): ReadonlyMap<string, PartitionLeader> {
     return this.leaders;
   }
--- a/src/coordination/machines/catalog-refresh.ts
+++ b/src/coordination/machines/catalog-refresh.ts
@@ -16,6 +16,7 @@
 
   constructor(private readonly ctx: Clock & CloudCalls & MachineCatalog) {}
 
+  /** Starts a read if it is time; after a failed one the catalog stays as it is. */
   tick(): void {
     if (this.isReading || this.ctx.nowMs < this.nextReadMs) return;
     this.isReading = true;
--- a/src/coordination/pending-calls.ts
+++ b/src/coordination/pending-calls.ts
@@ -61,12 +61,14 @@
     return this.storeCalls.size;
   }
 
+  /** Calls the store; bound, since it is passed on as a port. */
   readonly callStore: CallStore = (call, priority, done) => {
     const op = ++this.lastCallId;
     this.storeCalls.set(op, done);
     this.emit({ type: "storeCall", op, call, priority });
   };
 
+  /** Calls the cloud platform. */
   callCloud(
     call: CloudCall,
     priority: CallPriority,
@@ -77,18 +79,21 @@
     this.emit({ type: "cloudCall", op, call, priority });
   }
 
+  /** Sends commands to a worker. */
   sendCommands(batch: CommandBatch, done: (reply: CommandReply) => void): void {
     const op = ++this.lastCallId;
     this.commandCalls.set(op, done);
     this.emit({ type: "workerCommand", op, ...batch });
   }
 
+  /** Asks a machine for its heartbeat; null: none came. */
   inspect(address: string, done: (heartbeat: Heartbeat | null) => void): void {
     const op = ++this.lastCallId;
     this.inspections.set(op, done);
     this.emit({ type: "inspect", op, address });
   }
 
+  /** A reply to a call that nobody waits for is ignored, here and below. */
   onStoreReply(op: number, reply: StateReply, sentMs: number): void {
     take(this.storeCalls, op)?.(reply, sentMs);
   }
--- a/src/coordination/store-event-handler.ts
+++ b/src/coordination/store-event-handler.ts
@@ -22,6 +22,7 @@
     private readonly targets: StoreEventTargets,
   ) {}
 
+  /** Events in the order in which the cache has seen them. */
   handle(events: readonly StoreEvent[]): void {
     for (const event of events) this.handleOne(event);
     this.targets.leaders.update();
