--- a/test/awaiting.test.ts
+++ b/test/coordination/jobs/dependencies.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Answer } from "../src/coordination/effects.js";
-import { DependencyTracker } from "../src/coordination/jobs/dependency-tracker.js";
-import type { Context } from "../src/coordination/context.js";
-import { StoreCache } from "../src/coordination/store/store-cache.js";
-import type { JobSpec } from "../src/coordination/model.js";
-import { RangeSet } from "../src/coordination/jobs/range-set.js";
-import { jobKey, finalKey, writeJob } from "../src/storage/records.js";
-import { pipelines, randomJob } from "./sim/days.js";
-import { World } from "./sim/world.js";
+import type { Answer } from "../../../src/coordination/effects.js";
+import { DependencyTracker } from "../../../src/coordination/jobs/dependency-tracker.js";
+import type { Context } from "../../../src/coordination/context.js";
+import { StoreCache } from "../../../src/coordination/store/store-cache.js";
+import type { JobSpec } from "../../../src/coordination/model.js";
+import { RangeSet } from "../../../src/coordination/jobs/range-set.js";
+import { jobKey, finalKey, writeJob } from "../../../src/storage/records.js";
+import { pipelines, randomJob } from "../../simulation/workloads.js";
+import { World } from "../../simulation/world.js";
 
 /** Jobs that wait for others, one situation at a time. */
 
@@ -366,7 +366,7 @@
 });
 
 /** Breaks the way jobs wait on purpose and expects the checker to notice. */
-function mustCatch(rule: RegExp, breakIt: () => () => void): void {
+function expectDetected(rule: RegExp, breakIt: () => () => void): void {
   const mend = breakIt();
   try {
     for (let seed = 20; seed < 30; seed++) {
@@ -378,11 +378,11 @@
   } finally {
     mend();
   }
-  assert.fail(`${rule} was not caught`);
+  assert.fail(`${rule} was not detected`);
 }
 
-test("the checker catches jobs that are released too early", () => {
-  mustCatch(/too_early/, () => {
+test("the checker detects jobs that are released too early", () => {
+  expectDetected(/too_early/, () => {
     const proto = DependencyTracker.prototype as unknown as {
       onJob: (view: { dependsOn: readonly string[] }) => void;
     };
@@ -399,8 +399,8 @@
   });
 });
 
-test("the checker catches jobs that go on being called queued after one that they need is cancelled", () => {
-  mustCatch(/orphaned/, () => {
+test("the checker detects jobs that go on being called queued after one that they need is cancelled", () => {
+  expectDetected(/orphaned/, () => {
     const proto = DependencyTracker.prototype as unknown as {
       cancelWithDependency: (e: object) => void;
     };
--- a/test/golden/core-trace.ts
+++ b/test/golden/core-trace.ts
@@ -32,8 +32,8 @@
   randomJob,
   injectFaults,
   submitWorkload,
-} from "../sim/days.js";
-import { World } from "../sim/world.js";
+} from "../simulation/workloads.js";
+import { World } from "../simulation/world.js";
 
 /**
  * A recorded run of the core: everything that controllers are told and return on a seeded day of the simulation, in the form in which it
@@ -418,7 +418,7 @@
   submitWorkload(world, FAULTS_UNTIL_MS, day.draw);
   pipelines(world, 5_000, FAULTS_UNTIL_MS);
   injectFaults(world, FAULTS_UNTIL_MS);
-  // Beside what the troubles bring: one failover at a fixed time.
+  // Beside what the injected faults bring: one failover at a fixed time.
   world.at(30_000, () => world.crash("node-a"));
   world.at(42_000, () => world.nodes.get("node-a") ?? world.boot("node-a"));
   world.run(DAY_MS);
--- a/test/nights.test.ts
+++ b/test/simulation/failure-scenarios.test.ts
@@ -1,19 +1,19 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { DEFAULTS } from "../src/config/operator.js";
-import type { Effect } from "../src/coordination/effects.js";
-import { FairQueue } from "../src/coordination/store/fair-queue.js";
-import { FinalStatusReader } from "../src/coordination/store/final-status-reader.js";
-import type { JobSpec } from "../src/coordination/model.js";
-import { DeliveryTracker } from "../src/coordination/machines/delivery-tracker.js";
-import { failureScenario, randomJob } from "./sim/days.js";
-import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
-import { World } from "./sim/world.js";
+import { DEFAULTS } from "../../src/config/operator.js";
+import type { Effect } from "../../src/coordination/effects.js";
+import { FairQueue } from "../../src/coordination/store/fair-queue.js";
+import { FinalStatusReader } from "../../src/coordination/store/final-status-reader.js";
+import type { JobSpec } from "../../src/coordination/model.js";
+import { DeliveryTracker } from "../../src/coordination/machines/delivery-tracker.js";
+import { failureScenario, randomJob } from "./workloads.js";
+import { expectGuardNeeded, describeWorkload } from "./guards.js";
+import { World } from "./world.js";
 
-/** Bad nights: docs/design/nights.md has the table of guards and tests. */
+/** Failure scenarios: docs/design/nights.md has the table of guards and tests. */
 
-test("bad nights with 1 to 7 controllers: the rules hold, and 75 s after the last trouble no job is forgotten or rests", () => {
+test("failure scenarios with 1 to 7 controllers: the rules hold, and 75 s after the last injected fault no job is forgotten or rests", () => {
   let starts = 0;
   let anew = 0;
   let deaf = 0;
--- a/test/meetings-more.test.ts
+++ b/test/simulation/fault-combinations-extended.test.ts
@@ -1,18 +1,21 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DeliveryTracker } from "../src/coordination/machines/delivery-tracker.js";
-import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
+import {
+  expectGuardNeeded,
+  describeWorkload,
+  withoutStaleCheck,
+} from "./guards.js";
 import {
   drawMore,
   type AllFaultCombinationCounts,
   noFaultCombinations,
   playMore,
-} from "./sim/meetings.js";
-import type { World } from "./sim/world.js";
+} from "./fault-combinations.js";
+import type { World } from "./world.js";
 
-/** The rest of the meetings that the operators name: docs/design/meetings.md has the table of meetings, tests and guards. */
+/** The rest of the fault combinations that the operators name: docs/design/meetings.md has the table of fault combinations, tests and guards. */
 
-test("two to five troubles of all that the operators name, on a third of the days with short limits: the rules hold, nobody is left waiting, each meeting occurs", () => {
+test("two to five injected faults of all that the operators name, a third of the workloads with short limits: the rules hold, nobody is left waiting, each combination occurs", () => {
   const met = noFaultCombinations();
   for (const seed of [0, 1, 2, 15, 19, 32, 33, 51]) {
     const { world: w, occurred: m } = playMore(seed, drawMore(seed));
@@ -31,9 +34,5 @@
 const drawn = (seed: number): World => playMore(seed, drawMore(seed)).world;
 
 test("guard: a report that is older than what is known says nothing, also when it is kept for a new master", () => {
-  expectGuardNeeded(drawn, [56], "ran_twice", () => {
-    const before = DeliveryTracker.prototype.isStale;
-    DeliveryTracker.prototype.isStale = () => false;
-    return () => (DeliveryTracker.prototype.isStale = before);
-  });
+  expectGuardNeeded(drawn, [56], "ran_twice", withoutStaleCheck);
 });
--- a/test/meetings.test.ts
+++ b/test/simulation/fault-combinations.test.ts
@@ -1,44 +1,48 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Context } from "../src/coordination/context.js";
-import { Controller } from "../src/coordination/controller.js";
-import type { Input } from "../src/coordination/effects.js";
-import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
-import type { JobSpec } from "../src/coordination/model.js";
-import { Leadership } from "../src/coordination/leadership/leadership.js";
-import { storeLeaseTtlMs } from "../src/coordination/leadership/store-lease-ttl.js";
-import { StoreWatcher } from "../src/coordination/store/store-watcher.js";
-import type { StateCall } from "../src/protocol/state.js";
+import type { Context } from "../../src/coordination/context.js";
+import { Controller } from "../../src/coordination/controller.js";
+import type { Input } from "../../src/coordination/effects.js";
+import type { JobSpec } from "../../src/coordination/model.js";
+import { Leadership } from "../../src/coordination/leadership/leadership.js";
+import { storeLeaseTtlMs } from "../../src/coordination/leadership/store-lease-ttl.js";
+import type { StateCall } from "../../src/protocol/state.js";
 import {
   observedLimitsKey,
   gangKey,
   inBlock,
   readCompletion,
   capacityKey,
-} from "../src/storage/records.js";
-import { leaderChanges } from "./scenarios/leader-changes.js";
-import { randomJob } from "./sim/days.js";
-import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
+} from "../../src/storage/records.js";
+import { leaderChanges } from "../scenarios/leader-changes.js";
+import { randomJob } from "./workloads.js";
+import {
+  expectGuardNeeded,
+  describeWorkload,
+  withoutTakeoverFence,
+  withoutPinnedStarts,
+  withoutReadBeforeAnswer,
+} from "./guards.js";
 import {
   draw,
   gap,
   type FaultCombinationCounts,
-  NO_MEETINGS,
+  NO_COUNTS,
   play,
-} from "./sim/meetings.js";
-import { World } from "./sim/world.js";
+} from "./fault-combinations.js";
+import { World } from "./world.js";
 
-/** Where two troubles meet: docs/design.md has the table of meetings, tests and guards. */
+/** Where two injected faults meet: docs/design.md has the table of fault combinations, tests and guards. */
 
 const total = (a: FaultCombinationCounts, b: FaultCombinationCounts): void => {
   for (const k of Object.keys(a) as (keyof FaultCombinationCounts)[])
     a[k] += b[k];
 };
 
-// ---- the meeting before all others -----------------------------------------------------------------------------
+// ---- the combination to test before all others -----------------------------------------------------------------------------
 
 test("the leader is refused alone, others confirm cancellations, then all are refused for longer than cancel_s: their tasks are gone in time", () => {
-  const met = { ...NO_MEETINGS };
+  const met = { ...NO_COUNTS };
   let longestMs = 0;
   let carried = 0;
   for (let seed = 0; seed < 14; seed++) {
@@ -461,8 +465,8 @@
 
 // ---- all of them, drawn ------------------------------------------------------------------------------------------
 
-test("two to four troubles at once, with 1 to 7 controllers: the rules hold, and each meeting occurs", () => {
-  const met = { ...NO_MEETINGS };
+test("two to four injected faults at once, with 1 to 7 controllers: the rules hold, and each combination occurs", () => {
+  const met = { ...NO_COUNTS };
   for (let seed = 0; seed < 14; seed++) {
     const { world: w, occurred: m } = play(seed, draw(seed));
     assert.deepEqual(
@@ -477,33 +481,13 @@
 });
 
 test("guard: what a former master may have started counts until its machines have spoken or their leases are over", () => {
-  expectGuardNeeded(drawn, [11, 15], "ran_twice", () => {
-    const before = PartitionState.prototype.mayStart;
-    PartitionState.prototype.mayStart = (job) =>
-      !job.isOver && !job.waiting.isEmpty;
-    return () => (PartitionState.prototype.mayStart = before);
-  });
+  expectGuardNeeded(drawn, [11, 15], "ran_twice", withoutTakeoverFence);
 });
 test("guard: a start without an answer pins its task, for the command may still go on", () => {
-  expectGuardNeeded(drawn, [2, 4], "quota", () => {
-    const before = World.prototype.run;
-    World.prototype.run = function (untilMs) {
-      this.afterStep = (core) => {
-        for (const m of core.leaders.values())
-          for (const x of m.state.workers.values())
-            if (!x.commandInFlight) x.unansweredStarts.clear();
-      };
-      before.call(this, untilMs);
-    };
-    return () => (World.prototype.run = before);
-  });
+  expectGuardNeeded(drawn, [2, 4], "quota", withoutPinnedStarts);
 });
 test("guard: an answer that is not final rests on a read that was sent after the question", () => {
-  expectGuardNeeded(drawn, [2, 9], "went_back", () => {
-    const before = StoreWatcher.prototype.afterRead;
-    StoreWatcher.prototype.afterRead = (req, id, next) => next(req, id);
-    return () => (StoreWatcher.prototype.afterRead = before);
-  });
+  expectGuardNeeded(drawn, [2, 9], "went_back", withoutReadBeforeAnswer);
 });
 
 test("guard: nothing is done for a group from before it is given up, whatever becomes of the commit", () => {
--- a/test/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -1,20 +1,21 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Controller } from "../src/coordination/controller.js";
-import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
-import { Leadership } from "../src/coordination/leadership/leadership.js";
-import { QuotaAllocator } from "../src/coordination/quota/index.js";
-import { freeOn } from "../src/coordination/machines/worker-state.js";
-import type { JobSpec } from "../src/coordination/model.js";
+import { Controller } from "../../src/coordination/controller.js";
+import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
+import { Leadership } from "../../src/coordination/leadership/leadership.js";
+import { QuotaAllocator } from "../../src/coordination/quota/index.js";
+import { freeOn } from "../../src/coordination/machines/worker-state.js";
+import type { JobSpec } from "../../src/coordination/model.js";
 import {
   largeJob,
   injectLargeFaults,
   randomJob,
   injectFaults,
   submitWorkload,
-} from "./sim/days.js";
-import type { SimWorker } from "./sim/machine.js";
-import { World } from "./sim/world.js";
+} from "./workloads.js";
+import type { SimWorker } from "./machine.js";
+import { World } from "./world.js";
+import { withoutTakeoverFence } from "./guards.js";
 
 const DAY_MS = 240_000;
 
@@ -44,7 +45,7 @@
   }
 });
 
-test("days full of troubles keep the rules", () => {
+test("workloads with many injected faults keep the rules", () => {
   let starts = 0;
   for (let seed = 100; seed < 125; seed++) {
     const w = day(seed, true);
@@ -108,7 +109,7 @@
   }
 });
 
-/** Controllers that stand still and zones that are cut off, among all the other troubles. */
+/** Controllers that stand still and zones that are cut off, among all the other injected faults. */
 function standingStill(seed: number): World {
   const w = new World(seed, undefined, [], [1, 2, 3, 5][seed % 4]);
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
@@ -396,7 +397,7 @@
 });
 
 /** Breaks something on purpose and expects the checker to notice within some seeds. */
-function mustCatch(rule: string, breakIt: () => () => void): void {
+function expectDetected(rule: string, breakIt: () => () => void): void {
   const mend = breakIt();
   try {
     for (let seed = 200; seed < 240; seed++)
@@ -405,7 +406,7 @@
   } finally {
     mend();
   }
-  assert.fail(`${rule} was not caught`);
+  assert.fail(`${rule} was not detected`);
 }
 
 test("a team's limit is not handed to and fro between groups whose jobs wait for machines, and both run once there are some", () => {
@@ -524,22 +525,12 @@
   );
 });
 
-test("the checker catches a master without a fence", () => {
-  mustCatch("ran_twice", () => {
-    const proto = PartitionState.prototype as unknown as {
-      mayStart: (j: {
-        isOver: boolean;
-        waiting: { isEmpty: boolean };
-      }) => boolean;
-    };
-    const before = proto.mayStart;
-    proto.mayStart = (j) => !j.isOver && !j.waiting.isEmpty;
-    return () => (proto.mayStart = before);
-  });
+test("the checker detects a leader without a takeover fence", () => {
+  expectDetected("ran_twice", withoutTakeoverFence);
 });
 
-test("the checker catches shares that ignore the other groups", () => {
-  mustCatch("quota", () => {
+test("the checker detects quota shares that ignore the other partitions", () => {
+  expectDetected("quota", () => {
     const before = QuotaAllocator.prototype.share;
     QuotaAllocator.prototype.share = function (team) {
       const [c, g] = before.call(this, team);
@@ -595,7 +586,7 @@
   assert.deepEqual(w.checker.broken, [], report(w, 7));
 });
 
-test("the checker catches orders without a permit", () => {
+test("the checker detects commands without a leadership lease", () => {
   const before = Leadership.prototype.mayAct;
   const leave = Controller.prototype.mayLeave;
   Leadership.prototype.mayAct = () => true;
@@ -631,7 +622,7 @@
   return w;
 }
 
-test("the checker sees a permit whose age nobody looks at", () => {
+test("the checker detects a leadership lease whose age nobody checks", () => {
   const age = Object.getOwnPropertyDescriptor(
     Leadership.prototype,
     "leadershipLeaseUntilMs",
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -36,14 +36,14 @@
   randomJob,
   injectFaults,
   submitWorkload,
-} from "./sim/days.js";
-import { expectGuardNeeded } from "./sim/guards.js";
-import { Rng } from "./sim/rng.js";
+} from "./simulation/workloads.js";
+import { expectGuardNeeded } from "./simulation/guards.js";
+import { Rng } from "./simulation/rng.js";
 import {
   productionRoster,
   productionSpec,
-} from "./sim/production-controller.js";
-import { World } from "./sim/world.js";
+} from "./simulation/production-controller.js";
+import { World } from "./simulation/world.js";
 
 /** The version in production and the present one, on each other's records and side by side. */
 
@@ -520,7 +520,7 @@
  */
 const LATE_REGISTRY = 730;
 
-test("upgrades full of troubles keep the rules: kills during them, old data, lowered limits, cancelled lines", () => {
+test("upgrades with many injected faults keep the rules: kills during them, old data, lowered limits, cancelled lines", () => {
   let done = 0;
   for (let seed = 720; seed < 740; seed++) {
     // A test of its own, below.
