--- a/test/scenarios/large-fleet.ts
+++ b/test/scenarios/large-fleet.ts
@@ -150,7 +150,7 @@
 const contradiction = (machine: SimWorker): Heartbeat => ({
   worker: machine.id,
   address: "10.0.0.2:1",
-  type: "big",
+  type: machine.type.name === "big" ? "small" : "big",
   zone: machine.zone,
   spot: machine.spot,
   incarnation: machine.incarnation,
