--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -331,6 +331,19 @@
       );
   }
 
+  private async sendCommand(
+    effect: Extract<Effect, { type: "workerCommand" }>,
+  ): Promise<void> {
+    const { op, address, token, incarnation, commands } = effect;
+    const reply = await this.workers.command(
+      address,
+      token,
+      incarnation,
+      commands,
+    );
+    this.feed({ type: "commandReply", op, reply });
+  }
+
   private carryOut(e: Effect): void {
     if (!this.core.mayLeave(e, performance.now())) return this.withhold(e);
     switch (e.type) {
@@ -352,11 +365,7 @@
         for (const x of this.extensions) x.onStoreChanges?.(e);
         break;
       case "workerCommand":
-        void this.workers
-          .command(e.address, e.token, e.incarnation, e.commands)
-          .then((reply) =>
-            this.feed({ type: "commandReply", op: e.op, reply }),
-          );
+        void this.sendCommand(e);
         break;
       case "inspect":
         void this.workers
--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -137,6 +137,11 @@
       "How long this controller may go on without the state service",
       () => Math.max(0, permitMs() / 1000),
     );
+    this.watchProcess();
+  }
+
+  private watchProcess(): void {
+    const gauge = this.gauge.bind(this);
     gauge(
       "memory_heap_bytes",
       "Heap in use",
