--- a/src/coordination/leadership/leadership-bids.ts
+++ b/src/coordination/leadership/leadership-bids.ts
@@ -3,10 +3,10 @@
  * release the partition. This module owns what decides when to bid: which peers answer, and which partitions go unserved.
  */
 import { leadershipBidKey, partitionKey } from "../../storage/records.js";
-import type { EventLog } from "../../logging/events.js";
 import type {
   Clock,
   Configuration,
+  Context,
   StoreTransactions,
   StoreView,
 } from "../context.js";
@@ -24,7 +24,7 @@
   Configuration &
   StoreView &
   StoreTransactions &
-  EventLog;
+  Pick<Context, "log">;
 
 /** When the workers of a partition could not be served, in steady time. */
 interface UnservedPeriod {
--- a/src/coordination/leadership/orphaned-tasks.ts
+++ b/src/coordination/leadership/orphaned-tasks.ts
@@ -8,10 +8,10 @@
   partitionKey,
   writeJob,
 } from "../../storage/records.js";
-import type { EventLog } from "../../logging/events.js";
 import type {
   Clock,
   Configuration,
+  Context,
   StoreTransactions,
   StoreView,
 } from "../context.js";
@@ -52,7 +52,7 @@
       Configuration &
       StoreView &
       StoreTransactions &
-      EventLog,
+      Pick<Context, "log">,
     private readonly leaderlessPartitions: Pick<LeaderlessPartitions, "token">,
     /** How a job would be assigned now, by partition; null: it cannot be decided yet. */
     private readonly partitionJob: (
