--- a/test/parts.test.ts
+++ b/test/coordination/components.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DEFAULTS, parseOperator } from "../src/config/operator.js";
-import { parseSettings } from "../src/config/settings.js";
-import { PartitionMap } from "../src/coordination/leadership/partition-map.js";
-import type { JobSpec, MachineType } from "../src/coordination/model.js";
-import { storeLeaseTtlMs } from "../src/coordination/leadership/store-lease-ttl.js";
-import { SchedulingRound } from "../src/coordination/scheduling/scheduling-round.js";
-import { RangeSet } from "../src/coordination/jobs/range-set.js";
-import { partitionJob } from "../src/coordination/jobs/job-partitioner.js";
-import { capablePartitions } from "../src/coordination/jobs/partition-capacity.js";
+import { DEFAULTS, parseOperator } from "../../src/config/operator.js";
+import { parseSettings } from "../../src/config/settings.js";
+import { PartitionMap } from "../../src/coordination/leadership/partition-map.js";
+import type { JobSpec, MachineType } from "../../src/coordination/model.js";
+import { storeLeaseTtlMs } from "../../src/coordination/leadership/store-lease-ttl.js";
+import { SchedulingRound } from "../../src/coordination/scheduling/scheduling-round.js";
+import { RangeSet } from "../../src/coordination/jobs/range-set.js";
+import { partitionJob } from "../../src/coordination/jobs/job-partitioner.js";
+import { capablePartitions } from "../../src/coordination/jobs/partition-capacity.js";
 import {
   encode,
   encodeReply,
@@ -16,9 +16,9 @@
   Frame,
   FrameReader,
   MAX_FRAME,
-} from "../src/protocol/frames.js";
-import { parseJob } from "../src/protocol/jobs.js";
-import { parseHeartbeat } from "../src/protocol/workers.js";
+} from "../../src/protocol/frames.js";
+import { parseJob } from "../../src/protocol/jobs.js";
+import { parseHeartbeat } from "../../src/protocol/workers.js";
 import {
   COMPLETION_BLOCK,
   completionBlock,
@@ -27,9 +27,9 @@
   readJob,
   writeCompletion,
   writeJob,
-} from "../src/storage/records.js";
-import { RateLimiter } from "../src/transport/rate-limiter.js";
-import { Rng } from "./sim/rng.js";
+} from "../../src/storage/records.js";
+import { RateLimiter } from "../../src/transport/rate-limiter.js";
+import { Rng } from "../simulation/rng.js";
 
 const JOB = {
   id: "req-000412",
--- a/test/contradictions.test.ts
+++ b/test/coordination/inconsistent-input.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { parseHeartbeat } from "../src/protocol/workers.js";
-import { describeWorkload } from "./sim/guards.js";
-import { World } from "./sim/world.js";
+import { parseHeartbeat } from "../../src/protocol/workers.js";
+import { describeWorkload } from "../simulation/guards.js";
+import { World } from "../simulation/world.js";
 
 /** What contradicts itself or what is known changes nothing, and is told of in the log once a minute at most. */
 
--- a/test/awaiting.test.ts
+++ b/test/coordination/jobs/dependencies.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Answer } from "../src/coordination/effects.js";
-import { DependencyTracker } from "../src/coordination/jobs/dependency-tracker.js";
-import type { Context } from "../src/coordination/context.js";
-import { StoreCache } from "../src/coordination/store/store-cache.js";
-import type { JobSpec } from "../src/coordination/model.js";
-import { RangeSet } from "../src/coordination/jobs/range-set.js";
-import { jobKey, finalKey, writeJob } from "../src/storage/records.js";
-import { pipelines, randomJob } from "./sim/days.js";
-import { World } from "./sim/world.js";
+import type { Answer } from "../../../src/coordination/effects.js";
+import { DependencyTracker } from "../../../src/coordination/jobs/dependency-tracker.js";
+import type { Context } from "../../../src/coordination/context.js";
+import { StoreCache } from "../../../src/coordination/store/store-cache.js";
+import type { JobSpec } from "../../../src/coordination/model.js";
+import { RangeSet } from "../../../src/coordination/jobs/range-set.js";
+import { jobKey, finalKey, writeJob } from "../../../src/storage/records.js";
+import { pipelines, randomJob } from "../../simulation/workloads.js";
+import { World } from "../../simulation/world.js";
 
 /** Jobs that wait for others, one situation at a time. */
 
--- a/test/receipts.test.ts
+++ b/test/coordination/machines/delivery-tracker.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Answer } from "../src/coordination/effects.js";
-import type { PartitionLeader } from "../src/coordination/scheduling/partition-leader.js";
-import type { Heartbeat } from "../src/coordination/model.js";
-import { randomJob, submitWorkload } from "./sim/days.js";
-import { World } from "./sim/world.js";
+import type { Answer } from "../../../src/coordination/effects.js";
+import type { PartitionLeader } from "../../../src/coordination/scheduling/partition-leader.js";
+import type { Heartbeat } from "../../../src/coordination/model.js";
+import { randomJob, submitWorkload } from "../../simulation/workloads.js";
+import { World } from "../../simulation/world.js";
 
 /** What a late copy of a report may establish: the rows of the table in docs/design.md. */
 
--- a/test/renting.test.ts
+++ b/test/coordination/machines/scale-out.test.ts
@@ -1,29 +1,32 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DEFAULTS } from "../src/config/operator.js";
-import type { Context } from "../src/coordination/context.js";
-import type { CloudCall, CloudReply } from "../src/coordination/effects.js";
-import { ownDueAt } from "../src/coordination/store/job-view.js";
-import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
-import type { JobSpec, MachineType } from "../src/coordination/model.js";
+import { DEFAULTS } from "../../../src/config/operator.js";
+import type { Context } from "../../../src/coordination/context.js";
+import type {
+  CloudCall,
+  CloudReply,
+} from "../../../src/coordination/effects.js";
+import { ownDueAt } from "../../../src/coordination/store/job-view.js";
+import { PartitionState } from "../../../src/coordination/scheduling/partition-state.js";
+import type { JobSpec, MachineType } from "../../../src/coordination/model.js";
 import {
   UnplaceableCache,
   isSuitable,
-} from "../src/coordination/scheduling/placement.js";
-import { isShort } from "../src/coordination/scheduling/scheduling-round.js";
-import { RangeSet } from "../src/coordination/jobs/range-set.js";
-import { MachineRegistry } from "../src/coordination/machines/machine-registry.js";
-import { ScaleOut } from "../src/coordination/machines/scale-out.js";
-import type { QuotaAllocator } from "../src/coordination/quota/index.js";
-import { partitionJob } from "../src/coordination/jobs/job-partitioner.js";
-import { placesForWhole } from "../src/coordination/jobs/partition-capacity.js";
+} from "../../../src/coordination/scheduling/placement.js";
+import { isShort } from "../../../src/coordination/scheduling/scheduling-round.js";
+import { RangeSet } from "../../../src/coordination/jobs/range-set.js";
+import { MachineRegistry } from "../../../src/coordination/machines/machine-registry.js";
+import { ScaleOut } from "../../../src/coordination/machines/scale-out.js";
+import type { QuotaAllocator } from "../../../src/coordination/quota/index.js";
+import { partitionJob } from "../../../src/coordination/jobs/job-partitioner.js";
+import { placesForWhole } from "../../../src/coordination/jobs/partition-capacity.js";
 import {
   type JobRun,
   newJobRun,
   type Worker,
-} from "../src/coordination/machines/worker-state.js";
-import type { Write } from "../src/protocol/state.js";
-import type { CapacityRecord } from "../src/storage/records.js";
+} from "../../../src/coordination/machines/worker-state.js";
+import type { Write } from "../../../src/protocol/state.js";
+import type { CapacityRecord } from "../../../src/storage/records.js";
 
 /** What a group rents and where a gang goes: decisions that went wrong on days with hundreds of machines. */
 
--- a/test/limits/farm.ts
+++ b/test/coordination/quota/process-cluster.ts
@@ -1,8 +1,8 @@
 import http from "node:http";
 import type { AddressInfo } from "node:net";
 import { performance } from "node:perf_hooks";
-import { Deployment, listen, sleep } from "../hooks/processes.js";
-import type { Rng } from "../sim/rng.js";
+import { Deployment, listen, sleep } from "../../webhooks/processes.js";
+import type { Rng } from "../../simulation/rng.js";
 
 /** Stand-in machines on loopback for real controllers, after PROTOCOL's "Workers -> controller nodes"; and their own count of what runs. */
 
--- a/test/limits.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -1,41 +1,45 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { DEFAULTS } from "../src/config/operator.js";
-import type { Team } from "../src/config/settings.js";
-import type { PartitionDemand } from "../src/coordination/quota/partition-demand.js";
-import { planQuotas } from "../src/coordination/quota/quota-plan.js";
-import type { QuotaSituation } from "../src/coordination/quota/quota-situation.js";
+import { DEFAULTS } from "../../../src/config/operator.js";
+import type { Team } from "../../../src/config/settings.js";
+import type { PartitionDemand } from "../../../src/coordination/quota/partition-demand.js";
+import { planQuotas } from "../../../src/coordination/quota/quota-plan.js";
+import type { QuotaSituation } from "../../../src/coordination/quota/quota-situation.js";
 import {
   GuaranteeReclaims,
   QuotaAllocator,
-} from "../src/coordination/quota/index.js";
+} from "../../../src/coordination/quota/index.js";
 import {
   entryIn,
   entryOf,
   type QuotaRecord,
   mayUse,
   overdrawn,
-} from "../src/coordination/quota/quota-records.js";
-import type { ResourceAmounts } from "../src/coordination/quota/resource-amounts.js";
-import type { JobSpec } from "../src/coordination/model.js";
-import { SchedulingRound } from "../src/coordination/scheduling/scheduling-round.js";
-import { explore } from "../src/verification/explore.js";
+} from "../../../src/coordination/quota/quota-records.js";
+import type { ResourceAmounts } from "../../../src/coordination/quota/resource-amounts.js";
+import type { JobSpec } from "../../../src/coordination/model.js";
+import { SchedulingRound } from "../../../src/coordination/scheduling/scheduling-round.js";
+import { explore } from "../../../src/verification/explore.js";
 import {
   type Guard,
   GUARDS,
   quotaModel,
   type QuotaScope,
-} from "../src/verification/quota-model.js";
-import { bytesOf, QUOTA_KEY, type Shares } from "../src/storage/records.js";
-import { farm } from "./limits/farm.js";
+} from "../../../src/verification/quota-model.js";
+import {
+  bytesOf,
+  QUOTA_KEY,
+  type Shares,
+} from "../../../src/storage/records.js";
+import { farm } from "./process-cluster.js";
 import {
   randomJob,
   injectFaults,
   injectLargeFaults,
   submitWorkload,
-} from "./sim/days.js";
-import { World } from "./sim/world.js";
+} from "../../simulation/workloads.js";
+import { World } from "../../simulation/world.js";
 
 /** Teams' limits and guarantees over all controllers. */
 
--- a/test/moves.test.ts
+++ b/test/coordination/scheduling/rebalancer.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { JobSpec } from "../src/coordination/model.js";
-import { submit } from "./sim/days.js";
-import { describeWorkload } from "./sim/guards.js";
-import { plainJob } from "./scenarios/stage.js";
-import { World } from "./sim/world.js";
+import type { JobSpec } from "../../../src/coordination/model.js";
+import { submit } from "../../simulation/workloads.js";
+import { describeWorkload } from "../../simulation/guards.js";
+import { plainJob } from "../../scenarios/stage.js";
+import { World } from "../../simulation/world.js";
 
 /** An array of two CPUs a task, each of which runs for half a minute. */
 function arrayOf(world: World, id: number, over: Partial<JobSpec>): JobSpec {
--- a/test/daemon.test.ts
+++ b/test/daemon/daemon.test.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { after, before, test } from "node:test";
-import { freePort } from "./ports.js";
+import { freePort } from "../transport/free-port.js";
 
 /** The real program over loopback, against stand-ins for the state service, the cloud and one worker. */
 
--- a/test/golden/core-trace.ts
+++ b/test/golden/core-trace.ts
@@ -32,8 +32,8 @@
   randomJob,
   injectFaults,
   submitWorkload,
-} from "../sim/days.js";
-import { World } from "../sim/world.js";
+} from "../simulation/workloads.js";
+import { World } from "../simulation/world.js";
 
 /**
  * A recorded run of the core: everything that controllers are told and return on a seeded day of the simulation, in the form in which it
--- a/test/golden.test.ts
+++ b/test/golden/golden.test.ts
@@ -4,14 +4,14 @@
   describeStoredFields,
   recordCoreTrace,
   TRACE_DAYS,
-} from "./golden/core-trace.js";
-import { expectText } from "./golden/expect.js";
-import { recordWebhooksTrace } from "./golden/hooks-trace.js";
-import "./golden/metrics.js";
-import "./golden/protocol.js";
-import "./golden/records.js";
-import "./golden/settings.js";
-import "./golden/transport.js";
+} from "./core-trace.js";
+import { expectText } from "./expect.js";
+import { recordWebhooksTrace } from "./webhooks-trace.js";
+import "./metrics.js";
+import "./protocol.js";
+import "./records.js";
+import "./settings.js";
+import "./transport.js";
 
 // What other programs, and other versions of this one, read and write. A change of names inside the program leaves all of it as it is.
 
--- a/test/golden/transport.ts
+++ b/test/golden/transport.ts
@@ -29,9 +29,9 @@
   toHttp,
 } from "../../src/transport/http-server.js";
 import { WorkerClient } from "../../src/transport/worker-client.js";
-import { LIMITS } from "../hooks/days.js";
-import { Store } from "../hooks/store.js";
-import { World } from "../sim/world.js";
+import { LIMITS } from "../webhooks/webhook-world.js";
+import { Store } from "../webhooks/store.js";
+import { World } from "../simulation/world.js";
 import { expectJson, expectText } from "./expect.js";
 import { COMMANDS } from "./protocol.js";
 
--- a/test/golden/hooks-trace.ts
+++ b/test/golden/webhooks-trace.ts
@@ -1,6 +1,11 @@
 import { createHash } from "node:crypto";
 import { stateRequest } from "../../src/protocol/state.js";
-import { calm, WebhookWorld, LIMITS, faults } from "../hooks/days.js";
+import {
+  calm,
+  WebhookWorld,
+  LIMITS,
+  faults,
+} from "../webhooks/webhook-world.js";
 
 const DAY_MS = 60_000;
 const REST_MS = 30_000;
--- a/test/log-events.test.ts
+++ b/test/logging/events.test.ts
@@ -6,7 +6,7 @@
   logEntry,
   type LogEvent,
   metricLabel,
-} from "../src/logging/events.js";
+} from "../../src/logging/events.js";
 
 interface Row {
   event: string;
--- a/test/run.ts
+++ b/test/run.ts
@@ -1,5 +1,5 @@
 import { existsSync, readdirSync, readFileSync, writeSync } from "node:fs";
-import { dirname, join } from "node:path";
+import { dirname, join, sep } from "node:path";
 import { run } from "node:test";
 import { spec, tap } from "node:test/reporters";
 import { fileURLToPath } from "node:url";
@@ -12,9 +12,10 @@
 const files =
   named.length > 0
     ? named
-    : readdirSync(here)
-        .filter((f) => f.endsWith(".test.js"))
-        .map((f) => join(here, f));
+    : readdirSync(here, { recursive: true, encoding: "utf8" })
+        .filter((path) => path.endsWith(".test.js"))
+        .filter((path) => !path.startsWith(`production${sep}`))
+        .map((path) => join(here, path));
 const ended: Ended[] = [];
 // A process that does not end would keep the run from ending, and so from saying what failed.
 const stream = run({
--- a/test/scenario-cancelled-in-handover.test.ts
+++ b/test/scenarios/cancelled-in-transfer.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { PartitionLeader } from "../src/coordination/scheduling/partition-leader.js";
-import { cancelledInTransfer } from "./scenarios/cancelled-in-handover.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
+import { PartitionLeader } from "../../src/coordination/scheduling/partition-leader.js";
+import { cancelledInTransfer } from "./cancelled-in-transfer.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
 
 test("jobs cancelled in each phase in which a group changes hands: nothing of them starts, and what runs is gone in time", () => {
   expectRulesKept(cancelledInTransfer, [0, 1, 2, 3, 4, 5, 6, 7], 3);
--- a/test/scenarios/cancelled-in-handover.ts
+++ b/test/scenarios/cancelled-in-transfer.ts
@@ -1,5 +1,5 @@
-import { cancel, submitWorkload } from "../sim/days.js";
-import type { World } from "../sim/world.js";
+import { cancel, submitWorkload } from "../simulation/workloads.js";
+import type { World } from "../simulation/world.js";
 import {
   cutOffLeader,
   partitionOf,
--- a/test/scenarios/commit-kinds.ts
+++ b/test/scenarios/commit-kinds.ts
@@ -1,6 +1,6 @@
 import type { Write } from "../../src/protocol/state.js";
 import { parseKey, readJob, readFinal } from "../../src/storage/records.js";
-import type { CommitCall, World } from "../sim/world.js";
+import type { CommitCall, World } from "../simulation/world.js";
 
 /** Kinds of commits, as the table of commits in docs/design/meetings.md has them. */
 export const COMMIT_KINDS = [
--- a/test/scenario-close-questions.test.ts
+++ b/test/scenarios/concurrent-queries.test.ts
@@ -1,8 +1,8 @@
 import { test } from "node:test";
-import { FinalStatusReader } from "../src/coordination/store/final-status-reader.js";
-import { StoreWatcher } from "../src/coordination/store/store-watcher.js";
-import { closeQuestions } from "./scenarios/close-questions.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
+import { FinalStatusReader } from "../../src/coordination/store/final-status-reader.js";
+import { StoreWatcher } from "../../src/coordination/store/store-watcher.js";
+import { closeQuestions } from "./concurrent-queries.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
 
 test("questions, repeated submissions and cancellations at all controllers within milliseconds: no answer is older than what was told", () => {
   expectRulesKept(closeQuestions, [1, 2, 3, 4, 5], 5);
--- a/test/scenarios/close-questions.ts
+++ b/test/scenarios/concurrent-queries.ts
@@ -4,8 +4,8 @@
   pipelines,
   submit,
   submitWorkload,
-} from "../sim/days.js";
-import type { World } from "../sim/world.js";
+} from "../simulation/workloads.js";
+import type { World } from "../simulation/world.js";
 import {
   cutFromPeers,
   Occurrences,
--- a/test/scenario-held-commands.test.ts
+++ b/test/scenarios/delayed-commands.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { heldCommands } from "./scenarios/held-commands.js";
-import { World } from "./sim/world.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { heldCommands } from "./delayed-commands.js";
+import { World } from "../simulation/world.js";
 
 test("direct commands that are held up and carried out once, after a new leader's, on machines that can't report, for jobs that are cancelled", () => {
   expectRulesKept(heldCommands, [0, 1, 2, 3], 3);
--- a/test/scenarios/expect.ts
+++ b/test/scenarios/expect.ts
@@ -1,5 +1,5 @@
 import assert from "node:assert/strict";
-import { expectGuardNeeded, describeWorkload } from "../sim/guards.js";
+import { expectGuardNeeded, describeWorkload } from "../simulation/guards.js";
 import type { Scenario } from "./stage.js";
 
 /** No rule breaks on these days, and each conjunction occurs at least so often on all of them together. */
--- a/test/scenario-quick-machines.test.ts
+++ b/test/scenarios/fast-booting-machines.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { MachineRegistry } from "../src/coordination/machines/machine-registry.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { quickMachines } from "./scenarios/quick-machines.js";
+import { MachineRegistry } from "../../src/coordination/machines/machine-registry.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { quickMachines } from "./fast-booting-machines.js";
 
 test("machines up within two seconds that get work at once while the commit that lists them lags, and their leader ends around it", () => {
   expectRulesKept(quickMachines, [0, 1, 2, 3, 4, 5, 6, 7, 8, 9], 1);
--- a/test/scenarios/quick-machines.ts
+++ b/test/scenarios/fast-booting-machines.ts
@@ -1,7 +1,7 @@
 import { parseKey, readRegistry } from "../../src/storage/records.js";
-import { submitWorkload } from "../sim/days.js";
-import type { SimWorker } from "../sim/machine.js";
-import type { CommitCall, CommitFate, World } from "../sim/world.js";
+import { submitWorkload } from "../simulation/workloads.js";
+import type { SimWorker } from "../simulation/machine.js";
+import type { CommitCall, CommitFate, World } from "../simulation/world.js";
 import {
   Occurrences,
   plainJob,
--- a/test/scenarios/index.ts
+++ b/test/scenarios/index.ts
@@ -1,18 +1,18 @@
-import { cancelledInTransfer } from "./cancelled-in-handover.js";
-import { closeQuestions } from "./close-questions.js";
-import { heldCommands } from "./held-commands.js";
+import { cancelledInTransfer } from "./cancelled-in-transfer.js";
+import { closeQuestions } from "./concurrent-queries.js";
+import { heldCommands } from "./delayed-commands.js";
 import { largeFleetAtFullSize } from "./large-fleet.js";
 import { lastTask } from "./last-task.js";
 import { lateTransactions } from "./late-transactions.js";
 import { leaderChanges } from "./leader-changes.js";
 import { limitsOutOfReach } from "./limits-out-of-reach.js";
-import { lostAnswers } from "./lost-answers.js";
-import { oldReports } from "./old-reports.js";
+import { lostAnswers } from "./lost-replies.js";
+import { oldReports } from "./stale-heartbeats.js";
 import { oneTaskJobs } from "./one-task-jobs.js";
-import { quickMachines } from "./quick-machines.js";
+import { quickMachines } from "./fast-booting-machines.js";
 import type { Scenario } from "./stage.js";
-import { unreachedTasks } from "./unreached-tasks.js";
-import { zones } from "./zones.js";
+import { unreachedTasks } from "./unreachable-tasks.js";
+import { zones } from "./zone-failures.js";
 
 /** Scenarios by name, for long searches. */
 export const SCENARIOS: Readonly<Record<string, Scenario>> = {
--- a/test/scenarios/large-fleet-checks.ts
+++ b/test/scenarios/large-fleet-checks.ts
@@ -1,7 +1,7 @@
 /** What a large fleet must keep beyond the simulation's rules: redirects, relays and the number of log lines. */
 import type { Answer, Effect, Input } from "../../src/coordination/effects.js";
-import type { SimWorker } from "../sim/machine.js";
-import type { World } from "../sim/world.js";
+import type { SimWorker } from "../simulation/machine.js";
+import type { World } from "../simulation/world.js";
 import type { Occurrences, Takeover } from "./stage.js";
 
 /** A subject of a rate-limited warning is logged at most this often by one log. */
--- a/test/scenario-large-fleet.test.ts
+++ b/test/scenarios/large-fleet.test.ts
@@ -1,12 +1,12 @@
 /** The scenario of a large fleet, with fewer machines and bounds lowered in proportion; the search command runs it at full size. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Redirects } from "../src/coordination/machines/redirects.js";
-import { RateLimitedLog } from "../src/logging/rate-limited-log.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { largeFleet } from "./scenarios/large-fleet.js";
-import { boundsInProportion } from "./scenarios/lowered-bounds.js";
-import type { ScenarioRun } from "./scenarios/stage.js";
+import { Redirects } from "../../src/coordination/machines/redirects.js";
+import { RateLimitedLog } from "../../src/logging/rate-limited-log.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { largeFleet } from "./large-fleet.js";
+import { boundsInProportion } from "./lowered-bounds.js";
+import type { ScenarioRun } from "./stage.js";
 
 const MACHINES = 300;
 /** For the tests that the checks notice what they are there for. */
--- a/test/scenarios/large-fleet.ts
+++ b/test/scenarios/large-fleet.ts
@@ -9,9 +9,9 @@
  */
 import { DEFAULTS } from "../../src/config/operator.js";
 import type { Heartbeat, JobSpec } from "../../src/coordination/model.js";
-import { largeJob, submitWorkload } from "../sim/days.js";
-import type { SimWorker } from "../sim/machine.js";
-import type { World } from "../sim/world.js";
+import { largeJob, submitWorkload } from "../simulation/workloads.js";
+import type { SimWorker } from "../simulation/machine.js";
+import type { World } from "../simulation/world.js";
 import { LogCheck, RedirectCheck } from "./large-fleet-checks.js";
 import { lowerBounds, type LoweredBounds } from "./lowered-bounds.js";
 import {
--- a/test/scenario-last-task.test.ts
+++ b/test/scenarios/last-task.test.ts
@@ -1,8 +1,8 @@
 import { test } from "node:test";
-import { Controller } from "../src/coordination/controller.js";
-import { FINAL_PREFIX, readFinal } from "../src/storage/records.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { lastTask } from "./scenarios/last-task.js";
+import { Controller } from "../../src/coordination/controller.js";
+import { FINAL_PREFIX, readFinal } from "../../src/storage/records.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { lastTask } from "./last-task.js";
 
 test("a cancellation, a question or a repeated submission meets the end of a job's last task, with no other trouble", () => {
   expectRulesKept(lastTask, [0, 1, 2, 3, 4, 5, 6, 7], 3);
--- a/test/scenarios/last-task.ts
+++ b/test/scenarios/last-task.ts
@@ -3,8 +3,8 @@
   askAllControllers,
   submit,
   submitWorkload,
-} from "../sim/days.js";
-import type { World } from "../sim/world.js";
+} from "../simulation/workloads.js";
+import type { World } from "../simulation/world.js";
 import {
   Occurrences,
   plainJob,
--- a/test/scenario-late-transactions.test.ts
+++ b/test/scenarios/late-transactions.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { lateTransactions } from "./scenarios/late-transactions.js";
+import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { lateTransactions } from "./late-transactions.js";
 
 const SEEDS = [0, 1, 2, 3, 4, 5];
 
--- a/test/scenarios/late-transactions.ts
+++ b/test/scenarios/late-transactions.ts
@@ -1,5 +1,5 @@
-import { pipelines, submitWorkload } from "../sim/days.js";
-import type { CommitCall, World } from "../sim/world.js";
+import { pipelines, submitWorkload } from "../simulation/workloads.js";
+import type { CommitCall, World } from "../simulation/world.js";
 import { type CommitKind, kindsOf } from "./commit-kinds.js";
 import {
   Occurrences,
--- a/test/scenario-leader-changes.test.ts
+++ b/test/scenarios/leader-changes.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { leaderChanges } from "./scenarios/leader-changes.js";
+import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { leaderChanges } from "./leader-changes.js";
 
 test("ten changes of leader in two minutes, also inside outages, all away for longer than a lease, one back at once: the rules hold", () => {
   expectRulesKept(leaderChanges, [0, 1, 2, 3], 3);
--- a/test/scenario-limits-out-of-reach.test.ts
+++ b/test/scenarios/limits-out-of-reach.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { limitsOutOfReach } from "./scenarios/limits-out-of-reach.js";
+import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { limitsOutOfReach } from "./limits-out-of-reach.js";
 
 test("jobs cancelled at their teams' limits, on machines out of reach, and a new leader within the lease: the limits hold, and they are gone in time", () => {
   expectRulesKept(limitsOutOfReach, [0, 1, 2, 3, 4, 5, 6, 7, 8, 9], 1);
--- a/test/scenarios/limits-out-of-reach.ts
+++ b/test/scenarios/limits-out-of-reach.ts
@@ -1,6 +1,6 @@
-import { cancel, submitWorkload } from "../sim/days.js";
-import type { SimWorker } from "../sim/machine.js";
-import type { World } from "../sim/world.js";
+import { cancel, submitWorkload } from "../simulation/workloads.js";
+import type { SimWorker } from "../simulation/machine.js";
+import type { World } from "../simulation/world.js";
 import {
   cutOffLeader,
   partitionOf,
--- a/test/scenario-lost-answers.test.ts
+++ b/test/scenarios/lost-replies.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { Controller } from "../src/coordination/controller.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { lostAnswers } from "./scenarios/lost-answers.js";
+import { Controller } from "../../src/coordination/controller.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { lostAnswers } from "./lost-replies.js";
 
 test("transactions of every kind whose answers alone are lost, while others read what was written and commit on top of it", () => {
   expectRulesKept(lostAnswers, [0, 1, 2, 3, 4, 5, 6, 7, 8], 1);
--- a/test/scenarios/lost-answers.ts
+++ b/test/scenarios/lost-replies.ts
@@ -1,7 +1,12 @@
 import type { JobSpec } from "../../src/coordination/model.js";
-import { largeJob, pipelines, randomJob, submitWorkload } from "../sim/days.js";
+import {
+  largeJob,
+  pipelines,
+  randomJob,
+  submitWorkload,
+} from "../simulation/workloads.js";
 import { gangKey, parseKey } from "../../src/storage/records.js";
-import type { CommitCall, World } from "../sim/world.js";
+import type { CommitCall, World } from "../simulation/world.js";
 import { COMMIT_KINDS, type CommitKind, kindsOf } from "./commit-kinds.js";
 import {
   Occurrences,
--- a/test/scenarios/lowered-bounds.ts
+++ b/test/scenarios/lowered-bounds.ts
@@ -4,7 +4,7 @@
 import { Redirects } from "../../src/coordination/machines/redirects.js";
 import type { PartitionLeader } from "../../src/coordination/scheduling/partition-leader.js";
 import { RateLimitedLog } from "../../src/logging/rate-limited-log.js";
-import type { World } from "../sim/world.js";
+import type { World } from "../simulation/world.js";
 
 /** The software's bounds, where they are not to be its own. */
 export interface LoweredBounds {
--- a/test/scenario-one-task-jobs.test.ts
+++ b/test/scenarios/one-task-jobs.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Controller } from "../src/coordination/controller.js";
-import { FINAL_PREFIX, readFinal } from "../src/storage/records.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { oneTaskJobs } from "./scenarios/one-task-jobs.js";
+import { Controller } from "../../src/coordination/controller.js";
+import { FINAL_PREFIX, readFinal } from "../../src/storage/records.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { oneTaskJobs } from "./one-task-jobs.js";
 
 /** The least that a deployment of the operators allows: changes a second. */
 const CHANGES_PER_S = 60;
--- a/test/scenarios/one-task-jobs.ts
+++ b/test/scenarios/one-task-jobs.ts
@@ -1,6 +1,6 @@
 import { parseKey } from "../../src/storage/records.js";
-import { cancel, submit } from "../sim/days.js";
-import type { World } from "../sim/world.js";
+import { cancel, submit } from "../simulation/workloads.js";
+import type { World } from "../simulation/world.js";
 import {
   Occurrences,
   plainJob,
--- a/test/scenarios/stage.ts
+++ b/test/scenarios/stage.ts
@@ -1,9 +1,9 @@
 import type { JobSpec, Tuning } from "../../src/coordination/model.js";
 import type { Settings } from "../../src/config/settings.js";
 import { partitionKey } from "../../src/storage/records.js";
-import { randomJob } from "../sim/days.js";
-import type { SimTask, SimWorker } from "../sim/machine.js";
-import { World } from "../sim/world.js";
+import { randomJob } from "../simulation/workloads.js";
+import type { SimTask, SimWorker } from "../simulation/machine.js";
+import { World } from "../simulation/world.js";
 
 /**
  * What the scenarios share. A scenario brings one conjunction of troubles about: it waits for a state, acts on it at a drawn moment,
--- a/test/scenario-old-reports.test.ts
+++ b/test/scenarios/stale-heartbeats.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { DeliveryTracker } from "../src/coordination/machines/delivery-tracker.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { oldReports } from "./scenarios/old-reports.js";
+import { DeliveryTracker } from "../../src/coordination/machines/delivery-tracker.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { oldReports } from "./stale-heartbeats.js";
 
 test("old reports at every controller as a new leader begins, and after it has acted: they establish nothing", () => {
   expectRulesKept(oldReports, [0, 1, 2, 3, 4, 5], 3);
--- a/test/scenarios/old-reports.ts
+++ b/test/scenarios/stale-heartbeats.ts
@@ -1,7 +1,7 @@
 import type { Heartbeat } from "../../src/coordination/model.js";
 import { jobKey, readJob } from "../../src/storage/records.js";
-import { cancel, submitWorkload } from "../sim/days.js";
-import type { World } from "../sim/world.js";
+import { cancel, submitWorkload } from "../simulation/workloads.js";
+import type { World } from "../simulation/world.js";
 import {
   cutOffLeader,
   partitionOfZone,
--- a/test/scenario-unreached-tasks.test.ts
+++ b/test/scenarios/unreachable-tasks.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { unreachedTasks } from "./scenarios/unreached-tasks.js";
+import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { unreachedTasks } from "./unreachable-tasks.js";
 
 const SEEDS = [0, 1, 2, 3, 4, 5];
 
--- a/test/scenario-zones.test.ts
+++ b/test/scenarios/zone-failures.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import { Leadership } from "../src/coordination/leadership/leadership.js";
-import { expectDetected, expectRulesKept } from "./scenarios/expect.js";
-import { zones } from "./scenarios/zones.js";
+import { Leadership } from "../../src/coordination/leadership/leadership.js";
+import { expectDetected, expectRulesKept } from "./expect.js";
+import { zones } from "./zone-failures.js";
 
 test("jobs bound to a zone that loses machines, and zones cut off with their controller for longer than a lease: the rules hold", () => {
   expectRulesKept(zones, [0, 1, 2, 3], 3);
--- a/test/scenarios/zones.ts
+++ b/test/scenarios/zone-failures.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from "../../src/coordination/model.js";
-import { cancel, submitWorkload } from "../sim/days.js";
-import type { World } from "../sim/world.js";
+import { cancel, submitWorkload } from "../simulation/workloads.js";
+import type { World } from "../simulation/world.js";
 import {
   Occurrences,
   plainJob,
--- a/test/checker.test.ts
+++ b/test/simulation/checker.test.ts
@@ -1,20 +1,20 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { PartitionLeader } from "../src/coordination/scheduling/partition-leader.js";
-import { Scheduler } from "../src/coordination/scheduling/scheduler.js";
+import { PartitionLeader } from "../../src/coordination/scheduling/partition-leader.js";
+import { Scheduler } from "../../src/coordination/scheduling/scheduler.js";
 import {
   StoreWatcher,
   type StoreWatcherPorts,
-} from "../src/coordination/store/store-watcher.js";
-import { JobAdmission } from "../src/coordination/jobs/job-admission.js";
+} from "../../src/coordination/store/store-watcher.js";
+import { JobAdmission } from "../../src/coordination/jobs/job-admission.js";
 import {
   plainJob,
   runToEnd,
   stage,
   tasksOnMachines,
-} from "./scenarios/stage.js";
-import { cancel, oddRequest, submitWorkload } from "./sim/days.js";
-import type { World } from "./sim/world.js";
+} from "../scenarios/stage.js";
+import { cancel, oddRequest, submitWorkload } from "./workloads.js";
+import type { World } from "./world.js";
 
 /** Each of these checks of the simulation is seen to fail once what it watches is switched off. */
 
--- a/test/nights.test.ts
+++ b/test/simulation/failure-scenarios.test.ts
@@ -1,15 +1,15 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { DEFAULTS } from "../src/config/operator.js";
-import type { Effect } from "../src/coordination/effects.js";
-import { FairQueue } from "../src/coordination/store/fair-queue.js";
-import { FinalStatusReader } from "../src/coordination/store/final-status-reader.js";
-import type { JobSpec } from "../src/coordination/model.js";
-import { DeliveryTracker } from "../src/coordination/machines/delivery-tracker.js";
-import { failureScenario, randomJob } from "./sim/days.js";
-import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
-import { World } from "./sim/world.js";
+import { DEFAULTS } from "../../src/config/operator.js";
+import type { Effect } from "../../src/coordination/effects.js";
+import { FairQueue } from "../../src/coordination/store/fair-queue.js";
+import { FinalStatusReader } from "../../src/coordination/store/final-status-reader.js";
+import type { JobSpec } from "../../src/coordination/model.js";
+import { DeliveryTracker } from "../../src/coordination/machines/delivery-tracker.js";
+import { failureScenario, randomJob } from "./workloads.js";
+import { expectGuardNeeded, describeWorkload } from "./guards.js";
+import { World } from "./world.js";
 
 /** Bad nights: docs/design/nights.md has the table of guards and tests. */
 
--- a/test/meetings-more.test.ts
+++ b/test/simulation/fault-combinations-extended.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DeliveryTracker } from "../src/coordination/machines/delivery-tracker.js";
-import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
+import { DeliveryTracker } from "../../src/coordination/machines/delivery-tracker.js";
+import { expectGuardNeeded, describeWorkload } from "./guards.js";
 import {
   drawMore,
   type AllFaultCombinationCounts,
   noFaultCombinations,
   playMore,
-} from "./sim/meetings.js";
-import type { World } from "./sim/world.js";
+} from "./fault-combinations.js";
+import type { World } from "./world.js";
 
 /** The rest of the meetings that the operators name: docs/design/meetings.md has the table of meetings, tests and guards. */
 
--- a/test/meetings.test.ts
+++ b/test/simulation/fault-combinations.test.ts
@@ -1,32 +1,32 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Context } from "../src/coordination/context.js";
-import { Controller } from "../src/coordination/controller.js";
-import type { Input } from "../src/coordination/effects.js";
-import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
-import type { JobSpec } from "../src/coordination/model.js";
-import { Leadership } from "../src/coordination/leadership/leadership.js";
-import { storeLeaseTtlMs } from "../src/coordination/leadership/store-lease-ttl.js";
-import { StoreWatcher } from "../src/coordination/store/store-watcher.js";
-import type { StateCall } from "../src/protocol/state.js";
+import type { Context } from "../../src/coordination/context.js";
+import { Controller } from "../../src/coordination/controller.js";
+import type { Input } from "../../src/coordination/effects.js";
+import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
+import type { JobSpec } from "../../src/coordination/model.js";
+import { Leadership } from "../../src/coordination/leadership/leadership.js";
+import { storeLeaseTtlMs } from "../../src/coordination/leadership/store-lease-ttl.js";
+import { StoreWatcher } from "../../src/coordination/store/store-watcher.js";
+import type { StateCall } from "../../src/protocol/state.js";
 import {
   observedLimitsKey,
   gangKey,
   inBlock,
   readCompletion,
   capacityKey,
-} from "../src/storage/records.js";
-import { leaderChanges } from "./scenarios/leader-changes.js";
-import { randomJob } from "./sim/days.js";
-import { expectGuardNeeded, describeWorkload } from "./sim/guards.js";
+} from "../../src/storage/records.js";
+import { leaderChanges } from "../scenarios/leader-changes.js";
+import { randomJob } from "./workloads.js";
+import { expectGuardNeeded, describeWorkload } from "./guards.js";
 import {
   draw,
   gap,
   type FaultCombinationCounts,
   NO_MEETINGS,
   play,
-} from "./sim/meetings.js";
-import { World } from "./sim/world.js";
+} from "./fault-combinations.js";
+import { World } from "./world.js";
 
 /** Where two troubles meet: docs/design.md has the table of meetings, tests and guards. */
 
--- a/test/sim/meetings.ts
+++ b/test/simulation/fault-combinations.ts
@@ -7,7 +7,7 @@
   randomJob,
   submit,
   submitWorkload,
-} from "./days.js";
+} from "./workloads.js";
 import type { SimWorker } from "./machine.js";
 import type { Rng } from "./rng.js";
 import { World } from "./world.js";
--- a/test/sim/hunt.ts
+++ b/test/simulation/hunt.ts
@@ -4,7 +4,7 @@
   pipelines,
   injectFaults,
   submitWorkload,
-} from "./days.js";
+} from "./workloads.js";
 import {
   draw,
   drawMore,
@@ -14,10 +14,10 @@
   playMore,
   shrink,
   type InjectedFault,
-} from "./meetings.js";
+} from "./fault-combinations.js";
 import { World } from "./world.js";
 
-// Looks for seeds that break a rule: node target/test-build/test/sim/hunt.js KIND FROM TO. README says which kinds there are. Of drawn
+// Looks for seeds that break a rule: node target/test-build/test/simulation/hunt.js KIND FROM TO. README says which kinds there are. Of drawn
 // troubles it prints the fewest that still break the rule; at the end, how often each conjunction occurred and on how many days.
 
 /** One day of a search. */
--- a/test/sim/limits.ts
+++ b/test/simulation/quota-comparison.ts
@@ -6,11 +6,11 @@
   randomJob,
   injectFaults,
   submitWorkload,
-} from "./days.js";
+} from "./workloads.js";
 import { World } from "./world.js";
 
 // How much of a limit is in use while work waits, against one allocator that knows everything at once and whose word needs no
-// time: node target/test-build/test/sim/limits.js SEEDS
+// time: node target/test-build/test/simulation/quota-comparison.js SEEDS
 
 const LIMIT = 120;
 const team = (name: string, cpusMax: number): Team => ({
--- a/test/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -1,20 +1,20 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Controller } from "../src/coordination/controller.js";
-import { PartitionState } from "../src/coordination/scheduling/partition-state.js";
-import { Leadership } from "../src/coordination/leadership/leadership.js";
-import { QuotaAllocator } from "../src/coordination/quota/index.js";
-import { freeOn } from "../src/coordination/machines/worker-state.js";
-import type { JobSpec } from "../src/coordination/model.js";
+import { Controller } from "../../src/coordination/controller.js";
+import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
+import { Leadership } from "../../src/coordination/leadership/leadership.js";
+import { QuotaAllocator } from "../../src/coordination/quota/index.js";
+import { freeOn } from "../../src/coordination/machines/worker-state.js";
+import type { JobSpec } from "../../src/coordination/model.js";
 import {
   largeJob,
   injectLargeFaults,
   randomJob,
   injectFaults,
   submitWorkload,
-} from "./sim/days.js";
-import type { SimWorker } from "./sim/machine.js";
-import { World } from "./sim/world.js";
+} from "./workloads.js";
+import type { SimWorker } from "./machine.js";
+import { World } from "./world.js";
 
 const DAY_MS = 240_000;
 
--- a/test/software-limits.test.ts
+++ b/test/software-limits.test.ts
@@ -22,8 +22,8 @@
 import { HttpClient } from "../src/transport/http-client.js";
 import { maxInFlight, PeerMesh } from "../src/transport/peer-mesh.js";
 import { WorkerClient } from "../src/transport/worker-client.js";
-import { randomJob } from "./sim/days.js";
-import { World } from "./sim/world.js";
+import { randomJob } from "./simulation/workloads.js";
+import { World } from "./simulation/world.js";
 
 /** No bound of the software stands below 4,000 machines in one group or under one controller. */
 
--- a/test/transport.test.ts
+++ b/test/transport/transport.test.ts
@@ -1,15 +1,15 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DEFAULTS } from "../src/config/operator.js";
-import { parseSettings } from "../src/config/settings.js";
-import { Daemon } from "../src/daemon/daemon.js";
+import { DEFAULTS } from "../../src/config/operator.js";
+import { parseSettings } from "../../src/config/settings.js";
+import { Daemon } from "../../src/daemon/daemon.js";
 import {
   ConnectionTable,
   CONNECTION_KINDS,
   type ConnectionKind,
-} from "../src/transport/connection-table.js";
-import { api, type RequestHandler } from "../src/transport/http-server.js";
-import { Rng } from "./sim/rng.js";
+} from "../../src/transport/connection-table.js";
+import { api, type RequestHandler } from "../../src/transport/http-server.js";
+import { Rng } from "../simulation/rng.js";
 
 /** What stands between the sockets and the core. */
 
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -36,14 +36,14 @@
   randomJob,
   injectFaults,
   submitWorkload,
-} from "./sim/days.js";
-import { expectGuardNeeded } from "./sim/guards.js";
-import { Rng } from "./sim/rng.js";
+} from "./simulation/workloads.js";
+import { expectGuardNeeded } from "./simulation/guards.js";
+import { Rng } from "./simulation/rng.js";
 import {
   productionRoster,
   productionSpec,
-} from "./sim/production-controller.js";
-import { World } from "./sim/world.js";
+} from "./simulation/production-controller.js";
+import { World } from "./simulation/world.js";
 
 /** The version in production and the present one, on each other's records and side by side. */
 
--- a/test/hooks.test.ts
+++ b/test/webhooks/delivery.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DEFAULTS } from "../src/config/operator.js";
-import { FINAL_PREFIX, readFinal } from "../src/storage/records.js";
-import { pipelines, submitWorkload } from "./sim/days.js";
-import { World } from "./sim/world.js";
-import { calm, WebhookWorld, LIMITS, faults } from "./hooks/days.js";
+import { DEFAULTS } from "../../src/config/operator.js";
+import { FINAL_PREFIX, readFinal } from "../../src/storage/records.js";
+import { pipelines, submitWorkload } from "../simulation/workloads.js";
+import { World } from "../simulation/world.js";
+import { calm, WebhookWorld, LIMITS, faults } from "./webhook-world.js";
 
 /** One seeded day: three receivers, troubles of all kinds, a few hundred ends. */
 function day(
--- a/test/hooks/measure.ts
+++ b/test/webhooks/measure.ts
@@ -1,6 +1,6 @@
-/** Measurements by hand, in simulated time but for the last: `node --expose-gc target/test-build/test/hooks/measure.js`. */
+/** Measurements by hand, in simulated time but for the last: `node --expose-gc target/test-build/test/webhooks/measure.js`. */
 import { build, type Histogram } from "hdr-histogram-js";
-import { WebhookWorld, LIMITS, type Receiver } from "./days.js";
+import { WebhookWorld, LIMITS, type Receiver } from "./webhook-world.js";
 import { Deployment } from "./processes.js";
 import { Store } from "./store.js";
 
--- a/test/hooks/kills.ts
+++ b/test/webhooks/process-kills.ts
@@ -1,4 +1,4 @@
-/** A long run by hand: `node target/test-build/test/hooks/kills.js SEED ENDS KILL_EVERY_MS`. */
+/** A long run by hand: `node target/test-build/test/webhooks/process-kills.js SEED ENDS KILL_EVERY_MS`. */
 import { kills } from "./processes.js";
 
 const [seed = 1, ends = 3_000, every = 1_500] = process.argv
--- a/test/hooks/processes.ts
+++ b/test/webhooks/processes.ts
@@ -14,8 +14,8 @@
   type StateCall,
   type StateReply,
 } from "../../src/protocol/state.js";
-import { freePort } from "../ports.js";
-import { Rng } from "../sim/rng.js";
+import { freePort } from "../transport/free-port.js";
+import { Rng } from "../simulation/rng.js";
 import { Store } from "./store.js";
 
 /** Real controllers on loopback, against stand-ins for the state service, the cloud and the receivers of hooks. */
--- a/test/hooks-sending.test.ts
+++ b/test/webhooks/webhook-sending.test.ts
@@ -5,23 +5,23 @@
 import type { AddressInfo } from "node:net";
 import { test, type TestContext } from "node:test";
 import { Webhook } from "standardwebhooks";
-import { Breaker } from "../src/webhooks/circuit-breaker.js";
-import type { AttemptRequest } from "../src/webhooks/delivery.js";
-import { chosenController } from "../src/webhooks/delivery-lanes.js";
+import { Breaker } from "../../src/webhooks/circuit-breaker.js";
+import type { AttemptRequest } from "../../src/webhooks/delivery.js";
+import { chosenController } from "../../src/webhooks/delivery-lanes.js";
 import {
   AllowedNetworks,
   parseNetwork,
-} from "../src/webhooks/allowed-networks.js";
-import { LANE_COUNT, Packer } from "../src/webhooks/records.js";
-import { WebhookSender } from "../src/webhooks/webhook-sender.js";
+} from "../../src/webhooks/allowed-networks.js";
+import { LANE_COUNT, Packer } from "../../src/webhooks/records.js";
+import { WebhookSender } from "../../src/webhooks/webhook-sender.js";
 import {
   messageBody,
   parseSecret,
   signature,
-} from "../src/webhooks/signing.js";
-import { certificate, Deployment, kills } from "./hooks/processes.js";
-import { WebhookWorld, LIMITS } from "./hooks/days.js";
-import { Rng } from "./sim/rng.js";
+} from "../../src/webhooks/signing.js";
+import { certificate, Deployment, kills } from "./processes.js";
+import { WebhookWorld, LIMITS } from "./webhook-world.js";
+import { Rng } from "../simulation/rng.js";
 
 test("real processes: forced kills of one and of all controllers, a receiver in all moods; nothing lost, every repeat explained", async () => {
   const { ended, wrong, d } = await kills(7, 120, 1_000);
--- a/test/hooks/days.ts
+++ b/test/webhooks/webhook-world.ts
@@ -11,7 +11,7 @@
   AttemptRequest,
 } from "../../src/webhooks/delivery.js";
 import { WEBHOOKS_PREFIX } from "../../src/webhooks/records.js";
-import { Rng } from "../sim/rng.js";
+import { Rng } from "../simulation/rng.js";
 import { Store } from "./store.js";
 
 export const LIMITS: WebhookLimits = {
