--- a/test/coordination/jobs/dependencies.test.ts
+++ b/test/coordination/jobs/dependencies.test.ts
@@ -366,7 +366,7 @@
 });
 
 /** Breaks the way jobs wait on purpose and expects the checker to notice. */
-function mustCatch(rule: RegExp, breakIt: () => () => void): void {
+function expectDetected(rule: RegExp, breakIt: () => () => void): void {
   const mend = breakIt();
   try {
     for (let seed = 20; seed < 30; seed++) {
@@ -378,11 +378,11 @@
   } finally {
     mend();
   }
-  assert.fail(`${rule} was not caught`);
+  assert.fail(`${rule} was not detected`);
 }
 
 test("the checker catches jobs that are released too early", () => {
-  mustCatch(/too_early/, () => {
+  expectDetected(/too_early/, () => {
     const proto = DependencyTracker.prototype as unknown as {
       onJob: (view: { dependsOn: readonly string[] }) => void;
     };
@@ -400,7 +400,7 @@
 });
 
 test("the checker catches jobs that go on being called queued after one that they need is cancelled", () => {
-  mustCatch(/orphaned/, () => {
+  expectDetected(/orphaned/, () => {
     const proto = DependencyTracker.prototype as unknown as {
       cancelWithDependency: (e: object) => void;
     };
--- a/test/scenarios/expect.ts
+++ b/test/scenarios/expect.ts
@@ -1,8 +1,12 @@
 import assert from "node:assert/strict";
-import { expectGuardNeeded, describeWorkload } from "../simulation/guards.js";
+import {
+  expectGuardNeeded,
+  describeWorkload,
+  type SwitchOff,
+} from "../simulation/guards.js";
 import type { Scenario } from "./stage.js";
 
-/** No rule breaks on these days, and each conjunction occurs at least so often on all of them together. */
+/** No rule breaks in the workloads of these seeds, and each conjunction occurs at least so often on all of them together. */
 export function expectRulesKept(
   scenario: Scenario,
   seeds: readonly number[],
@@ -20,12 +24,12 @@
     assert.ok(n >= least, `"${name}" occurred ${n} times, not ${least}`);
 }
 
-/** With a guard switched off, `off` returning what switches it on again, the rule breaks on one of these days. */
+/** With a guard switched off the rule breaks in the workload of one of these seeds. */
 export function expectDetected(
   scenario: Scenario,
   seeds: readonly number[],
   rule: string,
-  off: () => () => void,
+  switchOff: SwitchOff,
 ): void {
-  expectGuardNeeded((seed) => scenario(seed).world, seeds, rule, off);
+  expectGuardNeeded((seed) => scenario(seed).world, seeds, rule, switchOff);
 }
--- a/test/scenarios/leader-changes.test.ts
+++ b/test/scenarios/leader-changes.test.ts
@@ -1,17 +1,17 @@
 import { test } from "node:test";
-import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
 import { expectDetected, expectRulesKept } from "./expect.js";
 import { leaderChanges } from "./leader-changes.js";
+import { withoutTakeoverFence } from "../simulation/guards.js";
 
 test("ten changes of leader in two minutes, also inside outages, all away for longer than a lease, one back at once: the rules hold", () => {
   expectRulesKept(leaderChanges, [0, 1, 2, 3], 3);
 });
 
 test("guard: a task of a former leader's job starts only once all machines are accounted for", () => {
-  expectDetected(leaderChanges, [0, 1, 2, 3], "ran_twice", () => {
-    const before = PartitionState.prototype.mayStart;
-    PartitionState.prototype.mayStart = (job) =>
-      !job.isOver && !job.waiting.isEmpty;
-    return () => (PartitionState.prototype.mayStart = before);
-  });
+  expectDetected(
+    leaderChanges,
+    [0, 1, 2, 3],
+    "ran_twice",
+    withoutTakeoverFence,
+  );
 });
--- a/test/scenarios/one-task-jobs.test.ts
+++ b/test/scenarios/one-task-jobs.test.ts
@@ -1,9 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Controller } from "../../src/coordination/controller.js";
-import { FINAL_PREFIX, readFinal } from "../../src/storage/records.js";
 import { expectDetected, expectRulesKept } from "./expect.js";
 import { oneTaskJobs } from "./one-task-jobs.js";
+import { withoutEndCondition } from "../simulation/guards.js";
 
 /** The least that a deployment of the operators allows: changes a second. */
 const CHANGES_PER_S = 60;
@@ -16,17 +15,7 @@
 });
 
 test("guard: a cancellation that meets the end of the last task is conditional on the job's record", () => {
-  expectDetected(oneTaskJobs, [0], "went_back", () => {
-    const before = Controller.prototype.commit;
-    Controller.prototype.commit = function (conditions, writes, urgent, done) {
-      const cancels = writes.some(
-        (w) =>
-          w.op === "put" &&
-          w.key.startsWith(FINAL_PREFIX) &&
-          readFinal(w.value)?.status === "cancelled",
-      );
-      before.call(this, cancels ? [] : conditions, writes, urgent, done);
-    };
-    return () => (Controller.prototype.commit = before);
-  });
+  expectDetected(oneTaskJobs, [0], "went_back", () =>
+    withoutEndCondition("cancelled"),
+  );
 });
--- a/test/simulation/fault-combinations-extended.test.ts
+++ b/test/simulation/fault-combinations-extended.test.ts
@@ -1,7 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DeliveryTracker } from "../../src/coordination/machines/delivery-tracker.js";
-import { expectGuardNeeded, describeWorkload } from "./guards.js";
+import {
+  expectGuardNeeded,
+  describeWorkload,
+  withoutStaleCheck,
+} from "./guards.js";
 import {
   drawMore,
   type AllFaultCombinationCounts,
@@ -31,9 +34,5 @@
 const drawn = (seed: number): World => playMore(seed, drawMore(seed)).world;
 
 test("guard: a report that is older than what is known says nothing, also when it is kept for a new master", () => {
-  expectGuardNeeded(drawn, [56], "ran_twice", () => {
-    const before = DeliveryTracker.prototype.isStale;
-    DeliveryTracker.prototype.isStale = () => false;
-    return () => (DeliveryTracker.prototype.isStale = before);
-  });
+  expectGuardNeeded(drawn, [56], "ran_twice", withoutStaleCheck);
 });
--- a/test/simulation/fault-combinations.test.ts
+++ b/test/simulation/fault-combinations.test.ts
@@ -3,11 +3,9 @@
 import type { Context } from "../../src/coordination/context.js";
 import { Controller } from "../../src/coordination/controller.js";
 import type { Input } from "../../src/coordination/effects.js";
-import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
 import type { JobSpec } from "../../src/coordination/model.js";
 import { Leadership } from "../../src/coordination/leadership/leadership.js";
 import { storeLeaseTtlMs } from "../../src/coordination/leadership/store-lease-ttl.js";
-import { StoreWatcher } from "../../src/coordination/store/store-watcher.js";
 import type { StateCall } from "../../src/protocol/state.js";
 import {
   observedLimitsKey,
@@ -18,7 +16,13 @@
 } from "../../src/storage/records.js";
 import { leaderChanges } from "../scenarios/leader-changes.js";
 import { randomJob } from "./workloads.js";
-import { expectGuardNeeded, describeWorkload } from "./guards.js";
+import {
+  expectGuardNeeded,
+  describeWorkload,
+  withoutTakeoverFence,
+  withoutPinnedStarts,
+  withoutReadBeforeAnswer,
+} from "./guards.js";
 import {
   draw,
   gap,
@@ -477,33 +481,13 @@
 });
 
 test("guard: what a former master may have started counts until its machines have spoken or their leases are over", () => {
-  expectGuardNeeded(drawn, [11, 15], "ran_twice", () => {
-    const before = PartitionState.prototype.mayStart;
-    PartitionState.prototype.mayStart = (job) =>
-      !job.isOver && !job.waiting.isEmpty;
-    return () => (PartitionState.prototype.mayStart = before);
-  });
+  expectGuardNeeded(drawn, [11, 15], "ran_twice", withoutTakeoverFence);
 });
 test("guard: a start without an answer pins its task, for the command may still go on", () => {
-  expectGuardNeeded(drawn, [2, 4], "quota", () => {
-    const before = World.prototype.run;
-    World.prototype.run = function (untilMs) {
-      this.afterStep = (core) => {
-        for (const m of core.leaders.values())
-          for (const x of m.state.workers.values())
-            if (!x.commandInFlight) x.unansweredStarts.clear();
-      };
-      before.call(this, untilMs);
-    };
-    return () => (World.prototype.run = before);
-  });
+  expectGuardNeeded(drawn, [2, 4], "quota", withoutPinnedStarts);
 });
 test("guard: an answer that is not final rests on a read that was sent after the question", () => {
-  expectGuardNeeded(drawn, [2, 9], "went_back", () => {
-    const before = StoreWatcher.prototype.afterRead;
-    StoreWatcher.prototype.afterRead = (req, id, next) => next(req, id);
-    return () => (StoreWatcher.prototype.afterRead = before);
-  });
+  expectGuardNeeded(drawn, [2, 9], "went_back", withoutReadBeforeAnswer);
 });
 
 test("guard: nothing is done for a group from before it is given up, whatever becomes of the commit", () => {
--- a/test/simulation/guards.ts
+++ b/test/simulation/guards.ts
@@ -1,23 +1,87 @@
+/**
+ * Guards of the core that tests switch off, to show that the checker detects what each of them prevents. A switch-off replaces a
+ * method of the core and returns the function that restores it.
+ */
 import assert from "node:assert/strict";
-import type { World } from "./world.js";
+import { Controller } from "../../src/coordination/controller.js";
+import { DeliveryTracker } from "../../src/coordination/machines/delivery-tracker.js";
+import { PartitionState } from "../../src/coordination/scheduling/partition-state.js";
+import { StoreWatcher } from "../../src/coordination/store/store-watcher.js";
+import { FINAL_PREFIX, readFinal } from "../../src/storage/records.js";
+import { World } from "./world.js";
 
-/** What broke on a day, and the last that was logged. */
-export const describeWorkload = (w: World): string =>
-  `${w.checker.broken.join("; ")}\n${w.logs.slice(-20).join("\n")}`;
+/** Switches a guard off; the function it returns switches the guard on again. */
+export type SwitchOff = () => () => void;
 
-/** Switches a guard off, `off` returning what switches it on again, and expects the checker to notice on one of these days. */
+/** The broken rules of a workload, and the last lines of its log. */
+export const describeWorkload = (world: World): string =>
+  `${world.checker.broken.join("; ")}\n${world.logs.slice(-20).join("\n")}`;
+
+/** Switches a guard off and expects the checker to detect a broken `rule` in the workload of one of these seeds. */
 export function expectGuardNeeded(
-  day: (seed: number) => World,
+  workload: (seed: number) => World,
   seeds: readonly number[],
   rule: string,
-  off: () => () => void,
+  switchOff: SwitchOff,
 ): void {
-  const on = off();
+  const restore = switchOff();
   try {
     for (const seed of seeds)
-      if (day(seed).checker.broken.some((b) => b.startsWith(rule))) return;
+      if (workload(seed).checker.broken.some((text) => text.startsWith(rule)))
+        return;
   } finally {
-    on();
+    restore();
   }
-  assert.fail(`${rule} was not caught`);
+  assert.fail(`${rule} was not detected`);
+}
+
+/** Without the fence a new leader starts tasks that machines of the former leader may still run. */
+export function withoutTakeoverFence(): () => void {
+  const before = PartitionState.prototype.mayStart;
+  PartitionState.prototype.mayStart = (job) =>
+    !job.isOver && !job.waiting.isEmpty;
+  return () => (PartitionState.prototype.mayStart = before);
+}
+
+/** Without the stale check a heartbeat counts although a newer one is known. */
+export function withoutStaleCheck(): () => void {
+  const before = DeliveryTracker.prototype.isStale;
+  DeliveryTracker.prototype.isStale = () => false;
+  return () => (DeliveryTracker.prototype.isStale = before);
+}
+
+/** Without the read an answer rests on the cache as it is, however old that may be. */
+export function withoutReadBeforeAnswer(): () => void {
+  const before = StoreWatcher.prototype.afterRead;
+  StoreWatcher.prototype.afterRead = (req, id, next) => next(req, id);
+  return () => (StoreWatcher.prototype.afterRead = before);
+}
+
+/** Without the pin a task whose start command got no answer is free to start on another machine. */
+export function withoutPinnedStarts(): () => void {
+  const before = World.prototype.run;
+  World.prototype.run = function (untilMs) {
+    this.afterStep = (core) => {
+      for (const leader of core.leaders.values())
+        for (const worker of leader.state.workers.values())
+          if (!worker.commandInFlight) worker.unansweredStarts.clear();
+    };
+    before.call(this, untilMs);
+  };
+  return () => (World.prototype.run = before);
+}
+
+/** Without its conditions the commit that ends a job with this status replaces whatever another has written. */
+export function withoutEndCondition(status: "done" | "cancelled"): () => void {
+  const before = Controller.prototype.commit;
+  Controller.prototype.commit = function (conditions, writes, urgent, done) {
+    const endsJob = writes.some(
+      (write) =>
+        write.op === "put" &&
+        write.key.startsWith(FINAL_PREFIX) &&
+        readFinal(write.value)?.status === status,
+    );
+    before.call(this, endsJob ? [] : conditions, writes, urgent, done);
+  };
+  return () => (Controller.prototype.commit = before);
 }
--- a/test/simulation/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -15,6 +15,7 @@
 } from "./workloads.js";
 import type { SimWorker } from "./machine.js";
 import { World } from "./world.js";
+import { withoutTakeoverFence } from "./guards.js";
 
 const DAY_MS = 240_000;
 
@@ -396,7 +397,7 @@
 });
 
 /** Breaks something on purpose and expects the checker to notice within some seeds. */
-function mustCatch(rule: string, breakIt: () => () => void): void {
+function expectDetected(rule: string, breakIt: () => () => void): void {
   const mend = breakIt();
   try {
     for (let seed = 200; seed < 240; seed++)
@@ -405,7 +406,7 @@
   } finally {
     mend();
   }
-  assert.fail(`${rule} was not caught`);
+  assert.fail(`${rule} was not detected`);
 }
 
 test("a team's limit is not handed to and fro between groups whose jobs wait for machines, and both run once there are some", () => {
@@ -525,21 +526,11 @@
 });
 
 test("the checker catches a master without a fence", () => {
-  mustCatch("ran_twice", () => {
-    const proto = PartitionState.prototype as unknown as {
-      mayStart: (j: {
-        isOver: boolean;
-        waiting: { isEmpty: boolean };
-      }) => boolean;
-    };
-    const before = proto.mayStart;
-    proto.mayStart = (j) => !j.isOver && !j.waiting.isEmpty;
-    return () => (proto.mayStart = before);
-  });
+  expectDetected("ran_twice", withoutTakeoverFence);
 });
 
 test("the checker catches shares that ignore the other groups", () => {
-  mustCatch("quota", () => {
+  expectDetected("quota", () => {
     const before = QuotaAllocator.prototype.share;
     QuotaAllocator.prototype.share = function (team) {
       const [c, g] = before.call(this, team);
