--- a/test/coordination/jobs/dependencies.test.ts
+++ b/test/coordination/jobs/dependencies.test.ts
@@ -381,7 +381,7 @@
   assert.fail(`${rule} was not detected`);
 }
 
-test("the checker catches jobs that are released too early", () => {
+test("the checker detects jobs that are released too early", () => {
   expectDetected(/too_early/, () => {
     const proto = DependencyTracker.prototype as unknown as {
       onJob: (view: { dependsOn: readonly string[] }) => void;
@@ -399,7 +399,7 @@
   });
 });
 
-test("the checker catches jobs that go on being called queued after one that they need is cancelled", () => {
+test("the checker detects jobs that go on being called queued after one that they need is cancelled", () => {
   expectDetected(/orphaned/, () => {
     const proto = DependencyTracker.prototype as unknown as {
       cancelWithDependency: (e: object) => void;
--- a/test/coordination/quota/process-cluster.ts
+++ b/test/coordination/quota/process-cluster.ts
@@ -226,7 +226,7 @@
   starts: number;
   done: number;
   tasks: number;
-  /** Least part of a limit in use while its work waits, before the troubles began, and on average during them. */
+  /** Least part of a limit in use while its work waits, before the injected faults began, and on average during them. */
   calm: number;
   rough: number;
   logErrors: string[];
--- a/test/coordination/quota/quota.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -831,7 +831,7 @@
   assert.equal(round.head()!.spec.id, "c");
 });
 
-test("the checker catches a group that goes on using what it gives away", () => {
+test("the checker detects a partition that goes on using what it gives away", () => {
   const before = QuotaAllocator.prototype.share;
   QuotaAllocator.prototype.share = function (t) {
     const had = (this as unknown as { pendingChange: unknown }).pendingChange;
--- a/test/golden/core-trace.ts
+++ b/test/golden/core-trace.ts
@@ -418,7 +418,7 @@
   submitWorkload(world, FAULTS_UNTIL_MS, day.draw);
   pipelines(world, 5_000, FAULTS_UNTIL_MS);
   injectFaults(world, FAULTS_UNTIL_MS);
-  // Beside what the troubles bring: one failover at a fixed time.
+  // Beside what the injected faults bring: one failover at a fixed time.
   world.at(30_000, () => world.crash("node-a"));
   world.at(42_000, () => world.nodes.get("node-a") ?? world.boot("node-a"));
   world.run(DAY_MS);
--- a/test/scenarios/concurrent-queries.ts
+++ b/test/scenarios/concurrent-queries.ts
@@ -105,7 +105,7 @@
   return { world, occurred: occurred.counts };
 }
 
-/** One controller gets into trouble at the moment of a telling, before the questions that follow it. */
+/** One controller is hit by a fault at the moment of a telling, before the questions that follow it. */
 function disturb(world: World): void {
   const { rng } = world;
   const name = rng.pick(world.names);
--- a/test/scenarios/last-task.test.ts
+++ b/test/scenarios/last-task.test.ts
@@ -3,7 +3,7 @@
 import { lastTask } from "./last-task.js";
 import { withoutEndCondition } from "../simulation/guards.js";
 
-test("a cancellation, a question or a repeated submission meets the end of a job's last task, with no other trouble", () => {
+test("a cancellation, a question or a repeated submission meets the end of a job's last task, with no other injected fault", () => {
   expectRulesKept(lastTask, [0, 1, 2, 3, 4, 5, 6, 7], 3);
 });
 
--- a/test/scenarios/last-task.ts
+++ b/test/scenarios/last-task.ts
@@ -24,7 +24,7 @@
 const SIDES = ["before", "after"] as const;
 const SHAPES = ["array", "gang"] as const;
 
-/** A cancellation, a question at all controllers or a repeated submission meets the end of a job's last task, with no other trouble. */
+/** A cancellation, a question at all controllers or a repeated submission meets the end of a job's last task, with no other injected fault. */
 export function lastTask(seed: number): ScenarioRun {
   const world = stage(seed, { controllers: 1 + (seed % 4), runFactor: 0.8 });
   const { rng } = world;
--- a/test/scenarios/stage.ts
+++ b/test/scenarios/stage.ts
@@ -6,7 +6,7 @@
 import { World } from "../simulation/world.js";
 
 /**
- * What the scenarios share. A scenario brings one conjunction of troubles about: it waits for a state, acts on it at a drawn moment,
+ * What the scenarios share. A scenario brings one conjunction of injected faults about: it waits for a state, acts on it at a drawn moment,
  * and counts only what came together whole.
  */
 
@@ -239,7 +239,7 @@
   deadlineS: null,
 });
 
-/** After the last trouble at `overMs` the day goes on until forgotten and waiting jobs would have been noticed. */
+/** After the last injected fault at `overMs` the day goes on until forgotten and waiting jobs would have been noticed. */
 export function runToEnd(world: World, overMs: number): void {
   world.at(overMs, () => world.every(1_000, () => world.checker.nobodyLeft()));
   world.at(overMs + 80_000, () => world.checker.remembers(overMs + 5_000));
--- a/test/simulation/checker.test.ts
+++ b/test/simulation/checker.test.ts
@@ -13,14 +13,14 @@
   stage,
   tasksOnMachines,
 } from "../scenarios/stage.js";
-import { cancel, oddRequest, submitWorkload } from "./workloads.js";
+import { cancel, malformedRequest, submitWorkload } from "./workloads.js";
 import type { World } from "./world.js";
 
 /** Each of these checks of the simulation is seen to fail once what it watches is switched off. */
 
 const LAST_JOB_MS = 20_000;
 
-/** A day without troubles: two controllers, some jobs. */
+/** A day without injected faults: two controllers, some jobs. */
 function quietDay(prepare: (world: World) => void = () => {}): World {
   const world = stage(4, { controllers: 2, runFactor: 8 });
   prepare(world);
@@ -53,7 +53,9 @@
   );
 
 test("a quiet day passes every check", () => {
-  const world = quietDay((w) => w.every(1_000, () => oddRequest(w, w.starts)));
+  const world = quietDay((w) =>
+    w.every(1_000, () => malformedRequest(w, w.starts)),
+  );
   assert.deepEqual(world.checker.broken, []);
 });
 
@@ -61,7 +63,7 @@
   const day = (): World =>
     quietDay((w) => {
       for (let n = 0; n < 10; n++)
-        w.at(2_000 + n * 500, () => oddRequest(w, n));
+        w.at(2_000 + n * 500, () => malformedRequest(w, n));
     });
   breaks(
     without(JobAdmission.prototype, "reasonItCannotRun", () => null, day),
--- a/test/simulation/checker.ts
+++ b/test/simulation/checker.ts
@@ -234,7 +234,7 @@
     null;
   /** When a question about a job was last answered. */
   readonly heardOf = new Map<string, number>();
-  /** Called 75 s after the last trouble ended, at `sinceMs`: a job about which nothing was answered since counts as forgotten. */
+  /** Called 75 s after the last injected fault ended, at `sinceMs`: a job about which nothing was answered since counts as forgotten. */
   remembers(sinceMs: number): void {
     for (const [id, told] of this.told)
       if (
@@ -249,7 +249,7 @@
   }
   private readonly waitsSince = new Map<string, number>();
   /**
-   * Called every second once all troubles are over: no job is left waiting for 90 s while machines that fit have room for a task of it, or
+   * Called every second once all injected faults are over: no job is left waiting for 90 s while machines that fit have room for a task of it, or
    * for all tasks of a gang, and its team is under its limit.
    */
   nobodyLeft(): void {
--- a/test/simulation/failure-scenarios.test.ts
+++ b/test/simulation/failure-scenarios.test.ts
@@ -11,9 +11,9 @@
 import { expectGuardNeeded, describeWorkload } from "./guards.js";
 import { World } from "./world.js";
 
-/** Bad nights: docs/design/nights.md has the table of guards and tests. */
+/** Failure scenarios: docs/design/nights.md has the table of guards and tests. */
 
-test("bad nights with 1 to 7 controllers: the rules hold, and 75 s after the last trouble no job is forgotten or rests", () => {
+test("failure scenarios with 1 to 7 controllers: the rules hold, and 75 s after the last injected fault no job is forgotten or rests", () => {
   let starts = 0;
   let anew = 0;
   let deaf = 0;
--- a/test/simulation/fault-combinations-extended.test.ts
+++ b/test/simulation/fault-combinations-extended.test.ts
@@ -13,9 +13,9 @@
 } from "./fault-combinations.js";
 import type { World } from "./world.js";
 
-/** The rest of the meetings that the operators name: docs/design/meetings.md has the table of meetings, tests and guards. */
+/** The rest of the fault combinations that the operators name: docs/design/meetings.md has the table of fault combinations, tests and guards. */
 
-test("two to five troubles of all that the operators name, on a third of the days with short limits: the rules hold, nobody is left waiting, each meeting occurs", () => {
+test("two to five injected faults of all that the operators name, a third of the workloads with short limits: the rules hold, nobody is left waiting, each combination occurs", () => {
   const met = noFaultCombinations();
   for (const seed of [0, 1, 2, 15, 19, 32, 33, 51]) {
     const { world: w, occurred: m } = playMore(seed, drawMore(seed));
--- a/test/simulation/fault-combinations.test.ts
+++ b/test/simulation/fault-combinations.test.ts
@@ -27,22 +27,22 @@
   draw,
   gap,
   type FaultCombinationCounts,
-  NO_MEETINGS,
+  NO_COUNTS,
   play,
 } from "./fault-combinations.js";
 import { World } from "./world.js";
 
-/** Where two troubles meet: docs/design.md has the table of meetings, tests and guards. */
+/** Where two injected faults meet: docs/design.md has the table of fault combinations, tests and guards. */
 
 const total = (a: FaultCombinationCounts, b: FaultCombinationCounts): void => {
   for (const k of Object.keys(a) as (keyof FaultCombinationCounts)[])
     a[k] += b[k];
 };
 
-// ---- the meeting before all others -----------------------------------------------------------------------------
+// ---- the combination to test before all others -----------------------------------------------------------------------------
 
 test("the leader is refused alone, others confirm cancellations, then all are refused for longer than cancel_s: their tasks are gone in time", () => {
-  const met = { ...NO_MEETINGS };
+  const met = { ...NO_COUNTS };
   let longestMs = 0;
   let carried = 0;
   for (let seed = 0; seed < 14; seed++) {
@@ -465,8 +465,8 @@
 
 // ---- all of them, drawn ------------------------------------------------------------------------------------------
 
-test("two to four troubles at once, with 1 to 7 controllers: the rules hold, and each meeting occurs", () => {
-  const met = { ...NO_MEETINGS };
+test("two to four injected faults at once, with 1 to 7 controllers: the rules hold, and each combination occurs", () => {
+  const met = { ...NO_COUNTS };
   for (let seed = 0; seed < 14; seed++) {
     const { world: w, occurred: m } = play(seed, draw(seed));
     assert.deepEqual(
--- a/test/simulation/fault-combinations.ts
+++ b/test/simulation/fault-combinations.ts
@@ -2,7 +2,7 @@
 import {
   cancel,
   askAllControllers,
-  oddRequest,
+  malformedRequest,
   pipelines,
   randomJob,
   submit,
@@ -13,8 +13,8 @@
 import { World } from "./world.js";
 
 /**
- * Days on which two troubles meet. A day is a seed and a list of troubles, so that what broke a rule can be played again with
- * fewer of them. Each meeting is counted by what really happened: a day on which it did not occur counts for nothing.
+ * Workloads with combinations of injected faults. A workload is a seed and a list of faults, so that what broke a rule can be played
+ * again with fewer of them. Each combination is counted by what really happened: a workload in which it did not occur counts for nothing.
  */
 
 const KINDS = [
@@ -45,8 +45,8 @@
   "lostAnswers",
   "forNext",
   "atEnd",
-  "looks",
-  "odd",
+  "concurrentQueries",
+  "malformedRequests",
   "roll",
   "quickBoots",
   "burst",
@@ -64,7 +64,7 @@
   share: number;
 }
 
-/** How often each meeting of the operators' letter really happened. */
+/** How often each combination that the operators' letter names really occurred. */
 export interface FaultCombinationCounts {
   /** A group changed hands while machines with tasks could not be reached or heard nothing. */
   unreached: number;
@@ -83,7 +83,7 @@
   /** The same while the state service refused a controller or was down shortly after. */
   gapCancels: number;
 }
-export const NO_MEETINGS: FaultCombinationCounts = {
+export const NO_COUNTS: FaultCombinationCounts = {
   unreached: 0,
   lateCommands: 0,
   lateWrites: 0,
@@ -107,7 +107,7 @@
   /** Times that users asked at all controllers right after they were told something. */
   concurrentQueries: number;
   /** Requests that could only be refused, or repeated what was known. */
-  odd: number;
+  malformedRequests: number;
   /** Changes of the leader's groups by which a group had changed hands ten times within two minutes. */
   tenTimes: number;
   /** Machines that were up within 2 s and began a task within 3 s more. */
@@ -123,14 +123,14 @@
   /** Times that no controller was up, or none stood, for longer than a lease. */
   allAway: number;
 }
-const NO_MEETINGS_AT_ALL: AllFaultCombinationCounts = {
-  ...NO_MEETINGS,
+const NO_EXTENDED_COUNTS: AllFaultCombinationCounts = {
+  ...NO_COUNTS,
   mute: 0,
   lostAnswers: 0,
   forNext: 0,
   atEnd: 0,
   concurrentQueries: 0,
-  odd: 0,
+  malformedRequests: 0,
   tenTimes: 0,
   quick: 0,
   burst: 0,
@@ -140,7 +140,7 @@
   allAway: 0,
 };
 export const noFaultCombinations = (): AllFaultCombinationCounts => ({
-  ...NO_MEETINGS_AT_ALL,
+  ...NO_EXTENDED_COUNTS,
 });
 
 const controllersOf = (seed: number): number => (seed % 7) + 1;
@@ -173,7 +173,7 @@
   const over = (fn: () => void): void => w.at(t.forMs, fn);
   const some = (): SimWorker[] =>
     w.workers.filter((m) => !m.gone && r.chance(t.share));
-  w.note(`trouble ${t.kind}`, { node, forMs: t.forMs, share: t.share });
+  w.note(`injected fault ${t.kind}`, { node, forMs: t.forMs, share: t.share });
   switch (t.kind) {
     case "refuse":
       w.stateCut.set(node, "refused");
@@ -272,7 +272,7 @@
         );
       };
       return over(() => (w.jobEnded = null));
-    case "looks":
+    case "concurrentQueries":
       w.checker.onTold = (id, now) => {
         met.concurrentQueries++;
         askAllControllers(w, id);
@@ -280,11 +280,11 @@
           w.at(r.real(0, 100), () => cancel(w, id));
       };
       return over(() => (w.checker.onTold = null));
-    case "odd":
+    case "malformedRequests":
       for (let n = 0; n * 400 < t.forMs; n++)
         w.at(n * 400, () => {
-          met.odd++;
-          oddRequest(w, met.odd);
+          met.malformedRequests++;
+          malformedRequest(w, met.malformedRequests);
         });
       return;
     case "roll":
@@ -472,7 +472,7 @@
 
 const OVER_MS = 120_000;
 
-/** Plays a day of two to four troubles; all are over after 120 s, and what no question is answered about 75 s later is forgotten. */
+/** Plays a workload with two to four injected faults; all are over after 120 s, and what no question is answered about 75 s later is forgotten. */
 export function play(
   seed: number,
   faults: readonly InjectedFault[],
@@ -552,7 +552,7 @@
   return { world: w, occurred: met };
 }
 
-/** Two to four troubles close together, once or twice a day; in half of them the state service is one. */
+/** Two to four faults close together, once or twice a workload; in half of them the state service is one. */
 export function draw(seed: number): InjectedFault[] {
   return drawn(seed, 4, (r) =>
     r.chance(0.3)
@@ -584,7 +584,7 @@
   "lostAnswers",
   "forNext",
   "atEnd",
-  "looks",
+  "concurrentQueries",
   "roll",
 ];
 function drawn(
@@ -614,7 +614,7 @@
   return out.sort((a, b) => a.atMs - b.atMs);
 }
 
-/** The fewest of these troubles that still break a rule: one after the other is left out for as long as that goes. */
+/** The fewest of these faults that still break a rule: one after the other is left out for as long as that goes. */
 export function shrink(
   seed: number,
   faults: readonly InjectedFault[],
@@ -633,7 +633,7 @@
 const EDGE_MS = 13_500;
 
 /**
- * The meeting before all others. The state service refuses the leading controller alone, which a peer's carrying may bridge;
+ * The combination to test before all others. The state service refuses the leading controller alone, which a peer's carrying may bridge;
  * others confirm cancellations; within seconds the service is down for all, for longer than `cancel_s`, while workers go on
  * reporting to the old leader. Around the edges: the leader stands still with answers on their way to it, its touches are
  * held, a slow service. Twice in a row on every second day.
--- a/test/simulation/hunt.ts
+++ b/test/simulation/hunt.ts
@@ -18,7 +18,7 @@
 import { World } from "./world.js";
 
 // Looks for seeds that break a rule: node target/test-build/test/simulation/hunt.js KIND FROM TO. README says which kinds there are. Of drawn
-// troubles it prints the fewest that still break the rule; at the end, how often each conjunction occurred and on how many days.
+// injected faults it prints the fewest that still break the rule; at the end, how often each conjunction occurred and on how many days.
 
 /** One day of a search. */
 interface Workload {
@@ -26,7 +26,7 @@
   occurred?: Iterable<[string, number]>;
   /** Everything submitted had time to end. */
   comesToRest?: boolean;
-  /** For days of drawn troubles: the fewest that still break a rule. */
+  /** For days of drawn injected faults: the fewest that still break a rule. */
   fewest?: (() => readonly InjectedFault[]) | undefined;
 }
 
@@ -92,7 +92,11 @@
     if (checker.broken.length === 0 && !isOpen) continue;
     console.log(seed, checker.broken, { open, starts });
     if (checker.broken.length > 0 && day.fewest)
-      console.log(seed, "fewest troubles:", JSON.stringify(day.fewest()));
+      console.log(
+        seed,
+        "fewest injected faults:",
+        JSON.stringify(day.fewest()),
+      );
   }
   console.log(
     `${to - from} days of ${kind}; ${confirmed} tasks on machines when their cancellation was confirmed, the longest for ${longestMs / 1000} s; ${startedAfter} got on one after it`,
--- a/test/simulation/machine.ts
+++ b/test/simulation/machine.ts
@@ -24,7 +24,7 @@
   endsMs: number | null;
 }
 
-/** A direct command that is held up: for how long, and what is called just before the machine looks at it. */
+/** A direct command that is held up: for how long, and what is called just before the machine handles it. */
 export interface CommandHold {
   forMs: number;
   onArrival: () => void;
--- a/test/simulation/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -45,7 +45,7 @@
   }
 });
 
-test("days full of troubles keep the rules", () => {
+test("workloads with many injected faults keep the rules", () => {
   let starts = 0;
   for (let seed = 100; seed < 125; seed++) {
     const w = day(seed, true);
@@ -109,7 +109,7 @@
   }
 });
 
-/** Controllers that stand still and zones that are cut off, among all the other troubles. */
+/** Controllers that stand still and zones that are cut off, among all the other injected faults. */
 function standingStill(seed: number): World {
   const w = new World(seed, undefined, [], [1, 2, 3, 5][seed % 4]);
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
@@ -525,11 +525,11 @@
   );
 });
 
-test("the checker catches a master without a fence", () => {
+test("the checker detects a leader without a takeover fence", () => {
   expectDetected("ran_twice", withoutTakeoverFence);
 });
 
-test("the checker catches shares that ignore the other groups", () => {
+test("the checker detects quota shares that ignore the other partitions", () => {
   expectDetected("quota", () => {
     const before = QuotaAllocator.prototype.share;
     QuotaAllocator.prototype.share = function (team) {
@@ -586,7 +586,7 @@
   assert.deepEqual(w.checker.broken, [], report(w, 7));
 });
 
-test("the checker catches orders without a permit", () => {
+test("the checker detects commands without a leadership lease", () => {
   const before = Leadership.prototype.mayAct;
   const leave = Controller.prototype.mayLeave;
   Leadership.prototype.mayAct = () => true;
@@ -622,7 +622,7 @@
   return w;
 }
 
-test("the checker sees a permit whose age nobody looks at", () => {
+test("the checker detects a leadership lease whose age nobody checks", () => {
   const age = Object.getOwnPropertyDescriptor(
     Leadership.prototype,
     "leadershipLeaseUntilMs",
--- a/test/simulation/workloads.ts
+++ b/test/simulation/workloads.ts
@@ -2,7 +2,7 @@
 import type { JobSpec, Priority } from "../../src/coordination/model.js";
 import { World } from "./world.js";
 
-/** Users and troubles of a seeded day. */
+/** Users and injected faults of a seeded day. */
 
 export function randomJob(w: World, n: number): JobSpec {
   const r = w.rng;
@@ -228,7 +228,7 @@
       });
 }
 /** Submissions that are never accepted, and cancellations of what is done. */
-export function oddRequest(w: World, n: number): void {
+export function malformedRequest(w: World, n: number): void {
   const r = w.rng;
   const done = [...w.checker.told].filter(([, s]) => s === "done");
   if (done.length > 0 && r.chance(0.5)) cancel(w, r.pick(done)[0]);
@@ -287,7 +287,7 @@
 
 /**
  * What large deployments met: controllers that stand still, one after the other or during a takeover, zones cut off with
- * packets held, a part of the machines dying at once. Beside the other troubles, so that two and three meet.
+ * packets held, a part of the machines dying at once. Beside the other injected faults, so that two and three meet.
  */
 export function injectLargeFaults(w: World, untilMs: number): void {
   const r = w.rng;
@@ -331,7 +331,7 @@
   w.at(10_000, one);
 }
 
-/** One trouble after another, some at once; all are over by `untilMs`. */
+/** One injected fault after another, some at once; all are over by `untilMs`. */
 export function injectFaults(w: World, untilMs: number): void {
   const r = w.rng;
   const one = (): void => {
@@ -425,7 +425,7 @@
 }
 
 /**
- * Bad nights: controllers that are silent or stand still for long, or are back at once; machines that hear nothing; copies of reports that
+ * Failure scenarios: controllers that are silent or stand still for long, or are back at once; machines that hear nothing; copies of reports that
  * come late; a controller cut from the state service and its peers, but not from its workers; questions many times as often; jobs
  * submitted with a mistake. All are over by `untilMs`.
  */
@@ -494,7 +494,7 @@
   w.at(8_000, one);
 }
 
-/** A bad night of 1 to 7 controllers, over after 190 s; what is not remembered 75 s after 200 s counts as forgotten. */
+/** A failure scenario of 1 to 7 controllers, over after 190 s; what is not remembered 75 s after 200 s counts as forgotten. */
 export function failureScenario(seed: number): World {
   const w = new World(seed, undefined, [], (seed % 7) + 1);
   for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
--- a/test/simulation/world.ts
+++ b/test/simulation/world.ts
@@ -506,7 +506,7 @@
     const effects = node.core.step(input, this.now * node.drift, this.now);
     this.onStep?.(name, input, effects);
     this.afterStep?.(node.core);
-    // A controller looks at its permit once more before anything leaves: it may stand still before that, or after it.
+    // A controller checks its permit once more before anything leaves: it may stand still before that, or after it.
     const looksFirst = node.stillFor > 0 && this.rng.chance(0.5);
     const carryOut = (): void => {
       for (const e of effects) {
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -520,7 +520,7 @@
  */
 const LATE_REGISTRY = 730;
 
-test("upgrades full of troubles keep the rules: kills during them, old data, lowered limits, cancelled lines", () => {
+test("upgrades with many injected faults keep the rules: kills during them, old data, lowered limits, cancelled lines", () => {
   let done = 0;
   for (let seed = 720; seed < 740; seed++) {
     // A test of its own, below.
--- a/test/webhooks/delivery.test.ts
+++ b/test/webhooks/delivery.test.ts
@@ -6,7 +6,7 @@
 import { World } from "../simulation/world.js";
 import { calm, WebhookWorld, LIMITS, faults } from "./webhook-world.js";
 
-/** One seeded day: three receivers, troubles of all kinds, a few hundred ends. */
+/** One seeded day: three receivers, injected faults of all kinds, a few hundred ends. */
 function day(
   seed: number,
   broken = false,
@@ -94,7 +94,7 @@
   );
 });
 
-test("an outbox that is written after the end, instead of with it, is caught", () => {
+test("an outbox that is written after the end, instead of with it, is detected", () => {
   let lost = 0;
   for (let seed = 1; seed <= 2; seed++) lost += day(seed, true).left.length;
   assert.ok(lost > 0);
--- a/test/webhooks/webhook-world.ts
+++ b/test/webhooks/webhook-world.ts
@@ -528,7 +528,7 @@
   "tls",
 ];
 
-/** Troubles of a day: moods of receivers, kills, freezes, cuts, lost answers. */
+/** Injected faults of a day: moods of receivers, kills, freezes, cuts, lost answers. */
 export function faults(w: WebhookWorld, forMs: number): void {
   const { rng } = w;
   for (const r of w.receivers.values())
@@ -562,7 +562,7 @@
     });
   }
 }
-/** The end of all troubles. */
+/** The end of all injected faults. */
 export function calm(w: WebhookWorld): void {
   for (const r of w.receivers.values()) r.mood = "well";
   w.lossy = 0;
