--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -127,7 +127,7 @@
     const victims: TaskRun[] = [];
     let loss = 0;
     for (const task of [...worker.tasks.values()]
-      .filter((task) => this.mayPreempt(job, task, reclaimable))
+      .filter((candidate) => this.mayPreempt(job, candidate, reclaimable))
       .sort(
         (first, second) => this.lostWorkOf(first) - this.lostWorkOf(second),
       )) {
--- a/test/imports.test.ts
+++ b/test/imports.test.ts
@@ -39,7 +39,6 @@
     "coordination/model",
     "coordination/scheduling",
     "coordination/store",
-    "logging",
     "protocol",
     "storage/records",
   ],
--- a/test/simulation/hunt.ts
+++ b/test/simulation/hunt.ts
@@ -70,14 +70,15 @@
 const MOST_OPEN = 2;
 
 function main(kind: string, from: number, to: number): void {
-  const play = KINDS[kind];
-  if (!play) throw new Error(`KIND: one of ${Object.keys(KINDS).join(", ")}`);
+  const playKind = KINDS[kind];
+  if (!playKind)
+    throw new Error(`KIND: one of ${Object.keys(KINDS).join(", ")}`);
   const occurred = new Map<string, { times: number; days: number }>();
   let longestMs = 0;
   let confirmed = 0;
   let startedAfter = 0;
   for (let seed = from; seed < to; seed++) {
-    const day = play(seed);
+    const day = playKind(seed);
     const { checker, starts } = day.world;
     longestMs = Math.max(longestMs, checker.longestAfterMs);
     confirmed += checker.cancelledOn;
--- a/test/simulation/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -883,7 +883,7 @@
   });
   w.at(11_000, () => w.boot("node-a"));
   // It comes back shortly before its lease would be over, and is not told of the new token.
-  const report = (): void => {
+  const sendHeartbeat = (): void => {
     w.ask(
       "node-a",
       (req) => ({
@@ -894,9 +894,9 @@
       }),
       () => {},
     );
-    if (w.now < 28_000) w.at(700, report);
+    if (w.now < 28_000) w.at(700, sendHeartbeat);
   };
-  w.at(20_000, report);
+  w.at(20_000, sendHeartbeat);
   w.afterStep = (core) => {
     const own = core.leaders.get("node-a")?.state;
     if (w.now < 21_000 || !own?.workers.has(m.id)) return;
--- a/test/webhooks/webhook-sending.test.ts
+++ b/test/webhooks/webhook-sending.test.ts
@@ -42,6 +42,16 @@
   }
 });
 
+/** The metrics once they have this text, or as they are after ten seconds: a delivery counts when its answer has come. */
+async function metricsWith(d: Deployment, text: string): Promise<string> {
+  for (let tries = 0; tries < 200; tries++) {
+    const metrics = await d.text("/metrics");
+    if (metrics.includes(text)) return metrics;
+    await new Promise((resolve) => setTimeout(resolve, 50));
+  }
+  return d.text("/metrics");
+}
+
 test("the command line and HTTP: all of a hook's life, and bad input changes nothing", async () => {
   const d = new Deployment(3);
   await d.start(1, "parallel: 2 subscriptions: 3 horizon_s: 12");
@@ -159,15 +169,7 @@
     await d.until("redriven", () => d.has.has(`a.${second}`));
     // On a busy machine its answer may come after the sender's deadline: then more attempts follow.
     assert.equal(d.calls[callsBefore]!.repeat, "redriven");
-    let metrics = await d.text("/metrics");
-    for (
-      let tries = 0;
-      tries < 200 && !/outcome="delivered"\} 3/.test(metrics);
-      tries++
-    ) {
-      await new Promise((resolve) => setTimeout(resolve, 50));
-      metrics = await d.text("/metrics");
-    }
+    const metrics = await metricsWith(d, 'outcome="delivered"} 3');
     assert.match(
       metrics,
       /linencove_hook_notifications_total\{outcome="delivered"\} 3/,
