--- a/test/simulation/hunt.ts
+++ b/test/simulation/hunt.ts
@@ -17,7 +17,7 @@
 } from "./fault-combinations.js";
 import { World } from "./world.js";
 
-// Looks for seeds that break a rule: node target/test-build/test/simulation/hunt.js KIND FROM TO. README says which kinds there are. Of drawn
+// Looks for seeds that break a rule: node target/test-build/test/simulation/hunt.js KIND FROM TO. CONTRIBUTING.md says which kinds there are. Of drawn
 // injected faults it prints the fewest that still break the rule; at the end, how often each conjunction occurred and on how many days.
 
 /** One day of a search. */
