--- /dev/null
+++ b/test/webhooks/processes.test.ts
@@ -0,0 +1,16 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { Deployment } from "./processes.js";
+
+test("a controller that runs is not started a second time", async () => {
+  const deployment = new Deployment(1);
+  await deployment.start(1);
+  try {
+    const { nodes } = deployment as unknown as { nodes: { child: unknown }[] };
+    const { child } = nodes[0]!;
+    deployment.up(0);
+    assert.equal(nodes[0]!.child, child);
+  } finally {
+    await deployment.stop();
+  }
+});
--- a/test/webhooks/processes.ts
+++ b/test/webhooks/processes.ts
@@ -375,7 +375,9 @@
         : {},
     };
   }
+  /** Starts a controller, unless it runs: of two processes of one controller, one would never be ended. */
   up(i: number): void {
+    if (this.isRunning(i)) return;
     const node = this.nodes[i]!;
     const child = spawn(
       process.execPath,
@@ -393,9 +395,15 @@
       else if (line.includes('"level":50')) this.logErrors.push(line);
     });
   }
+  private isRunning(i: number): boolean {
+    const { child } = this.nodes[i]!;
+    return (
+      child !== null && child.exitCode === null && child.signalCode === null
+    );
+  }
   async kill(i: number): Promise<void> {
     const { child } = this.nodes[i]!;
-    if (!child || child.exitCode !== null || child.signalCode !== null) return;
+    if (!child || !this.isRunning(i)) return;
     const over = new Promise((r) => child.once("close", r));
     child.kill("SIGKILL");
     await over;
