--- a/src/coordination/jobs/job-status.ts
+++ b/src/coordination/jobs/job-status.ts
@@ -2,11 +2,11 @@
  * Answers what became of a job. Owns the reads of final records that the cache does not hold; every answer rests on
  * the store's records.
  */
-import type { StateCall, StateReply } from "../../protocol/state.js";
 import type { FinalRecord } from "../../storage/records.js";
 import type { Context } from "../context.js";
-import type { Answer, CallPriority } from "../effects.js";
+import type { Answer } from "../effects.js";
 import type { PartitionLeader } from "../scheduling/partition-leader.js";
+import type { CallStore } from "../store/call-store.js";
 import { FinalStatusReader } from "../store/final-status-reader.js";
 import type { JobView } from "../store/job-view.js";
 import type { StoreWatcher } from "../store/store-watcher.js";
@@ -19,11 +19,7 @@
   readonly leaders: ReadonlyMap<string, PartitionLeader>;
   readonly dependencies: DependencyTracker;
   readonly watcher: StoreWatcher;
-  callStore(
-    call: StateCall,
-    priority: CallPriority,
-    done: (reply: StateReply, sentMs: number) => void,
-  ): void;
+  readonly callStore: CallStore;
 }
 
 export class JobStatus {
--- a/src/coordination/pending-calls.ts
+++ b/src/coordination/pending-calls.ts
@@ -2,7 +2,7 @@
  * Calls to the store, the cloud and workers whose replies have not come yet. Owns the numbering of calls: each goes out as an effect
  * with its number, and the input with the same number brings its reply.
  */
-import type { StateCall, StateReply } from "../protocol/state.js";
+import type { StateReply } from "../protocol/state.js";
 import type {
   CallPriority,
   CloudCall,
@@ -11,13 +11,7 @@
   Effect,
 } from "./effects.js";
 import type { Command, Heartbeat } from "./model.js";
-
-/** Sends a call to the store; `done` gets its reply, and the steady time at which the call was sent. */
-export type CallStore = (
-  call: StateCall,
-  priority: CallPriority,
-  done: (reply: StateReply, sentMs: number) => void,
-) => void;
+import type { CallStore, OnStoreReply } from "./store/call-store.js";
 
 /** Commands for one incarnation of a worker, under the fencing token of its leader. */
 export interface CommandBatch {
@@ -40,10 +34,7 @@
 /** Sends calls as effects, and passes each reply to whoever made the call. */
 export class PendingCalls {
   private lastCallId = 0;
-  private readonly storeCalls = new Map<
-    number,
-    (reply: StateReply, sentMs: number) => void
-  >();
+  private readonly storeCalls = new Map<number, OnStoreReply>();
   private readonly cloudCalls = new Map<number, (reply: CloudReply) => void>();
   private readonly commandCalls = new Map<
     number,
--- a/src/coordination/transactions.ts
+++ b/src/coordination/transactions.ts
@@ -18,7 +18,7 @@
   TransactionOutcome,
 } from "./context.js";
 import type { CallPriority } from "./effects.js";
-import type { CallStore } from "./pending-calls.js";
+import type { CallStore } from "./store/call-store.js";
 import { IndeterminateTransactions } from "./store/indeterminate-transactions.js";
 
 /** The store's reply to a malformed or too large request. */
