--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -67,7 +67,7 @@
 /** Calls to the cloud platform. */
 export interface CloudCalls {
   /** `done` is called once, in a later step. */
-  cloud(
+  callCloud(
     call: CloudCall,
     priority: CallPriority,
     done: (reply: CloudReply) => void,
@@ -77,7 +77,7 @@
 /** Calls to workers. */
 export interface WorkerCommands {
   /** Sends commands under a fencing token to one incarnation of a worker. */
-  command(
+  sendCommands(
     address: string,
     token: number,
     incarnation: number,
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -229,19 +229,19 @@
         return this.watcher.onWake();
       case "submit":
         return this.jobAdmission.submit(
-          input.req,
+          input.reqId,
           input.spec,
           input.dependsOn ?? [],
         );
       case "status":
-        return this.jobStatus.answerAfterRead(input.req, input.id);
+        return this.jobStatus.answerAfterRead(input.reqId, input.id);
       case "cancel":
-        return this.watcher.afterRead(input.req, input.id, (req, id) =>
+        return this.watcher.afterRead(input.reqId, input.id, (req, id) =>
           this.jobCancellation.cancel(req, id),
         );
       case "heartbeat":
         return this.answer(
-          input.req,
+          input.reqId,
           this.heartbeats.answer(input.heartbeat, input.relayed),
         );
       case "leaderUnreachable":
@@ -251,13 +251,13 @@
       case "peers":
         return this.leadership.setReachablePeers(input.up);
       case "storeReply":
-        return this.calls.onStoreReply(input.op, input.reply, input.sentMs);
+        return this.calls.onStoreReply(input.callId, input.reply, input.sentMs);
       case "cloudReply":
-        return this.calls.onCloudReply(input.op, input.reply);
+        return this.calls.onCloudReply(input.callId, input.reply);
       case "commandReply":
-        return this.calls.onCommandReply(input.op, input.reply);
+        return this.calls.onCommandReply(input.callId, input.reply);
       case "inspectReply":
-        return this.calls.onInspectReply(input.op, input.heartbeat);
+        return this.calls.onInspectReply(input.callId, input.heartbeat);
     }
   }
 
@@ -284,11 +284,11 @@
   }
 
   private answer(req: number, answer: Answer): void {
-    this.effects.push({ type: "answer", req, answer });
+    this.effects.push({ type: "answer", reqId: req, answer });
   }
 
   private readonly retryLater = (req: number, why: string, afterS = 1): void =>
-    this.answer(req, { kind: "retryLater", afterS, why });
+    this.answer(req, { kind: "retryLater", afterS, reason: why });
 
   private readonly replies: RequestReplies = {
     answer: (req, answer) => this.answer(req, answer),
@@ -304,7 +304,7 @@
     this.transactions.commit(conditions, writes, priority, done);
   }
 
-  cloud(
+  callCloud(
     call: CloudCall,
     priority: CallPriority,
     done: (reply: CloudReply) => void,
@@ -315,7 +315,7 @@
     });
   }
 
-  command(
+  sendCommands(
     address: string,
     token: number,
     incarnation: number,
@@ -367,7 +367,7 @@
    * Whether an effect of the last step may still go out at this moment. Invariant (ran_cancelled, one leader a partition): what only
    * a leadership lease allows is not sent once that has ended, although the step that decided it came before.
    */
-  mayLeave(effect: Effect, nowMs: number): boolean {
+  maySend(effect: Effect, nowMs: number): boolean {
     const needsLeadershipLease =
       effect.type === "workerCommand" ||
       (effect.type === "answer" && effect.answer.kind === "commands");
@@ -389,9 +389,9 @@
   }
 
   /** The present store lease, and until when (steady time, ms) this controller may act on what it owns under it. */
-  get leadershipLease(): { hold: number | null; untilMs: number } {
+  get leadershipLease(): { storeLease: number | null; untilMs: number } {
     return {
-      hold: this.leadership.storeLeaseId,
+      storeLease: this.leadership.storeLeaseId,
       untilMs: this.leadership.leadershipLeaseUntilMs,
     };
   }
--- a/src/coordination/effects.ts
+++ b/src/coordination/effects.ts
@@ -16,24 +16,24 @@
 export type Input =
   | {
       type: "submit";
-      req: number;
+      reqId: number;
       spec: JobSpec;
       dependsOn?: readonly string[] | undefined;
     }
-  | { type: "status"; req: number; id: string }
-  | { type: "cancel"; req: number; id: string }
+  | { type: "status"; reqId: number; id: string }
+  | { type: "cancel"; reqId: number; id: string }
   /** `relayed`: by a peer that the worker can reach; it is not passed on again. */
-  | { type: "heartbeat"; req: number; heartbeat: Heartbeat; relayed: boolean }
+  | { type: "heartbeat"; reqId: number; heartbeat: Heartbeat; relayed: boolean }
   /** A heartbeat could not be relayed to the leader of its partition. */
   | { type: "leaderUnreachable"; zone: string }
   /** The other controllers that answer. */
   | { type: "peers"; up: readonly string[] }
   /** `sentMs`: the steady time at which the call was sent. */
-  | { type: "storeReply"; op: number; reply: StateReply; sentMs: number }
-  | { type: "cloudReply"; op: number; reply: CloudReply }
-  | { type: "commandReply"; op: number; reply: CommandReply }
+  | { type: "storeReply"; callId: number; reply: StateReply; sentMs: number }
+  | { type: "cloudReply"; callId: number; reply: CloudReply }
+  | { type: "commandReply"; callId: number; reply: CommandReply }
   /** A machine's own answer to `inspect`; null: none came. */
-  | { type: "inspectReply"; op: number; heartbeat: Heartbeat | null }
+  | { type: "inspectReply"; callId: number; heartbeat: Heartbeat | null }
   /** Whether memory is nearly used up. */
   | { type: "memory"; short: boolean }
   /** Time has passed; comes at a steady rate. */
@@ -67,7 +67,7 @@
   | { kind: "failed"; why: string };
 
 /** Why a call was not even sent: this controller's part of the rate limit was used up. */
-export const OWN_LIMIT = "own rate limit";
+export const OWN_RATE_LIMIT = "own rate limit";
 
 /** How a command to a worker ended. */
 export type CommandReply =
@@ -106,7 +106,7 @@
   /** The job's record would not fit a value of the store. */
   | { kind: "recordTooLarge"; error: string }
   | { kind: "unknownJob" }
-  | { kind: "retryLater"; afterS: number; why: string }
+  | { kind: "retryLater"; afterS: number; reason: string }
   /** Renews the worker's lease. */
   | { kind: "commands"; token: number; commands: Command[] }
   /** The worker belongs to another leader; null: nobody knows whose it is. */
@@ -116,20 +116,30 @@
 
 /** What the core wants done. */
 export type Effect =
-  | { type: "answer"; req: number; answer: Answer }
-  | { type: "storeCall"; op: number; call: StateCall; priority: CallPriority }
-  | { type: "cloudCall"; op: number; call: CloudCall; priority: CallPriority }
+  | { type: "answer"; reqId: number; answer: Answer }
+  | {
+      type: "storeCall";
+      callId: number;
+      call: StateCall;
+      priority: CallPriority;
+    }
+  | {
+      type: "cloudCall";
+      callId: number;
+      call: CloudCall;
+      priority: CallPriority;
+    }
   /** Commands under a fencing token for one incarnation of a worker. */
   | {
       type: "workerCommand";
-      op: number;
+      callId: number;
       address: string;
       token: number;
       incarnation: number;
       commands: Command[];
     }
   /** Asks a machine for its heartbeat. */
-  | { type: "inspect"; op: number; address: string }
+  | { type: "inspect"; callId: number; address: string }
   /**
    * All changes of final records and of records that this core does not know itself, between two revisions. After a gap `from` is
    * later than the last `to`. Only with `tellEnds`.
--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -3,7 +3,7 @@
  * Owns the graph of waiting jobs, which is derived from the records in the store cache.
  */
 import {
-  endWrites,
+  jobEndWrites,
   jobKey,
   type JobRecord,
   type FinalRecord,
@@ -355,7 +355,7 @@
 
   private endBatch(batch: readonly WaitingJob[]): void {
     const writes = batch.flatMap(({ view }) =>
-      endWrites(view.id, finalRecordOf(this.ctx, view.spec, "cancelled", 0)),
+      jobEndWrites(view.id, finalRecordOf(this.ctx, view.spec, "cancelled", 0)),
     );
     this.commit(batch, writes, CallPriority.Background, () =>
       this.ctx.log("dependent jobs cancelled", {
--- a/src/coordination/jobs/job-admission.ts
+++ b/src/coordination/jobs/job-admission.ts
@@ -372,5 +372,5 @@
 const retryLater = (why: string, afterS: number): Rejection => ({
   kind: "retryLater",
   afterS,
-  why,
+  reason: why,
 });
--- a/src/coordination/jobs/job-cancellation.ts
+++ b/src/coordination/jobs/job-cancellation.ts
@@ -1,7 +1,7 @@
 /**
  * Cancels jobs at users' request. Owns no state: a cancellation is one conditional commit.
  */
-import { endWrites, jobKey } from "../../storage/records.js";
+import { jobEndWrites, jobKey } from "../../storage/records.js";
 import type { Context } from "../context.js";
 import { CallPriority } from "../effects.js";
 import type { JobView } from "../store/job-view.js";
@@ -62,7 +62,7 @@
     // Invariant (went_back): cancelled and done are conditional on the same record, so only one of them happens.
     this.ctx.commit(
       [{ key: jobKey(id), version: job.revision }],
-      endWrites(id, finalRecord, sideKeysToDelete(this.ctx, id)),
+      jobEndWrites(id, finalRecord, sideKeysToDelete(this.ctx, id)),
       CallPriority.UserRequest,
       (outcome) => {
         if (outcome === "ok") {
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -3,10 +3,10 @@
  * in each `JobRun`.
  */
 import {
-  endWrites,
-  completionBlock,
+  jobEndWrites,
+  completionBlockOf,
   completionKey,
-  inBlock,
+  tasksInBlock,
   jobKey,
   type FinalRecord,
   writeCompletion,
@@ -89,7 +89,7 @@
     const id = job.id;
     this.partition.commit(
       [{ key: jobKey(id), version: job.view.revision }],
-      endWrites(
+      jobEndWrites(
         id,
         finalRecordOf(this.ctx, job.view.spec, "done", job.view.spec.tasks),
         sideKeysToDelete(this.ctx, id),
@@ -113,8 +113,8 @@
     unwritten.removeAll(job.written);
     const first = unwritten.first();
     if (first === undefined) return;
-    const block = completionBlock(first);
-    const covered = inBlock(job.finished, block);
+    const block = completionBlockOf(first);
+    const covered = tasksInBlock(job.finished, block);
     const key = completionKey(job.id, this.partition.partition, block);
     job.writing = true;
     job.lastWrittenMs = this.ctx.nowMs;
--- a/src/coordination/jobs/partition-capacity.ts
+++ b/src/coordination/jobs/partition-capacity.ts
@@ -99,7 +99,8 @@
   capacity: CapacityRecord | undefined,
 ): number {
   const kind = backlogKindOf(spec);
-  const from = capacity?.queueFrom?.[PRIORITIES.indexOf(spec.priority)];
+  const from =
+    capacity?.queueByMinPriority?.[PRIORITIES.indexOf(spec.priority)];
   return from ? from[kind === "plain" ? 0 : 1] : (capacity?.queue[kind] ?? 0);
 }
 
--- a/src/coordination/leadership/pending-transfer.ts
+++ b/src/coordination/leadership/pending-transfer.ts
@@ -9,7 +9,7 @@
  */
 export class PendingTransfer<Base = number, Value = object> {
   /** How the last transaction was answered; null: it was not yet. */
-  answer: TransactionOutcome | null = null;
+  lastOutcome: TransactionOutcome | null = null;
   private isSent = false;
   private isSettled = false;
   /** A transaction was not answered: it may have been carried out, or may yet be. */
@@ -34,7 +34,7 @@
     this.isSent = true;
     commit(this.baseRevision, this.value, (outcome) => {
       this.isSent = false;
-      this.answer = outcome;
+      this.lastOutcome = outcome;
       if (outcome === "unknown") this.isIndeterminate = true;
       else if (outcome !== "refused") this.isSettled = true;
       else if (!this.isIndeterminate) onNotApplied();
--- a/src/coordination/machines/catalog-refresh.ts
+++ b/src/coordination/machines/catalog-refresh.ts
@@ -20,7 +20,7 @@
   tick(): void {
     if (this.isReading || this.ctx.nowMs < this.nextReadMs) return;
     this.isReading = true;
-    this.ctx.cloud({ op: "catalog" }, CallPriority.UserRequest, (reply) => {
+    this.ctx.callCloud({ op: "catalog" }, CallPriority.UserRequest, (reply) => {
       this.isReading = false;
       if (reply.kind === "catalog") {
         this.ctx.catalog = reply.types;
--- a/src/coordination/machines/cloud-availability-log.ts
+++ b/src/coordination/machines/cloud-availability-log.ts
@@ -1,6 +1,6 @@
 /** Logs when the cloud platform becomes unavailable and when it is available again, once each. */
 import type { EventLog } from "../../logging/events.js";
-import { type CloudReply, OWN_LIMIT } from "../effects.js";
+import { type CloudReply, OWN_RATE_LIMIT } from "../effects.js";
 
 /** Watches replies of the cloud platform for its availability. */
 export class CloudAvailabilityLog {
@@ -10,7 +10,7 @@
 
   /** Notes a reply; one that this controller's own rate limit stands in for says nothing of the platform. */
   note(reply: CloudReply): void {
-    if (reply.kind === "failed" && reply.why === OWN_LIMIT) return;
+    if (reply.kind === "failed" && reply.why === OWN_RATE_LIMIT) return;
     const isUnavailable = reply.kind === "failed";
     if (isUnavailable === this.isUnavailable) return;
     this.isUnavailable = isUnavailable;
--- a/src/coordination/machines/command-sender.ts
+++ b/src/coordination/machines/command-sender.ts
@@ -57,7 +57,7 @@
     const message = { incarnation: worker.incarnation, startKeys };
     for (const key of startKeys) addUnansweredStart(worker, key);
     worker.commandInFlight = true;
-    this.ctx.command(
+    this.ctx.sendCommands(
       worker.address,
       this.state.token,
       message.incarnation,
--- a/src/coordination/machines/heartbeat-router.ts
+++ b/src/coordination/machines/heartbeat-router.ts
@@ -31,7 +31,7 @@
     if (!leader) return this.redirect(heartbeat, partition, relayed);
     return this.leadership.mayAct()
       ? leader.heartbeat(heartbeat)
-      : { kind: "retryLater", afterS: 1, why: "no permit" };
+      : { kind: "retryLater", afterS: 1, reason: "no permit" };
   }
 
   private redirect(
--- a/src/coordination/machines/machine-list-poller.ts
+++ b/src/coordination/machines/machine-list-poller.ts
@@ -42,7 +42,7 @@
     if (!this.pages) this.startedMs = nowMs;
     this.pages ??= new Map();
     const pages = this.pages;
-    this.context.cloud(
+    this.context.callCloud(
       { op: "list", after: this.lastReadId },
       CallPriority.Background,
       (reply) => this.onReply(pages, reply),
--- a/src/coordination/machines/machine-returns.ts
+++ b/src/coordination/machines/machine-returns.ts
@@ -75,7 +75,7 @@
       pendingReturn.sent = true;
     }
     if (ids.length === 0) return;
-    this.context.cloud(
+    this.context.callCloud(
       { op: "return", machines: ids },
       CallPriority.Background,
       (reply) => this.onReply(ids, reply),
--- a/src/coordination/machines/rental-requests.ts
+++ b/src/coordination/machines/rental-requests.ts
@@ -52,7 +52,7 @@
       return;
     request.sent = true;
     const { id, type, zone, spot, count } = request;
-    this.context.cloud(
+    this.context.callCloud(
       { op: "rent", request: id, type, zone, spot, count },
       CallPriority.Leader,
       (reply) => this.onReply(request, reply),
--- a/src/coordination/pending-calls.ts
+++ b/src/coordination/pending-calls.ts
@@ -56,7 +56,7 @@
   readonly callStore: CallStore = (call, priority, done) => {
     const op = ++this.lastCallId;
     this.storeCalls.set(op, done);
-    this.emit({ type: "storeCall", op, call, priority });
+    this.emit({ type: "storeCall", callId: op, call, priority });
   };
 
   /** Calls the cloud platform. */
@@ -67,21 +67,21 @@
   ): void {
     const op = ++this.lastCallId;
     this.cloudCalls.set(op, done);
-    this.emit({ type: "cloudCall", op, call, priority });
+    this.emit({ type: "cloudCall", callId: op, call, priority });
   }
 
   /** Sends commands to a worker. */
   sendCommands(batch: CommandBatch, done: (reply: CommandReply) => void): void {
     const op = ++this.lastCallId;
     this.commandCalls.set(op, done);
-    this.emit({ type: "workerCommand", op, ...batch });
+    this.emit({ type: "workerCommand", callId: op, ...batch });
   }
 
   /** Asks a machine for its heartbeat; null: none came. */
   inspect(address: string, done: (heartbeat: Heartbeat | null) => void): void {
     const op = ++this.lastCallId;
     this.inspections.set(op, done);
-    this.emit({ type: "inspect", op, address });
+    this.emit({ type: "inspect", callId: op, address });
   }
 
   /** A reply to a call that nobody waits for is ignored, here and below. */
--- a/src/coordination/quota/guarantee-reclaims.ts
+++ b/src/coordination/quota/guarantee-reclaims.ts
@@ -40,7 +40,7 @@
   private standing(): Map<string, readonly Reclaim[]> {
     const out = new Map<string, readonly Reclaim[]>();
     for (const [partition, list] of this.ctx.cache.reclaims) {
-      const open = list.filter((c) => c.until > this.ctx.wallMs);
+      const open = list.filter((c) => c.expiresAt > this.ctx.wallMs);
       if (open.length > 0) out.set(partition, open);
     }
     return out;
@@ -55,7 +55,8 @@
     const loses: ResourceAmounts = [0, 0];
     for (const list of this.standing().values())
       for (const c of list) {
-        if (c.team === team) for (const d of DIMENSIONS) gets[d] += c.need[d];
+        if (c.team === team)
+          for (const d of DIMENSIONS) gets[d] += c.coveredDeficit[d];
         for (const [t, cpus, gpus] of c.from)
           if (t === team) {
             loses[0] += cpus;
@@ -101,9 +102,9 @@
     const mine: Reclaim = {
       token: this.own.token,
       team,
-      need,
+      coveredDeficit: need,
       from: [...from].map(([t, p]) => [t, p[0], p[1]]),
-      until,
+      expiresAt: until,
     };
     all.set(this.own.partition, [...(all.get(this.own.partition) ?? []), mine]);
     const value = writeReclaims(all);
--- a/src/coordination/quota/guarantees.ts
+++ b/src/coordination/quota/guarantees.ts
@@ -81,7 +81,7 @@
       // A group that no settings name may be held without a master, for what is left of it.
       const owned = partitions.names.includes(g) && cache.partitions.has(g);
       // Nothing was ever written, or less than all teams: it may use all that it has of the limit.
-      const known = room?.teams && (row !== undefined || !room.cut);
+      const known = room?.teams && (row !== undefined || !room.isTruncated);
       for (const d of DIMENSIONS) {
         const part = entry
           ? entry.cap[d] === Infinity
@@ -92,7 +92,7 @@
         // What an owner that is gone had published is not sure to run any more.
         sum.least[d] += owned ? (row?.use[d] ?? 0) : 0;
         sum.most[d] += known
-          ? Math.max(row?.may[d] ?? 0, row?.use[d] ?? 0)
+          ? Math.max(row?.possibleUse[d] ?? 0, row?.use[d] ?? 0)
           : owned || room
             ? part
             : 0;
--- a/src/coordination/quota/partition-demand.ts
+++ b/src/coordination/quota/partition-demand.ts
@@ -15,17 +15,17 @@
 /** What a partition's waiting tasks of a team want beyond its part of the limit. The names are those of the stored rows. */
 export interface PartitionDemand {
   /** For tasks that have a place at once, or have waited for long. */
-  now: ResourceAmounts;
+  startable: ResourceAmounts;
   /**
    * When the oldest of these became ready that lacks CPUs, and that lacks accelerators, ms since the epoch; Infinity: there
    * is none.
    */
-  nowSince: ResourceAmounts;
+  startableSinceMs: ResourceAmounts;
   /** For tasks whose place is yet to be rented. */
-  soon: ResourceAmounts;
-  soonSince: ResourceAmounts;
+  awaitingMachines: ResourceAmounts;
+  awaitingMachinesSinceMs: ResourceAmounts;
   /** The part of the limit that this is beyond: what has come since is not wanted any more. */
-  beyond: ResourceAmounts;
+  baseShare: ResourceAmounts;
   /** What the first tasks lack that idle parts elsewhere are enough for; absent: there are none, or an earlier version wrote it. */
   backfill?: ResourceAmounts | undefined;
   /** For a large job whose first start is overdue; absent: there is none, or an earlier version wrote it. */
@@ -49,22 +49,28 @@
   use: Readonly<ResourceAmounts>,
 ): PartitionDemand | null {
   const demand: PartitionDemand = {
-    now: [0, 0],
-    nowSince: [Infinity, Infinity],
-    soon: [0, 0],
-    soonSince: [Infinity, Infinity],
-    beyond: share,
+    startable: [0, 0],
+    startableSinceMs: [Infinity, Infinity],
+    awaitingMachines: [0, 0],
+    awaitingMachinesSinceMs: [Infinity, Infinity],
+    baseShare: share,
   };
   const free = perDimension((dimension) => share[dimension] - use[dimension]);
   const startable = waiting.filter((tasks) => tasks.isStartable);
   const others = waiting.filter((tasks) => !tasks.isStartable);
   // Who can start at once takes what is free first; what it lacks is wanted.
   for (const tasks of startable)
-    addLacking(tasks, free, demand.now, demand.nowSince);
+    addLacking(tasks, free, demand.startable, demand.startableSinceMs);
   for (const tasks of others)
-    addLacking(tasks, free, demand.soon, demand.soonSince);
+    addLacking(
+      tasks,
+      free,
+      demand.awaitingMachines,
+      demand.awaitingMachinesSinceMs,
+    );
   const isWanted = DIMENSIONS.some(
-    (dimension) => demand.now[dimension] > 0 || demand.soon[dimension] > 0,
+    (dimension) =>
+      demand.startable[dimension] > 0 || demand.awaitingMachines[dimension] > 0,
   );
   return isWanted ? demand : null;
 }
@@ -100,11 +106,11 @@
   for (const [team, want] of capacity.wants) {
     const part = partOf(team);
     demands.set(team, {
-      now: [want.cpus, want.gpus],
-      nowSince: [want.since, want.since],
-      soon: [0, 0],
-      soonSince: [Infinity, Infinity],
-      beyond: [part[0], part[1]],
+      startable: [want.cpus, want.gpus],
+      startableSinceMs: [want.since, want.since],
+      awaitingMachines: [0, 0],
+      awaitingMachinesSinceMs: [Infinity, Infinity],
+      baseShare: [part[0], part[1]],
     });
   }
   return demands;
--- a/src/coordination/quota/quota-change.ts
+++ b/src/coordination/quota/quota-change.ts
@@ -2,7 +2,7 @@
  * One change of the quota records that this partition has under way, until the records show how it ended. Owns the transaction
  * and what is reserved for it. Design: docs/design/limits.md.
  */
-import { partitionKey, type Shares } from "../../storage/records.js";
+import { partitionKey, type QuotaShares } from "../../storage/records.js";
 import type { Context, TransactionOutcome } from "../context.js";
 import { CallPriority } from "../effects.js";
 import { PendingTransfer } from "../leadership/pending-transfer.js";
@@ -20,7 +20,10 @@
 
 /** Carries out one plan: a transaction that is conditional on every record it replaces. */
 export class QuotaChange {
-  private readonly transfer: PendingTransfer<ChangeBase, Map<string, Shares>>;
+  private readonly transfer: PendingTransfer<
+    ChangeBase,
+    Map<string, QuotaShares>
+  >;
   private readonly priority: CallPriority;
 
   /** `removedTokens`: the tokens of removed partitions, which the plan may rest on. */
@@ -65,7 +68,7 @@
 
   private commit(
     base: ChangeBase,
-    writes: ReadonlyMap<string, Shares>,
+    writes: ReadonlyMap<string, QuotaShares>,
     done: (outcome: TransactionOutcome) => void,
   ): void {
     const conditions = [
@@ -108,7 +111,7 @@
   logSettled(entryOf: (team: string) => QuotaEntry | null): void {
     this.context.log("quota change settled", {
       partition: this.state.partition,
-      answer: this.transfer.answer,
+      answer: this.transfer.lastOutcome,
       records: this.transfer.baseRevision.records.map(([key, before]) => ({
         key,
         before,
--- a/src/coordination/quota/quota-record-writer.ts
+++ b/src/coordination/quota/quota-record-writer.ts
@@ -6,7 +6,7 @@
   bytesOf,
   quotaKey,
   QUOTA_KEY,
-  type Shares,
+  type QuotaShares,
 } from "../../storage/records.js";
 import {
   CAPS_NAME,
@@ -24,12 +24,12 @@
 
 /** New values by key, and the teams whose changes they hold; the other changes wait for the next transaction. */
 export interface RewrittenRecords {
-  writes: Map<string, Shares>;
+  writes: Map<string, QuotaShares>;
   done: Set<string>;
 }
 
 interface NewValue {
-  value: Shares;
+  value: QuotaShares;
   bytes: number;
 }
 
@@ -62,7 +62,7 @@
     private readonly limits: RecordLimits,
   ) {}
 
-  writes(): Map<string, Shares> {
+  writes(): Map<string, QuotaShares> {
     return new Map([...this.newValues].map(([key, { value }]) => [key, value]));
   }
 
@@ -125,7 +125,7 @@
     const changed = this.newValues.get(key);
     if (changed) return changed;
     const present = this.records.get(key)?.shares ?? {};
-    const value: Shares = {
+    const value: QuotaShares = {
       ...present,
       [CAPS_NAME]: { ...present[CAPS_NAME] },
     };
--- a/src/coordination/quota/quota-records.ts
+++ b/src/coordination/quota/quota-records.ts
@@ -9,7 +9,7 @@
  * unanswered. Design: docs/design/limits.md.
  */
 import type { Team } from "../../config/settings.js";
-import { QUOTA_KEY, type Shares } from "../../storage/records.js";
+import { QUOTA_KEY, type QuotaShares } from "../../storage/records.js";
 import { EPSILON } from "../scheduling/placement.js";
 import {
   type Dimension,
@@ -35,7 +35,7 @@
 
 /** A record as read: the parts by team and partition, and the revision of its key. */
 export interface QuotaRecord {
-  shares: Shares;
+  shares: QuotaShares;
   revision: number;
 }
 
@@ -61,7 +61,7 @@
 /** What the record at this key says of a team; null: nothing. */
 export function entryIn(
   key: string,
-  shares: Shares,
+  shares: QuotaShares,
   team: string,
 ): QuotaEntry | null {
   const parts = shares[team];
--- a/src/coordination/quota/quota-report.ts
+++ b/src/coordination/quota/quota-report.ts
@@ -37,13 +37,16 @@
   if (isIdle) return null;
   return {
     use,
-    may: possibleUse,
-    now: demand?.now ?? [0, 0],
-    nowSince: demand?.nowSince ?? [Infinity, Infinity],
-    soon: demand?.soon ?? [0, 0],
-    soonSince: demand?.soonSince ?? [Infinity, Infinity],
-    beyond: finiteOrZero(demand?.beyond ?? [0, 0]),
-    waits: waiting,
+    possibleUse: possibleUse,
+    startable: demand?.startable ?? [0, 0],
+    startableSinceMs: demand?.startableSinceMs ?? [Infinity, Infinity],
+    awaitingMachines: demand?.awaitingMachines ?? [0, 0],
+    awaitingMachinesSinceMs: demand?.awaitingMachinesSinceMs ?? [
+      Infinity,
+      Infinity,
+    ],
+    baseShare: finiteOrZero(demand?.baseShare ?? [0, 0]),
+    waiting: waiting,
     idle: isAnyPositive(idle) ? idle : undefined,
     backfill: demand?.backfill,
     reservation: demand?.reservation,
@@ -56,8 +59,8 @@
   waiting: readonly WaitingTasks[],
 ): QuotaWant {
   return {
-    cpus: demand.now[0] + demand.soon[0],
-    gpus: demand.now[1] + demand.soon[1],
+    cpus: demand.startable[0] + demand.awaitingMachines[0],
+    gpus: demand.startable[1] + demand.awaitingMachines[1],
     since: waiting.reduce(
       (oldest, tasks) => Math.min(oldest, tasks.readyAt),
       Infinity,
--- a/src/coordination/quota/quota-situation.ts
+++ b/src/coordination/quota/quota-situation.ts
@@ -1,6 +1,6 @@
 /** What planning of the teams' limits starts from, and what it results in. Owns no state. */
 import type { Team } from "../../config/settings.js";
-import type { Shares } from "../../storage/records.js";
+import type { QuotaShares } from "../../storage/records.js";
 import type { PartitionDemand } from "./partition-demand.js";
 import type { PlacedReservation } from "./quota-reservations.js";
 import type { QuotaRecords } from "./quota-records.js";
@@ -68,7 +68,7 @@
 /** What a partition writes in one commit. */
 export interface QuotaPlan {
   /** New values of records, by key. */
-  writes: Map<string, Shares>;
+  writes: Map<string, QuotaShares>;
   /** By team: what this partition gives away, and does not use from before the commit is sent. */
   reserved: Map<string, ResourceAmounts>;
   given: QuotaGift[];
--- a/src/coordination/quota/quota-takers.ts
+++ b/src/coordination/quota/quota-takers.ts
@@ -57,14 +57,21 @@
   part: Readonly<ResourceAmounts> | undefined,
   dimension: Dimension,
 ): QuotaTaker[] {
-  const all = perDimension((each) => demand.now[each] + demand.soon[each]);
-  const now = remaining(demand.now, demand.beyond, part, dimension);
-  const soon = remaining(all, demand.beyond, part, dimension) - now;
+  const all = perDimension(
+    (each) => demand.startable[each] + demand.awaitingMachines[each],
+  );
+  const now = remaining(demand.startable, demand.baseShare, part, dimension);
+  const soon = remaining(all, demand.baseShare, part, dimension) - now;
   const takers: QuotaTaker[] = [
-    { partition, sinceMs: demand.nowSince[dimension], now: true, wanted: now },
     {
       partition,
-      sinceMs: demand.soonSince[dimension],
+      sinceMs: demand.startableSinceMs[dimension],
+      now: true,
+      wanted: now,
+    },
+    {
+      partition,
+      sinceMs: demand.awaitingMachinesSinceMs[dimension],
       now: false,
       wanted: soon,
     },
@@ -82,7 +89,7 @@
 ): QuotaTaker | null {
   const isOwn = partition === situation.partition;
   const demands = isOwn ? situation.mine : situation.others.get(partition);
-  const beyond = demands?.get(team)?.beyond;
+  const beyond = demands?.get(team)?.baseShare;
   if (!beyond) return null;
   const wanted = remaining(lacks, beyond, parts[partition], dimension);
   return wanted > EPSILON
@@ -108,7 +115,7 @@
     const isNamed = situation.partitions.includes(partition);
     if (!demand?.backfill || !isNamed || partition === situation.partition)
       continue;
-    const { backfill, beyond, nowSince } = demand;
+    const { backfill, baseShare: beyond, startableSinceMs: nowSince } = demand;
     const lacks = perDimension((dimension) =>
       remaining(backfill, beyond, parts[partition], dimension),
     );
--- a/src/coordination/scheduling/capacity-report.ts
+++ b/src/coordination/scheduling/capacity-report.ts
@@ -151,12 +151,12 @@
     return {
       rows: [...rows.values()],
       queue: backlogOf(this.own.jobs.values(), this.sharing.headroom()),
-      queueFrom,
+      queueByMinPriority: queueFrom,
       running,
       soldOut,
       left,
       ...this.sharing.rows(),
-      cut: false,
+      isTruncated: false,
     };
   }
 
@@ -233,7 +233,8 @@
       () => left.delete([...left.keys()].at(-1)!),
       () => soldOut.pop() !== undefined,
       () => wants.delete([...wants.keys()].at(-1)!),
-      () => teams.delete([...teams.keys()].at(-1)!) && (record.cut = true),
+      () =>
+        teams.delete([...teams.keys()].at(-1)!) && (record.isTruncated = true),
       () => record.rows.pop() !== undefined,
     ];
     while (bytesOf(writeCapacity(record)) > most && cut.some((one) => one()));
--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -42,7 +42,7 @@
 const STALE_ANSWER: Answer = {
   kind: "retryLater",
   afterS: RETRY_AFTER_S,
-  why: "late report",
+  reason: "late report",
 };
 
 /**
@@ -252,7 +252,7 @@
     return {
       kind: "retryLater",
       afterS: RETRY_AFTER_S,
-      why: "contradicts what is known of the machine",
+      reason: "contradicts what is known of the machine",
     };
   }
 
@@ -265,7 +265,7 @@
       return {
         kind: "retryLater",
         afterS: RETRY_AFTER_S,
-        why: "asking the machine itself",
+        reason: "asking the machine itself",
       };
     worker.lastAnsweredMs = this.ctx.nowMs;
     return this.answerWithCommands(worker);
--- a/src/coordination/scheduling/partition-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -4,7 +4,7 @@
  */
 
 import type { Condition, Write } from "../../protocol/state.js";
-import { heartbeatGapMs } from "../../protocol/workers.js";
+import { maxHeartbeatGapMs } from "../../protocol/workers.js";
 import { partitionKey } from "../../storage/records.js";
 import { type Backlog, backlogOf } from "./backlog.js";
 import {
@@ -305,7 +305,7 @@
 
   /** Whether most of its workers have not been heard of for longer than a heartbeat and its retry take. */
   unreachableIn(): boolean {
-    const limitMs = heartbeatGapMs(this.ctx.settings.reportS);
+    const limitMs = maxHeartbeatGapMs(this.ctx.settings.reportS);
     let silent = 0;
     let total = 0;
     for (const worker of this.workers.values()) {
--- a/src/coordination/store/store-cache.ts
+++ b/src/coordination/store/store-cache.ts
@@ -13,7 +13,7 @@
   type StoreKey,
   type StoreKeyKind,
   parseKey,
-  readAttempt,
+  readGangAttempt,
   readCapacity,
   readCompletion,
   readFinal,
@@ -333,7 +333,7 @@
     },
     gang: {
       put: ({ key, parsed: { id }, revision }, value) => {
-        const attempt = readAttempt(value);
+        const attempt = readGangAttempt(value);
         if (attempt === null) return null;
         this.progress.setAttempt(key, id, attempt, revision);
         return [{ kind: "completion", id }];
@@ -342,7 +342,7 @@
     },
     ready: {
       put: ({ key, parsed: { id, partition } }, value) => {
-        const attempt = readAttempt(value);
+        const attempt = readGangAttempt(value);
         if (attempt === null) return null;
         this.progress.setReady(key, id, partition, attempt);
         return [{ kind: "completion", id }];
--- a/src/coordination/transactions.ts
+++ b/src/coordination/transactions.ts
@@ -5,7 +5,7 @@
 import {
   type Change,
   type Condition,
-  HOLD_ENDED,
+  STORE_LEASE_ENDED,
   type StateReply,
   type Write,
 } from "../protocol/state.js";
@@ -86,7 +86,7 @@
   }
 
   private onRefused(why: string, writes: readonly Write[]): void {
-    if (why === HOLD_ENDED) this.endStoreLeasesOf(writes);
+    if (why === STORE_LEASE_ENDED) this.endStoreLeasesOf(writes);
     // Repeated unchanged it would be refused for ever: everything written is kept within the limits, now and next.
     else if (why === BAD_REQUEST)
       this.ctx.log("transaction rejected by the store", {
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -102,7 +102,7 @@
     this.workers = new WorkerClient(settings.maxSockets);
     this.mesh = new PeerMesh(settings, {
       serve: (type, body) => this.serve(type, body),
-      stateOk: () => this.state.ok,
+      stateOk: () => this.state.isReachable,
     });
     this.state.peers = this.mesh;
   }
@@ -118,7 +118,7 @@
   add(extra: Extension): void {
     this.extensions.push(extra);
   }
-  get leadershipLease(): { hold: number | null; untilMs: number } {
+  get leadershipLease(): { storeLease: number | null; untilMs: number } {
     return this.core.leadershipLease;
   }
   get teamStatistics(): Controller["teamStatistics"] {
@@ -233,15 +233,15 @@
       if (typeof call?.op !== "string") return { status: 400, body: "" };
       return {
         status: 200,
-        body: JSON.stringify(await this.state.carry(call)),
+        body: JSON.stringify(await this.state.callForPeer(call)),
       };
     }
     const r = parseHeartbeat(body);
     if (!r.ok) return { status: 400, body: "" };
     const answer = toHttp(
-      await this.ask((req) => ({
+      await this.ask((reqId) => ({
         type: "heartbeat",
-        req,
+        reqId,
         heartbeat: r.value,
         relayed: true,
       })),
@@ -319,13 +319,13 @@
     if (e.type === "answer")
       this.carryOut({
         ...e,
-        answer: { kind: "retryLater", afterS: 1, why: "no permit" },
+        answer: { kind: "retryLater", afterS: 1, reason: "no permit" },
       });
     else if (e.type === "workerCommand")
       setImmediate(() =>
         this.feed({
           type: "commandReply",
-          op: e.op,
+          callId: e.callId,
           reply: { kind: "refused" },
         }),
       );
@@ -334,31 +334,31 @@
   private async sendCommand(
     effect: Extract<Effect, { type: "workerCommand" }>,
   ): Promise<void> {
-    const { op, address, token, incarnation, commands } = effect;
+    const { callId: op, address, token, incarnation, commands } = effect;
     const reply = await this.workers.command(
       address,
       token,
       incarnation,
       commands,
     );
-    this.feed({ type: "commandReply", op, reply });
+    this.feed({ type: "commandReply", callId: op, reply });
   }
 
   private carryOut(e: Effect): void {
-    if (!this.core.mayLeave(e, performance.now())) return this.withhold(e);
+    if (!this.core.maySend(e, performance.now())) return this.withhold(e);
     switch (e.type) {
       case "answer":
-        this.pending.get(e.req)?.(e.answer);
-        this.pending.delete(e.req);
+        this.pending.get(e.reqId)?.(e.answer);
+        this.pending.delete(e.reqId);
         break;
       case "storeCall":
         void this.callState(e.call, e.priority).then(({ reply, sentMs }) =>
-          this.feed({ type: "storeReply", op: e.op, reply, sentMs }),
+          this.feed({ type: "storeReply", callId: e.callId, reply, sentMs }),
         );
         break;
       case "cloudCall":
         void this.callCloud(e.call, e.priority).then((reply) =>
-          this.feed({ type: "cloudReply", op: e.op, reply }),
+          this.feed({ type: "cloudReply", callId: e.callId, reply }),
         );
         break;
       case "storeChanges":
@@ -371,7 +371,11 @@
         void this.workers
           .inspect(e.address)
           .then((report) =>
-            this.feed({ type: "inspectReply", op: e.op, heartbeat: report }),
+            this.feed({
+              type: "inspectReply",
+              callId: e.callId,
+              heartbeat: report,
+            }),
           );
         break;
       case "wake":
--- a/src/protocol/frames.ts
+++ b/src/protocol/frames.ts
@@ -3,8 +3,8 @@
  * payload; numbers are big-endian. Replies bear the id of their request. A frame of another version, of unknown
  * type or over the bound closes the connection.
  */
-export const VERSION = 1;
-export const MAX_FRAME = 1 << 20;
+export const FRAME_VERSION = 1;
+export const MAX_FRAME_BYTES = 1 << 20;
 const HEAD = 10;
 
 /** Types of frames, as they stand in a frame's head. */
@@ -29,10 +29,10 @@
   payload: Buffer;
 }
 
-export function encode(type: Frame, id: number, payload: Buffer): Buffer {
+export function encodeFrame(type: Frame, id: number, payload: Buffer): Buffer {
   const head = Buffer.allocUnsafe(HEAD);
   head.writeUInt32BE(payload.length + HEAD - 4, 0);
-  head.writeUInt8(VERSION, 4);
+  head.writeUInt8(FRAME_VERSION, 4);
   head.writeUInt8(type, 5);
   head.writeUInt32BE(id >>> 0, 6);
   return Buffer.concat([head, payload]);
@@ -42,7 +42,7 @@
   const payload = Buffer.allocUnsafe(2 + Buffer.byteLength(body));
   payload.writeUInt16BE(status, 0);
   payload.write(body, 2);
-  return encode(Frame.Reply, id, payload);
+  return encodeFrame(Frame.Reply, id, payload);
 }
 
 export function decodeReply(
@@ -63,10 +63,10 @@
     const out: Message[] = [];
     while (b.length >= 4) {
       const length = b.readUInt32BE(0);
-      if (length < HEAD - 4 || length > MAX_FRAME) return null;
+      if (length < HEAD - 4 || length > MAX_FRAME_BYTES) return null;
       if (
         b.length >= 6 &&
-        (b.readUInt8(4) !== VERSION ||
+        (b.readUInt8(4) !== FRAME_VERSION ||
           b.readUInt8(5) < FIRST_TYPE ||
           b.readUInt8(5) > LAST_TYPE)
       )
--- a/src/protocol/state.ts
+++ b/src/protocol/state.ts
@@ -64,8 +64,8 @@
 });
 const Got = v.object({ k: v.string(), value: v.unknown(), stamp: Int });
 /** Why a put attached to a hold that has ended is refused; every other 400 is a mistake in the request. */
-export const HOLD_ENDED = "no such lease";
-const Refused = v.object({ error: v.literal(HOLD_ENDED) });
+export const STORE_LEASE_ENDED = "no such lease";
+const Refused = v.object({ error: v.literal(STORE_LEASE_ENDED) });
 const Epoch = v.object({ epoch: Int });
 const Hold = v.object({ tenancy: Int });
 
@@ -160,7 +160,7 @@
         return ok(Epoch, raw, (o) => ({ is: "committed", epoch: o.epoch }));
       if (status === 409) return { is: "conflict" };
       if (status === 400 && v.is(Refused, raw))
-        return { is: "refused", why: HOLD_ENDED };
+        return { is: "refused", why: STORE_LEASE_ENDED };
       break;
     case "newHold":
       if (status === 200)
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -66,7 +66,7 @@
 }
 
 /** The longest that a worker in touch is silent: a report comes every `report_s`, give or take a quarter, and is given up after 4 s. */
-export const heartbeatGapMs = (reportS: number): number =>
+export const maxHeartbeatGapMs = (reportS: number): number =>
   (reportS * 1.25 + 4) * 1000;
 
 export function parseHeartbeat(body: string): Parsed<Heartbeat> {
--- a/src/storage/records/capacity.ts
+++ b/src/storage/records/capacity.ts
@@ -98,18 +98,18 @@
   /** On machines, known to be there. */
   use: [number, number];
   /** The most that may be: after a failover more than what is known. */
-  may: [number, number];
+  possibleUse: [number, number];
   /** Beyond the partition's share of the quota: for tasks that have a place at once, or waited for long. */
-  now: [number, number];
+  startable: [number, number];
   /** Time of day (ms) since which the oldest waits of those that lack CPUs, and of those that lack accelerators; Infinity: there is none. */
-  nowSince: [number, number];
+  startableSinceMs: [number, number];
   /** For tasks whose machine is yet to be rented. */
-  soon: [number, number];
-  soonSince: [number, number];
+  awaitingMachines: [number, number];
+  awaitingMachinesSinceMs: [number, number];
   /** The share that this is beyond. */
-  beyond: [number, number];
+  baseShare: [number, number];
   /** Waiting tasks within the partition's share that have a place once others make it, in all. */
-  waits: [number, number];
+  waiting: [number, number];
   /** What of the share is neither used nor enough for anything that waits. This and what follows is absent from earlier versions' rows. */
   idle?: [number, number] | undefined;
   /** What tasks lack that idle shares of other partitions are enough for. */
@@ -124,7 +124,7 @@
   /** Tasks waiting, by whether they need accelerators: these compete for different machines. */
   queue: { plain: number; accelerated: number };
   /** The same for each priority, with all above it: [plain, accelerated]; absent: an earlier version wrote it. */
-  queueFrom?: readonly (readonly [number, number])[];
+  queueByMinPriority?: readonly (readonly [number, number])[];
   /** Tasks on machines, by job: for display. */
   running: Map<string, number>;
   /** Offers that the cloud had nothing left of, lately. */
@@ -136,7 +136,7 @@
   /** By team; null: an earlier version wrote it. */
   teams: Map<string, TeamRow> | null;
   /** Not all teams found room in the record. */
-  cut: boolean;
+  isTruncated: boolean;
 }
 
 export function readCapacity(value: unknown): CapacityRecord | null {
@@ -145,7 +145,7 @@
     stored && {
       rows: stored.rows.map(readRow),
       queue: { plain: stored.q[0], accelerated: stored.q[1] },
-      ...(stored.qu ? { queueFrom: stored.qu } : {}),
+      ...(stored.qu ? { queueByMinPriority: stored.qu } : {}),
       running: new Map(stored.run),
       soldOut: stored.out,
       left: new Map(stored.left),
@@ -160,7 +160,7 @@
             stored.team.map(([team, ...values]) => [team, readTeamRow(values)]),
           )
         : null,
-      cut: stored.cut,
+      isTruncated: stored.cut,
     }
   );
 }
@@ -168,8 +168,10 @@
 export const writeCapacity = (record: CapacityRecord): object => ({
   rows: record.rows.map(writeRow),
   q: [record.queue.plain, record.queue.accelerated],
-  ...(record.queueFrom?.some(([plain, accelerated]) => plain + accelerated > 0)
-    ? { qu: record.queueFrom }
+  ...(record.queueByMinPriority?.some(
+    ([plain, accelerated]) => plain + accelerated > 0,
+  )
+    ? { qu: record.queueByMinPriority }
     : {}),
   run: [...record.running],
   out: record.soldOut,
@@ -188,7 +190,7 @@
         ]),
       }
     : {}),
-  ...(record.cut ? { cut: true } : {}),
+  ...(record.isTruncated ? { cut: true } : {}),
 });
 
 /** Capacities are written in tenths, rounded down. */
@@ -229,13 +231,17 @@
 
 const readTeamRow = (values: number[]): TeamRow => ({
   use: [values[0]!, values[1]!],
-  may: [values[2]!, values[3]!],
-  now: [values[4]!, values[5]!],
-  nowSince: readSince(values.slice(4, 6), values[6]!, values[14]),
-  soon: [values[7]!, values[8]!],
-  soonSince: readSince(values.slice(7, 9), values[9]!, values[15]),
-  beyond: [values[10]!, values[11]!],
-  waits: [values[12]!, values[13]!],
+  possibleUse: [values[2]!, values[3]!],
+  startable: [values[4]!, values[5]!],
+  startableSinceMs: readSince(values.slice(4, 6), values[6]!, values[14]),
+  awaitingMachines: [values[7]!, values[8]!],
+  awaitingMachinesSinceMs: readSince(
+    values.slice(7, 9),
+    values[9]!,
+    values[15],
+  ),
+  baseShare: [values[10]!, values[11]!],
+  waiting: [values[12]!, values[13]!],
   ...readBackfill(values.slice(BASIC_VALUES)),
 });
 
@@ -310,15 +316,15 @@
 const teamValues = (row: TeamRow): number[] =>
   [
     ...row.use,
-    ...row.may,
-    ...row.now,
-    firstSinceOf(row.now, row.nowSince),
-    ...row.soon,
-    firstSinceOf(row.soon, row.soonSince),
-    ...row.beyond,
-    ...row.waits,
-    row.nowSince[1],
-    row.soonSince[1],
+    ...row.possibleUse,
+    ...row.startable,
+    firstSinceOf(row.startable, row.startableSinceMs),
+    ...row.awaitingMachines,
+    firstSinceOf(row.awaitingMachines, row.awaitingMachinesSinceMs),
+    ...row.baseShare,
+    ...row.waiting,
+    row.startableSinceMs[1],
+    row.awaitingMachinesSinceMs[1],
     ...backfillValues(row),
   ].map((amount) =>
     Number.isFinite(amount) ? Math.round(amount * 100) / 100 : 0,
--- a/src/storage/records/completion.ts
+++ b/src/storage/records/completion.ts
@@ -17,19 +17,19 @@
  * fits the smallest values. The earlier version kept blocks of 16,384, some as bitmaps, and writes its whole block anew
  * under its number: these numbers begin where its end, and ranges mean the same to it under any number.
  */
-export const COMPLETION_BLOCK = 128;
+export const COMPLETION_BLOCK_SIZE = 128;
 const FIRST_COMPLETION_BLOCK = 1_000;
 const FORMER_COMPLETION_BLOCK = 16_384;
 
 /** Number of the block that a task belongs to. */
-export const completionBlock = (task: number): number =>
-  FIRST_COMPLETION_BLOCK + Math.floor(task / COMPLETION_BLOCK);
+export const completionBlockOf = (task: number): number =>
+  FIRST_COMPLETION_BLOCK + Math.floor(task / COMPLETION_BLOCK_SIZE);
 
 /** The members of a set that belong to a block. */
-export const inBlock = (tasks: RangeSet, block: number): RangeSet =>
+export const tasksInBlock = (tasks: RangeSet, block: number): RangeSet =>
   tasks.slice(
-    (block - FIRST_COMPLETION_BLOCK) * COMPLETION_BLOCK,
-    (block - FIRST_COMPLETION_BLOCK + 1) * COMPLETION_BLOCK - 1,
+    (block - FIRST_COMPLETION_BLOCK) * COMPLETION_BLOCK_SIZE,
+    (block - FIRST_COMPLETION_BLOCK + 1) * COMPLETION_BLOCK_SIZE - 1,
   );
 
 export const writeCompletion = (tasks: RangeSet): object => ({
--- a/src/storage/records/final.ts
+++ b/src/storage/records/final.ts
@@ -49,7 +49,7 @@
 });
 
 /** A job's end in one transaction: its final record in place of the live one, and of its other records those named. */
-export const endWrites = (
+export const jobEndWrites = (
   id: string,
   record: FinalRecord,
   sideKeys: readonly string[] = [],
--- a/src/storage/records/gang.ts
+++ b/src/storage/records/gang.ts
@@ -8,5 +8,5 @@
 
 const StoredAttempt = v.object({ attempt: v.number() });
 
-export const readAttempt = (value: unknown): number | null =>
+export const readGangAttempt = (value: unknown): number | null =>
   read(StoredAttempt, value)?.attempt ?? null;
--- a/src/storage/records/quota.ts
+++ b/src/storage/records/quota.ts
@@ -12,9 +12,9 @@
 const StoredObservedLimits = v.object({ limits: v.string() });
 
 /** Team -> partition -> [CPUs, GPUs] of the team's quota that the partition may use. */
-export type Shares = Record<string, Record<string, [number, number]>>;
+export type QuotaShares = Record<string, Record<string, [number, number]>>;
 
-export const readQuota = (value: unknown): Shares | null =>
+export const readQuota = (value: unknown): QuotaShares | null =>
   read(StoredQuota, value);
 
 /**
--- a/src/storage/records/reclaims.ts
+++ b/src/storage/records/reclaims.ts
@@ -26,11 +26,11 @@
   token: number;
   /** The team it is for, and how much of its deficit it takes up. */
   team: string;
-  need: [cpus: number, gpus: number];
+  coveredDeficit: [cpus: number, gpus: number];
   /** Of which teams how much is preempted. */
   from: [team: string, cpus: number, gpus: number][];
   /** Time of day, in ms, until which others count it. */
-  until: number;
+  expiresAt: number;
 }
 
 /** By partition. */
@@ -44,9 +44,9 @@
         reclaims.map((reclaim) => ({
           token: reclaim.t,
           team: reclaim.team,
-          need: reclaim.n,
+          coveredDeficit: reclaim.n,
           from: reclaim.from,
-          until: reclaim.u,
+          expiresAt: reclaim.u,
         })),
       ]),
     )
@@ -62,9 +62,9 @@
       reclaims.map((reclaim) => ({
         t: reclaim.token,
         team: reclaim.team,
-        n: reclaim.need,
+        n: reclaim.coveredDeficit,
         from: reclaim.from,
-        u: reclaim.until,
+        u: reclaim.expiresAt,
       })),
     ]),
   ),
--- a/src/storage/store-client.ts
+++ b/src/storage/store-client.ts
@@ -38,7 +38,7 @@
 /** A way to the state service through another controller. */
 interface PeerChannel {
   /** Label of a peer that reaches the service; null: there is none. */
-  withState(): string | null;
+  peerWithStore(): string | null;
   call(
     label: string,
     type: typeof Frame.StoreCall,
@@ -101,12 +101,12 @@
   }
 
   /** Whether the service answered our own last request. */
-  get ok(): boolean {
+  get isReachable(): boolean {
     return this.failingSinceMs === null;
   }
 
   /** For a peer: over this controller's own connection only. */
-  async carry(call: StateCall): Promise<StateReply> {
+  async callForPeer(call: StateCall): Promise<StateReply> {
     const { reply } = await this.limited(call, CARRIED_PRIORITY, () =>
       this.callDirectly(call),
     );
@@ -146,7 +146,7 @@
   private route(call: StateCall): Promise<StateReply> {
     const nowMs = performance.now();
     const peers = this.isUnavailable(nowMs) ? this.peers : null;
-    const label = peers?.withState() ?? null;
+    const label = peers?.peerWithStore() ?? null;
     if (peers === null || label === null) return this.callDirectly(call);
     if (nowMs > this.nextProbeMs) {
       this.nextProbeMs = nowMs + PROBE_INTERVAL_MS;
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -2,7 +2,7 @@
 import {
   type CloudCall,
   type CloudReply,
-  OWN_LIMIT,
+  OWN_RATE_LIMIT,
 } from "../coordination/effects.js";
 import {
   listPath,
@@ -86,7 +86,7 @@
         priority: urgent,
         cost: [1],
         deadlineMs: performance.now() + 10_000,
-        refuse: () => resolve({ kind: "failed", why: OWN_LIMIT }),
+        refuse: () => resolve({ kind: "failed", why: OWN_RATE_LIMIT }),
         run: () => {
           const { method, path, body } = toRequest(call);
           const { host, port } = this.settings.cloud;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -9,7 +9,7 @@
   heartbeatAnswerBody,
   parseHeartbeat,
   redirectBody,
-  heartbeatGapMs,
+  maxHeartbeatGapMs,
 } from "../protocol/workers.js";
 import type { Settings } from "../config/settings.js";
 import { ConnectionTable, type ConnectionKind } from "./connection-table.js";
@@ -57,7 +57,7 @@
       return Response.json({ error: "no such job" }, { status: 404 });
     case "retryLater":
       return Response.json(
-        { error: a.why },
+        { error: a.reason },
         { status: 503, headers: { "retry-after": String(a.afterS) } },
       );
     case "commands":
@@ -102,19 +102,21 @@
   app.post("/v1/jobs", limit, async (c) => {
     const job = parseJob(await c.req.text());
     return job.ok
-      ? toHttp(await core.ask((req) => ({ type: "submit", req, ...job.value })))
+      ? toHttp(
+          await core.ask((reqId) => ({ type: "submit", reqId, ...job.value })),
+        )
       : bad(job.error);
   });
   app.get("/v1/jobs/:id", async (c) => {
     const id = c.req.param("id");
     return JOB_ID.test(id)
-      ? toHttp(await core.ask((req) => ({ type: "status", req, id })))
+      ? toHttp(await core.ask((reqId) => ({ type: "status", reqId, id })))
       : toHttp({ kind: "unknownJob" });
   });
   app.post("/v1/jobs/:id/withdraw", limit, async (c) => {
     const id = c.req.param("id");
     return JOB_ID.test(id)
-      ? toHttp(await core.ask((req) => ({ type: "cancel", req, id })))
+      ? toHttp(await core.ask((reqId) => ({ type: "cancel", reqId, id })))
       : toHttp({ kind: "unknownJob" });
   });
   app.post("/hello", limit, async (c) => {
@@ -124,9 +126,9 @@
       core.malformed(r.error);
       return bad(r.error);
     }
-    const answer = await core.ask((req) => ({
+    const answer = await core.ask((reqId) => ({
       type: "heartbeat",
-      req,
+      reqId,
       heartbeat: r.value,
       relayed: false,
     }));
@@ -185,7 +187,7 @@
     // Room is left for the state service, the cloud, the workers and the other controllers.
     const most = Math.max(8, Math.floor(settings.maxSockets * 0.65));
     server.maxConnections = most;
-    const workerMs = heartbeatGapMs(settings.reportS) + SWEEP_MS;
+    const workerMs = maxHeartbeatGapMs(settings.reportS) + SWEEP_MS;
     const open = new ConnectionTable<Socket>(Math.max(4, most - CLOSING), {
       fresh: 10_000,
       probe: 10_000,
--- a/src/transport/peer-mesh.ts
+++ b/src/transport/peer-mesh.ts
@@ -2,11 +2,11 @@
 import type { Settings } from "../config/settings.js";
 import {
   decodeReply,
-  encode,
+  encodeFrame,
   encodeReply,
   Frame,
   FrameReader,
-  MAX_FRAME,
+  MAX_FRAME_BYTES,
 } from "../protocol/frames.js";
 
 const PING_MS = 1_000;
@@ -124,7 +124,7 @@
       .map((p) => p.label);
   }
   /** A peer whose own calls to the state service are answered. */
-  withState(): string | null {
+  peerWithStore(): string | null {
     const now = performance.now();
     return (
       this.peers.find((p) => p.stateOk && now - p.heardMs < SILENT_MS)?.label ??
@@ -145,7 +145,7 @@
       !p?.socket ||
       !p.connected ||
       p.open.size >= this.maxInFlight ||
-      payload.length > MAX_FRAME - HEAD_BYTES ||
+      payload.length > MAX_FRAME_BYTES - HEAD_BYTES ||
       p.socket.writableLength > this.maxBacklogBytes
     )
       return Promise.resolve(null);
@@ -159,7 +159,7 @@
         resolve(r);
       };
       p.open.set(id, end);
-      socket.write(encode(type, id, payload));
+      socket.write(encodeFrame(type, id, payload));
     });
   }
 
@@ -173,7 +173,7 @@
       )
         p.socket.destroy();
       if (!p.socket) this.connect(p);
-      else if (p.connected) p.socket.write(encode(Frame.Ping, 0, NOTHING));
+      else if (p.connected) p.socket.write(encodeFrame(Frame.Ping, 0, NOTHING));
     }
   }
 
@@ -185,7 +185,7 @@
     socket.on("connect", () => {
       p.connected = true;
       p.openedMs = performance.now();
-      socket.write(encode(Frame.Ping, 0, NOTHING));
+      socket.write(encodeFrame(Frame.Ping, 0, NOTHING));
     });
     socket.on("data", (d: Buffer) => {
       const frames = reader.push(d);
@@ -231,7 +231,7 @@
       for (const f of frames) {
         if (f.type === Frame.Ping)
           socket.write(
-            encode(
+            encodeFrame(
               Frame.Pong,
               f.id,
               Buffer.from([this.handlers.stateOk() ? 1 : 0]),
@@ -252,7 +252,7 @@
             .serve(f.type, f.payload.toString("utf8"))
             .then((r) => {
               serving--;
-              if (Buffer.byteLength(r.body) > MAX_FRAME - HEAD_BYTES)
+              if (Buffer.byteLength(r.body) > MAX_FRAME_BYTES - HEAD_BYTES)
                 r = TOO_LARGE;
               if (!socket.destroyed)
                 socket.write(encodeReply(f.id, r.status, r.body));
--- a/src/verification/quota-model.ts
+++ b/src/verification/quota-model.ts
@@ -10,7 +10,7 @@
   mayUse,
 } from "../coordination/quota/quota-records.js";
 import type { ResourceAmounts } from "../coordination/quota/resource-amounts.js";
-import { QUOTA_KEY, type Shares } from "../storage/records.js";
+import { QUOTA_KEY, type QuotaShares } from "../storage/records.js";
 import type { Model, Step } from "./explore.js";
 
 /**
@@ -63,7 +63,7 @@
 
 interface Change {
   base: number;
-  value: Shares;
+  value: QuotaShares;
   reserved: Record<string, ResourceAmounts>;
   /** It was not answered: it may have been carried out, or may yet be. */
   open: boolean;
@@ -73,7 +73,7 @@
   /** Settings that its master goes by. */
   later: boolean;
   /** Its copy of the record. */
-  copy: { version: number; shares: Shares };
+  copy: { version: number; shares: QuotaShares };
   change: Change | null;
   use: number[];
   wait: number[];
@@ -86,12 +86,12 @@
   group: number;
   token: number;
   base: number;
-  value: Shares;
+  value: QuotaShares;
   /** It was delivered once already. */
   doubled: boolean;
 }
 interface QuotaModelState {
-  record: { version: number; shares: Shares };
+  record: { version: number; shares: QuotaShares };
   groups: Group[];
   flights: Flight[];
   tokens: number;
@@ -110,11 +110,11 @@
 });
 
 const demandOf = ([want, beyond, backfill]: Want): PartitionDemand => ({
-  now: [want, 0],
-  nowSince: [1, Infinity],
-  soon: [0, 0],
-  soonSince: [Infinity, Infinity],
-  beyond: [beyond, 0],
+  startable: [want, 0],
+  startableSinceMs: [1, Infinity],
+  awaitingMachines: [0, 0],
+  awaitingMachinesSinceMs: [Infinity, Infinity],
+  baseShare: [beyond, 0],
   backfill: [backfill, 0],
 });
 
@@ -434,7 +434,7 @@
       ]),
     ].sort((a, b) => a - b);
     const v = (n: number): number => (n === 0 ? -1 : versions.indexOf(n));
-    const shares = (x: Shares): unknown =>
+    const shares = (x: QuotaShares): unknown =>
       scope.teams.map((t) => [
         x[CAPS_NAME]?.[t]?.[0],
         scope.groups.map((g) => x[t]?.[g]?.[0]),
--- a/src/webhooks/index.ts
+++ b/src/webhooks/index.ts
@@ -23,7 +23,7 @@
 interface WebhookHost {
   /** A call to the state service, within this controller's limits. */
   state(call: StateCall, urgent: number): Promise<StateReply>;
-  leadershipLease(): { hold: number | null; untilMs: number };
+  leadershipLease(): { storeLease: number | null; untilMs: number };
   log(entry: LogEntry): void;
   /** For metrics. */
   settled(outcome: "delivered" | "dead", tookMs: number): void;
--- a/src/webhooks/webhook-core.ts
+++ b/src/webhooks/webhook-core.ts
@@ -57,7 +57,7 @@
       changes: readonly Change[];
     }
   /** The hold that this controller lives under, and until when (steady time) it may act on what it owns. */
-  | { type: "permit"; hold: number | null; untilMs: number }
+  | { type: "permit"; storeLease: number | null; untilMs: number }
   | { type: "state"; op: number; reply: StateReply }
   | { type: "attempted"; attempt: number; result: AttemptResult }
   | { type: "request"; req: number; request: WebhookRequest }
@@ -174,8 +174,8 @@
         this.seen(input.from, input.to, input.changes);
         break;
       case "permit":
-        if (input.hold !== this.storeLease) this.dropAll();
-        this.storeLease = input.hold;
+        if (input.storeLease !== this.storeLease) this.dropAll();
+        this.storeLease = input.storeLease;
         this.leadershipLeaseUntilMs = input.untilMs;
         break;
       case "state": {
--- a/test/coordination/components.test.ts
+++ b/test/coordination/components.test.ts
@@ -10,19 +10,19 @@
 import { partitionJob } from "../../src/coordination/jobs/job-partitioner.js";
 import { capablePartitions } from "../../src/coordination/jobs/partition-capacity.js";
 import {
-  encode,
+  encodeFrame,
   encodeReply,
   decodeReply,
   Frame,
   FrameReader,
-  MAX_FRAME,
+  MAX_FRAME_BYTES,
 } from "../../src/protocol/frames.js";
 import { parseJob } from "../../src/protocol/jobs.js";
 import { parseHeartbeat } from "../../src/protocol/workers.js";
 import {
-  COMPLETION_BLOCK,
-  completionBlock,
-  inBlock,
+  COMPLETION_BLOCK_SIZE,
+  completionBlockOf,
+  tasksInBlock,
   readCompletion,
   readJob,
   writeCompletion,
@@ -93,9 +93,9 @@
   const set = RangeSet.empty();
   for (let i = 0; i < 100_000; i += 2) set.add(i);
   const back = RangeSet.empty();
-  for (let task = 0; task < 100_000; task += COMPLETION_BLOCK) {
-    const block = completionBlock(task);
-    const text = JSON.stringify(writeCompletion(inBlock(set, block)));
+  for (let task = 0; task < 100_000; task += COMPLETION_BLOCK_SIZE) {
+    const block = completionBlockOf(task);
+    const text = JSON.stringify(writeCompletion(tasksInBlock(set, block)));
     assert.ok(text.length <= 1_024, `${text.length}`);
     back.addAll(readCompletion(JSON.parse(text), block)!);
   }
@@ -201,8 +201,8 @@
 test("frames survive any cutting, and what is no frame is refused", () => {
   const rng = new Rng(3);
   const all = Buffer.concat([
-    encode(Frame.Ping, 0, Buffer.alloc(0)),
-    encode(Frame.Heartbeat, 7, Buffer.from("x".repeat(3_000))),
+    encodeFrame(Frame.Ping, 0, Buffer.alloc(0)),
+    encodeFrame(Frame.Heartbeat, 7, Buffer.from("x".repeat(3_000))),
     encodeReply(7, 421, "{}"),
   ]);
   for (let round = 0; round < 50; round++) {
@@ -227,7 +227,7 @@
   other.writeUInt8(9, 4);
   assert.equal(new FrameReader().push(other), null, "another version");
   const huge = Buffer.alloc(16);
-  huge.writeUInt32BE(MAX_FRAME + 1, 0);
+  huge.writeUInt32BE(MAX_FRAME_BYTES + 1, 0);
   assert.equal(new FrameReader().push(huge), null, "too large");
   assert.equal(
     new FrameReader().push(Buffer.from("GET / HTTP/1.1\r\n")),
@@ -371,7 +371,7 @@
           left: new Map<string, number>(),
           wants: new Map(),
           teams: null,
-          cut: false,
+          isTruncated: false,
         },
       ]),
     );
@@ -416,7 +416,7 @@
     left: new Map<string, number>(),
     wants: new Map(),
     teams: null,
-    cut: false,
+    isTruncated: false,
   });
   const one = partitionJob(
     SPEC({ tasks: 1, cpus: 8, gpus: 0, machineTypes: null, spot: false }),
--- a/test/coordination/jobs/dependencies.test.ts
+++ b/test/coordination/jobs/dependencies.test.ts
@@ -53,9 +53,9 @@
   const askedMs = w.now;
   w.ask(
     node,
-    (req) => ({
+    (reqId) => ({
       type: "submit",
-      req,
+      reqId,
       spec,
       dependsOn: w.dependsOn.get(spec.id),
     }),
@@ -77,7 +77,7 @@
   if (type === "cancel") w.checker.asked.add(id);
   w.ask(
     node,
-    (req) => ({ type, req, id }),
+    (reqId) => ({ type, reqId, id }),
     (a) => {
       got.answer = a;
       if (a?.kind === "job") w.checker.answered(id, a.state, askedMs);
@@ -421,9 +421,9 @@
     const asking = (): void =>
       w.ask(
         w.names[n % 3]!,
-        (req) => ({
+        (reqId) => ({
           type: "submit",
-          req,
+          reqId,
           spec,
           dependsOn: w.dependsOn.get(spec.id),
         }),
--- a/test/coordination/machines/delivery-tracker.test.ts
+++ b/test/coordination/machines/delivery-tracker.test.ts
@@ -33,9 +33,9 @@
   let got: Answer | null = null;
   w.ask(
     "node-a",
-    (req) => ({
+    (reqId) => ({
       type: "heartbeat",
-      req,
+      reqId,
       heartbeat: structuredClone(r),
       relayed: false,
     }),
@@ -234,7 +234,7 @@
   w.specs.set(spec.id, spec);
   w.ask(
     "node-a",
-    (req) => ({ type: "submit", req, spec }),
+    (reqId) => ({ type: "submit", reqId, spec }),
     () => {},
   );
   w.run(asked + 1_400);
--- a/test/coordination/machines/overtaken-heartbeats.test.ts
+++ b/test/coordination/machines/overtaken-heartbeats.test.ts
@@ -49,7 +49,7 @@
   world.specs.set(spec.id, spec);
   world.ask(
     "node-a",
-    (req) => ({ type: "submit", req, spec }),
+    (reqId) => ({ type: "submit", reqId, spec }),
     () => {},
   );
   const untilMs = world.now + 2_000;
@@ -71,9 +71,9 @@
 function deliver(world: World, heartbeat: Heartbeat): void {
   world.ask(
     "node-a",
-    (req) => ({
+    (reqId) => ({
       type: "heartbeat",
-      req,
+      reqId,
       heartbeat: structuredClone(heartbeat),
       relayed: false,
     }),
--- a/test/coordination/machines/scale-out.test.ts
+++ b/test/coordination/machines/scale-out.test.ts
@@ -428,7 +428,7 @@
   left: new Map(),
   wants: new Map(),
   teams: null,
-  cut: false,
+  isTruncated: false,
   ...over,
 });
 
--- a/test/coordination/quota/limited-world.ts
+++ b/test/coordination/quota/limited-world.ts
@@ -72,7 +72,7 @@
     this.world.at(atMs, () =>
       this.world.ask(
         this.world.rng.pick(this.world.names),
-        (req) => ({ type: "submit", req, spec }),
+        (reqId) => ({ type: "submit", reqId, spec }),
         (answer) =>
           answer?.kind === "job" &&
           this.world.checker.answered(spec.id, answer.state, this.world.now),
--- a/test/coordination/quota/quota.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -30,7 +30,7 @@
 import {
   bytesOf,
   QUOTA_KEY,
-  type Shares,
+  type QuotaShares,
 } from "../../../src/storage/records.js";
 import { farm } from "./process-cluster.js";
 import {
@@ -100,7 +100,7 @@
     for (const [key, shares] of plan.writes) {
       assert.ok(bytesOf(shares) <= this.valueBytes);
       this.records.set(key, {
-        shares: JSON.parse(JSON.stringify(shares)) as Shares,
+        shares: JSON.parse(JSON.stringify(shares)) as QuotaShares,
         revision: this.version,
       });
     }
@@ -123,11 +123,11 @@
     this.wants.set(
       partition,
       of.set(t, {
-        now: [cpus, 0],
-        nowSince: [since, Infinity],
-        soon: [0, 0],
-        soonSince: [Infinity, Infinity],
-        beyond: [beyond, 0],
+        startable: [cpus, 0],
+        startableSinceMs: [since, Infinity],
+        awaitingMachines: [0, 0],
+        awaitingMachinesSinceMs: [Infinity, Infinity],
+        baseShare: [beyond, 0],
       }),
     );
   }
@@ -485,7 +485,7 @@
     for (const t of ["red", "blue"]) {
       const sum = entryIn(
         QUOTA_KEY,
-        w.state.data.get(QUOTA_KEY)!.value as Shares,
+        w.state.data.get(QUOTA_KEY)!.value as QuotaShares,
         t,
       )!.sum[0];
       assert.ok(
@@ -666,7 +666,7 @@
     w.specs.set(spec.id, spec);
     w.ask(
       node(),
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       () => {},
     );
   });
@@ -962,7 +962,7 @@
       w.at(atMs, () =>
         w.ask(
           "node-a",
-          (req) => ({ type: "submit", req, spec }),
+          (reqId) => ({ type: "submit", reqId, spec }),
           (a) => assert.equal(a?.kind, "job", JSON.stringify(a)),
         ),
       );
--- a/test/coordination/scheduling/rebalancer.test.ts
+++ b/test/coordination/scheduling/rebalancer.test.ts
@@ -35,7 +35,7 @@
   const spec = arrayOf(world, id, over);
   world.ask(
     "node-a",
-    (req) => ({ type: "submit", req, spec }),
+    (reqId) => ({ type: "submit", reqId, spec }),
     () => {},
   );
   return spec.id;
--- a/test/golden/core-trace.ts
+++ b/test/golden/core-trace.ts
@@ -228,27 +228,37 @@
 function inputLine(input: Input): Line {
   switch (input.type) {
     case "submit":
-      return ["submit", input.req, jobLine(input.spec), input.dependsOn ?? []];
+      return [
+        "submit",
+        input.reqId,
+        jobLine(input.spec),
+        input.dependsOn ?? [],
+      ];
     case "status":
-      return ["status", input.req, input.id];
+      return ["status", input.reqId, input.id];
     case "cancel":
-      return ["withdraw", input.req, input.id];
+      return ["withdraw", input.reqId, input.id];
     case "heartbeat":
-      return ["report", input.req, input.relayed, reportLine(input.heartbeat)];
+      return [
+        "report",
+        input.reqId,
+        input.relayed,
+        reportLine(input.heartbeat),
+      ];
     case "leaderUnreachable":
       return ["not relayed", input.zone];
     case "peers":
       return ["peers", input.up];
     case "storeReply":
-      return ["state", input.op, input.sentMs, stateReplyLine(input.reply)];
+      return ["state", input.callId, input.sentMs, stateReplyLine(input.reply)];
     case "cloudReply":
-      return ["cloud", input.op, cloudReplyLine(input.reply)];
+      return ["cloud", input.callId, cloudReplyLine(input.reply)];
     case "commandReply":
-      return ["command", input.op, commandReplyLine(input.reply)];
+      return ["command", input.callId, commandReplyLine(input.reply)];
     case "inspectReply":
       return [
         "inspected",
-        input.op,
+        input.callId,
         input.heartbeat && reportLine(input.heartbeat),
       ];
     case "memory":
@@ -277,7 +287,7 @@
     case "unknownJob":
       return [404];
     case "retryLater":
-      return [503, answer.afterS, answer.why];
+      return [503, answer.afterS, answer.reason];
     case "commands":
       return [200, heartbeatAnswerBody(answer.token, answer.commands)];
     case "redirect":
@@ -312,20 +322,30 @@
 function effectLine(effect: Effect): Line | null {
   switch (effect.type) {
     case "answer":
-      return ["answer", effect.req, answerLine(effect.answer)];
+      return ["answer", effect.reqId, answerLine(effect.answer)];
     case "storeCall":
-      return ["state", effect.op, effect.priority, stateCallLine(effect.call)];
+      return [
+        "state",
+        effect.callId,
+        effect.priority,
+        stateCallLine(effect.call),
+      ];
     case "cloudCall":
-      return ["cloud", effect.op, effect.priority, cloudCallLine(effect.call)];
+      return [
+        "cloud",
+        effect.callId,
+        effect.priority,
+        cloudCallLine(effect.call),
+      ];
     case "workerCommand":
       return [
         "command",
-        effect.op,
+        effect.callId,
         effect.address,
         commandBody(effect.token, effect.incarnation, effect.commands),
       ];
     case "inspect":
-      return ["inspect", effect.op, effect.address];
+      return ["inspect", effect.callId, effect.address];
     case "storeChanges":
       return ["seen", effect.from, effect.to, effect.changes.length];
     case "wake":
--- a/test/golden/protocol.ts
+++ b/test/golden/protocol.ts
@@ -15,12 +15,12 @@
 } from "../../src/protocol/cloud.js";
 import {
   decodeReply,
-  encode,
+  encodeFrame,
   encodeReply,
   Frame,
   FrameReader,
-  MAX_FRAME,
-  VERSION,
+  MAX_FRAME_BYTES,
+  FRAME_VERSION,
 } from "../../src/protocol/frames.js";
 import { jobBody, parseJob } from "../../src/protocol/jobs.js";
 import {
@@ -394,21 +394,21 @@
 
 test("golden: bytes of the frames between controllers", () => {
   const hex = (frame: Buffer): string => frame.toString("hex");
-  expectJson([VERSION, MAX_FRAME], "[1,1048576]");
+  expectJson([FRAME_VERSION, MAX_FRAME_BYTES], "[1,1048576]");
   expectText(
-    hex(encode(Frame.Ping, 0, Buffer.alloc(0))),
+    hex(encodeFrame(Frame.Ping, 0, Buffer.alloc(0))),
     "00000006010100000000",
   );
   expectText(
-    hex(encode(Frame.Pong, 1, Buffer.from([1]))),
+    hex(encodeFrame(Frame.Pong, 1, Buffer.from([1]))),
     "0000000701020000000101",
   );
   expectText(
-    hex(encode(Frame.Heartbeat, 2, Buffer.from("{}"))),
+    hex(encodeFrame(Frame.Heartbeat, 2, Buffer.from("{}"))),
     "000000080103000000027b7d",
   );
   expectText(
-    hex(encode(Frame.StoreCall, 0xfffffffe, Buffer.from("[]"))),
+    hex(encodeFrame(Frame.StoreCall, 0xfffffffe, Buffer.from("[]"))),
     "000000080104fffffffe5b5d",
   );
   expectText(
--- a/test/golden/records.ts
+++ b/test/golden/records.ts
@@ -113,7 +113,7 @@
     '{"s":"cancelled","n":7,"d":3,"h":["red","arrays",1700000000789]}',
   );
   expectJson(
-    records.endWrites("req-1", done, ["lc/now/gang/req-1"]),
+    records.jobEndWrites("req-1", done, ["lc/now/gang/req-1"]),
     '[{"op":"put","key":"lc/past/req-1","value":{"s":"done","n":7,"d":7}},{"op":"delete","key":"lc/now/job/req-1"},{"op":"delete","key":"lc/now/gang/req-1"}]',
   );
 });
@@ -130,14 +130,17 @@
     '{"r":[[384,390],[400,400]]}',
   );
   expectJson(
-    [records.COMPLETION_BLOCK, records.completionBlock(384)],
+    [records.COMPLETION_BLOCK_SIZE, records.completionBlockOf(384)],
     "[128,1003]",
   );
   expectJson(
     records.readCompletion(JSON.parse('{"b":"BQ=="}'), 1)?.pairs(),
     "[[16384,16384],[16386,16386]]",
   );
-  assert.equal(records.readAttempt(JSON.parse('{"attempt":4000001}')), 4000001);
+  assert.equal(
+    records.readGangAttempt(JSON.parse('{"attempt":4000001}')),
+    4000001,
+  );
   expectStored(
     {
       complete: true,
@@ -180,7 +183,7 @@
     },
   ],
   queue: { plain: 5, accelerated: 2 },
-  queueFrom: [
+  queueByMinPriority: [
     [5, 2],
     [4, 1],
     [3, 0],
@@ -195,30 +198,30 @@
       "red",
       {
         use: [1, 2],
-        may: [3, 4],
-        now: [5, 6],
-        nowSince: [1_700_000_000_002, 1_700_000_000_003],
-        soon: [7, 8],
-        soonSince: [1_700_000_000_004, 1_700_000_000_005],
-        beyond: [9, 10],
-        waits: [11, 12.25],
+        possibleUse: [3, 4],
+        startable: [5, 6],
+        startableSinceMs: [1_700_000_000_002, 1_700_000_000_003],
+        awaitingMachines: [7, 8],
+        awaitingMachinesSinceMs: [1_700_000_000_004, 1_700_000_000_005],
+        baseShare: [9, 10],
+        waiting: [11, 12.25],
       },
     ],
     [
       "blue",
       {
         use: [0, 0],
-        may: [0, 0],
-        now: [0, 0],
-        nowSince: [Infinity, Infinity],
-        soon: [0, 0],
-        soonSince: [Infinity, Infinity],
-        beyond: [0, 0],
-        waits: [0, 0],
+        possibleUse: [0, 0],
+        startable: [0, 0],
+        startableSinceMs: [Infinity, Infinity],
+        awaitingMachines: [0, 0],
+        awaitingMachinesSinceMs: [Infinity, Infinity],
+        baseShare: [0, 0],
+        waiting: [0, 0],
       },
     ],
   ]),
-  cut: true,
+  isTruncated: true,
 };
 
 test("golden: a group's room", () => {
@@ -228,7 +231,7 @@
     records.readCapacity,
     '{"rows":[{"t":"small","z":"east","s":true,"n":4,"f":[[6,0,20.5,2]],"r":[[8,0,32,1]],"y":[[8,0,32,1,1,3]]},{"t":"big","z":"mid","s":false,"n":1,"f":[],"r":[]}],"q":[5,2],"qu":[[5,2],[4,1],[3,0],[1,0]],"run":[["req-000412",3]],"out":["small/east/true"],"left":[["big/mid/false",2]],"want":[["red",8,1,1700000000001]],"team":[["red",1,2,3,4,5,6,1700000000002,7,8,1700000000004,9,10,11,12.25,1700000000003,1700000000005],["blue",0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0]],"cut":true}',
   );
-  const { queueFrom: _, ...empty } = ROOM;
+  const { queueByMinPriority: _, ...empty } = ROOM;
   expectStored(
     {
       ...empty,
@@ -238,7 +241,7 @@
       left: new Map(),
       wants: new Map(),
       teams: null,
-      cut: false,
+      isTruncated: false,
     },
     records.writeCapacity,
     records.readCapacity,
@@ -249,13 +252,13 @@
 test("golden: what a group lends and asks for of a limit", () => {
   const row = {
     use: [1, 0],
-    may: [1, 0],
-    now: [4, 1],
-    nowSince: [1_700_000_000_002, 1_700_000_000_003],
-    soon: [0, 0],
-    soonSince: [Infinity, Infinity],
-    beyond: [3.8, 0],
-    waits: [12, 1],
+    possibleUse: [1, 0],
+    startable: [4, 1],
+    startableSinceMs: [1_700_000_000_002, 1_700_000_000_003],
+    awaitingMachines: [0, 0],
+    awaitingMachinesSinceMs: [Infinity, Infinity],
+    baseShare: [3.8, 0],
+    waiting: [12, 1],
   } satisfies records.TeamRow;
   expectStored(
     {
@@ -312,9 +315,9 @@
           {
             token: 12,
             team: "red",
-            need: [8, 1],
+            coveredDeficit: [8, 1],
             from: [["blue", 4, 1]],
-            until: 1_700_000_000_006,
+            expiresAt: 1_700_000_000_006,
           },
         ],
       ],
--- a/test/golden/transport.ts
+++ b/test/golden/transport.ts
@@ -83,7 +83,7 @@
   ],
   [{ kind: "unknownJob" }, '404 application/json - {"error":"no such job"}'],
   [
-    { kind: "retryLater", afterS: 3, why: "no permit" },
+    { kind: "retryLater", afterS: 3, reason: "no permit" },
     '503 application/json 3 {"error":"no permit"}',
   ],
   [
@@ -412,7 +412,7 @@
         );
     }
   };
-  feed({ type: "permit", hold: 1, untilMs: 1e9 });
+  feed({ type: "permit", storeLease: 1, untilMs: 1e9 });
   let asked = 0;
   return webhookRoutes(
     (request) => {
--- a/test/scenarios/large-fleet-checks.ts
+++ b/test/scenarios/large-fleet-checks.ts
@@ -17,7 +17,7 @@
 /** The answer to this input, if it was given at once. */
 function answerOf(req: number, effects: readonly Effect[]): Answer | null {
   for (const effect of effects)
-    if (effect.type === "answer" && effect.req === req) return effect.answer;
+    if (effect.type === "answer" && effect.reqId === req) return effect.answer;
   return null;
 }
 
@@ -42,7 +42,7 @@
     if (!this.takeover || input.type !== "heartbeat") return;
     const { worker } = input.heartbeat;
     if (!this.cut.has(worker)) return;
-    const answer = answerOf(input.req, effects);
+    const answer = answerOf(input.reqId, effects);
     if (input.relayed) this.noteRelayed(name, worker, answer);
     else this.noteRedirected(name, worker, answer);
   }
--- a/test/simulation/failure-scenarios.test.ts
+++ b/test/simulation/failure-scenarios.test.ts
@@ -72,12 +72,12 @@
   assert.ok(until > 5_000 && Number.isFinite(until));
   const commands: Effect = {
     type: "answer",
-    req: 1,
+    reqId: 1,
     answer: { kind: "commands", token: 1, commands: [] },
   };
   const command: Effect = {
     type: "workerCommand",
-    op: 1,
+    callId: 1,
     address: "",
     token: 1,
     incarnation: 1,
@@ -85,15 +85,15 @@
   };
   for (const e of [commands, command])
     assert.deepEqual(
-      [core.mayLeave(e, until - 1), core.mayLeave(e, until)],
+      [core.maySend(e, until - 1), core.maySend(e, until)],
       [true, false],
     );
   assert.ok(
-    core.mayLeave(
+    core.maySend(
       {
         type: "answer",
-        req: 1,
-        answer: { kind: "retryLater", afterS: 1, why: "" },
+        reqId: 1,
+        answer: { kind: "retryLater", afterS: 1, reason: "" },
       },
       until + 1e6,
     ),
@@ -125,7 +125,7 @@
   w.at(atMs, () =>
     w.ask(
       "node-a",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job"),
     ),
   );
--- a/test/simulation/fault-combinations.test.ts
+++ b/test/simulation/fault-combinations.test.ts
@@ -10,7 +10,7 @@
 import {
   observedLimitsKey,
   gangKey,
-  inBlock,
+  tasksInBlock,
   readCompletion,
   capacityKey,
 } from "../../src/storage/records.js";
@@ -179,9 +179,9 @@
 });
 test("guard: effects are looked at by the clock once more before they leave", () => {
   expectGuardNeeded(gapDay, [0], "no_permit", () => {
-    const before = Controller.prototype.mayLeave;
-    Controller.prototype.mayLeave = () => true;
-    return () => (Controller.prototype.mayLeave = before);
+    const before = Controller.prototype.maySend;
+    Controller.prototype.maySend = () => true;
+    return () => (Controller.prototype.maySend = before);
   });
 });
 
@@ -262,7 +262,7 @@
   w.at(4_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job"),
     ),
   );
@@ -274,7 +274,7 @@
     return fin.reduce(
       (n, [k, d]) =>
         n +
-        inBlock(
+        tasksInBlock(
           readCompletion(d.value, Number(k.split("/").at(-1)))!,
           Number(k.split("/").at(-1)),
         ).size,
@@ -335,7 +335,7 @@
   w.at(4_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job"),
     ),
   );
@@ -366,7 +366,7 @@
   w.at(9_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job", JSON.stringify(a)),
     ),
   );
@@ -391,7 +391,7 @@
   w.at(4_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job"),
     ),
   );
@@ -441,7 +441,7 @@
   w.at(4_000, () =>
     w.ask(
       "node-a",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job"),
     ),
   );
--- a/test/simulation/production-controller.ts
+++ b/test/simulation/production-controller.ts
@@ -100,16 +100,18 @@
     case "submit":
       return {
         is: "submit",
-        req: input.req,
+        req: input.reqId,
         spec: productionSpec(input.spec),
         ...(input.dependsOn ? { awaits: input.dependsOn } : {}),
       };
+    case "status":
+      return { is: "status", req: input.reqId, id: input.id };
     case "cancel":
-      return { is: "withdraw", req: input.req, id: input.id };
+      return { is: "withdraw", req: input.reqId, id: input.id };
     case "heartbeat":
       return {
         is: "report",
-        req: input.req,
+        req: input.reqId,
         report: productionReport(input.heartbeat),
         relayed: input.relayed,
       };
@@ -118,21 +120,21 @@
     case "storeReply":
       return {
         is: "state",
-        op: input.op,
+        op: input.callId,
         reply: input.reply,
         sentMs: input.sentMs,
       };
     case "cloudReply":
       return {
         is: "cloud",
-        op: input.op,
+        op: input.callId,
         reply: productionCloudReply(input.reply),
       };
     case "commandReply": {
       const { kind, ...rest } = input.reply;
       return {
         is: "command",
-        op: input.op,
+        op: input.callId,
         reply: { is: kind, ...rest } as production.CommandReply,
       };
     }
@@ -148,7 +150,7 @@
     case "never":
       return { kind: "cannotRun", error: answer.error };
     case "later":
-      return { kind: "retryLater", afterS: answer.afterS, why: answer.why };
+      return { kind: "retryLater", afterS: answer.afterS, reason: answer.why };
     case "orders":
       return {
         kind: "commands",
@@ -173,13 +175,13 @@
     case "answer":
       return {
         type: "answer",
-        req: effect.req,
+        reqId: effect.req,
         answer: presentAnswer(effect.answer),
       };
     case "command":
       return {
         type: "workerCommand",
-        op: effect.op,
+        callId: effect.op,
         address: effect.address,
         token: effect.token,
         incarnation: effect.session,
@@ -188,14 +190,14 @@
     case "state":
       return {
         type: "storeCall",
-        op: effect.op,
+        callId: effect.op,
         call: effect.call,
         priority: effect.urgent as number,
       };
     case "cloud":
       return {
         type: "cloudCall",
-        op: effect.op,
+        callId: effect.op,
         call: effect.call,
         priority: effect.urgent as number,
       };
--- a/test/simulation/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -228,7 +228,7 @@
       w.at(2_000 + n * 20, () =>
         w.ask(
           "node-a",
-          (req) => ({ type: "submit", req, spec }),
+          (reqId) => ({ type: "submit", reqId, spec }),
           () => {},
         ),
       );
@@ -272,7 +272,7 @@
     const askedMs = w.now;
     w.ask(
       "node-c",
-      (req) => ({ type: "status", req, id: spec.id }),
+      (reqId) => ({ type: "status", reqId, id: spec.id }),
       (a) => {
         if (a?.kind === "job") w.checker.answered(spec.id, a.state, askedMs);
         if (a?.kind === "job" && a.state === "done") toldMs ||= w.now;
@@ -286,7 +286,7 @@
   w.at(3_000, () =>
     w.ask(
       "node-b",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       () => poll(),
     ),
   );
@@ -328,7 +328,7 @@
       w.at(3_000 + n * 500, () =>
         w.ask(
           "node-c",
-          (req) => ({ type: "submit", req, spec }),
+          (reqId) => ({ type: "submit", reqId, spec }),
           (a) =>
             a?.kind === "job" && w.checker.answered(spec.id, a.state, w.now),
         ),
@@ -370,7 +370,7 @@
       const askedMs = w.now;
       w.ask(
         "node-a",
-        (req) => ({ type: "submit", req, spec }),
+        (reqId) => ({ type: "submit", reqId, spec }),
         (a) => {
           got.push(`${n}: ${a?.kind === "job" ? a.status : a?.kind}`);
           assert.ok(w.now - askedMs < 1_000, "at once");
@@ -446,7 +446,7 @@
     w.at(5_000 + n * 1_000, () =>
       w.ask(
         "node-c",
-        (req) => ({ type: "submit", req, spec }),
+        (reqId) => ({ type: "submit", reqId, spec }),
         (a) => assert.equal(a?.kind, "job"),
       ),
     );
@@ -487,10 +487,10 @@
       w.specs.set(s.id, w.specs.get(s.id) ?? s);
       w.ask(
         "node-a",
-        (req) =>
+        (reqId) =>
           what === "submit"
-            ? { type: "submit", req, spec: w.specs.get(s.id)! }
-            : { type: "cancel", req, id: s.id },
+            ? { type: "submit", reqId, spec: w.specs.get(s.id)! }
+            : { type: "cancel", reqId, id: s.id },
         (a) =>
           got.push(
             `${n}: ${a?.kind === "job" ? `${a.status} ${a.state}` : a?.kind}`,
@@ -561,7 +561,7 @@
   w.at(3_000, () =>
     w.ask(
       "node-b",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job"),
     ),
   );
@@ -571,7 +571,7 @@
     w.checker.asked.add(spec.id);
     w.ask(
       "node-b",
-      (req) => ({ type: "cancel", req, id: spec.id }),
+      (reqId) => ({ type: "cancel", reqId, id: spec.id }),
       (a) => a?.kind === "job" && w.checker.answered(spec.id, a.state, w.now),
     );
   });
@@ -588,9 +588,9 @@
 
 test("the checker detects commands without a leadership lease", () => {
   const before = Leadership.prototype.mayAct;
-  const leave = Controller.prototype.mayLeave;
+  const leave = Controller.prototype.maySend;
   Leadership.prototype.mayAct = () => true;
-  Controller.prototype.mayLeave = () => true;
+  Controller.prototype.maySend = () => true;
   try {
     assert.match(
       cancelBehindBack(false).checker.broken.join(),
@@ -598,7 +598,7 @@
     );
   } finally {
     Leadership.prototype.mayAct = before;
-    Controller.prototype.mayLeave = leave;
+    Controller.prototype.maySend = leave;
   }
 });
 
@@ -677,7 +677,7 @@
   w.at(1, () =>
     w.ask(
       "node-a",
-      (req) => ({ type: "status", req, id: "req-1" }),
+      (reqId) => ({ type: "status", reqId, id: "req-1" }),
       () => {},
     ),
   );
@@ -725,7 +725,7 @@
     w.at(at, () =>
       w.ask(
         "node-b",
-        (req) => ({ type: "submit", req, spec: s }),
+        (reqId) => ({ type: "submit", reqId, spec: s }),
         (a) => assert.equal(a?.kind, "job"),
       ),
     );
@@ -763,7 +763,7 @@
   w.at(3_000, () =>
     w.ask(
       "node-b",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       () => {},
     ),
   );
@@ -806,7 +806,7 @@
   w.at(2_000, () =>
     w.ask(
       "node-b",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job"),
     ),
   );
@@ -888,9 +888,9 @@
   const sendHeartbeat = (): void => {
     w.ask(
       "node-a",
-      (req) => ({
+      (reqId) => ({
         type: "heartbeat",
-        req,
+        reqId,
         heartbeat: { ...m.snapshot(), token: 0 },
         relayed: false,
       }),
--- a/test/simulation/state-service.ts
+++ b/test/simulation/state-service.ts
@@ -1,7 +1,7 @@
 import type { Settings } from "../../src/config/settings.js";
 import {
   type Change,
-  HOLD_ENDED,
+  STORE_LEASE_ENDED,
   type Item,
   type StateCall,
   type StateReply,
@@ -130,7 +130,7 @@
           return done({ is: "refused", why: "400" });
         for (const w of call.writes)
           if (w.op === "put" && w.hold !== undefined && !this.holds.has(w.hold))
-            return done({ is: "refused", why: HOLD_ENDED });
+            return done({ is: "refused", why: STORE_LEASE_ENDED });
         if (
           call.conditions.some(
             (c) => (this.data.get(c.key)?.version ?? 0) !== c.version,
--- a/test/simulation/workloads.ts
+++ b/test/simulation/workloads.ts
@@ -74,7 +74,7 @@
   const askUnknown = (): void => {
     w.ask(
       w.rng.pick(w.names),
-      (req) => ({ type: "status", req, id: "req-999999" }),
+      (reqId) => ({ type: "status", reqId, id: "req-999999" }),
       (a) =>
         a?.kind === "job" && w.checker.answered("req-999999", a.state, w.now),
     );
@@ -185,9 +185,9 @@
   request(
     w,
     5_000,
-    (req) => ({
+    (reqId) => ({
       type: "submit",
-      req,
+      reqId,
       spec,
       dependsOn: w.dependsOn.get(spec.id),
     }),
@@ -219,10 +219,10 @@
         if (w.apart(w.zoneOf(name), null)) return;
         w.ask(
           name,
-          (req) =>
+          (reqId) =>
             again
-              ? { type: "submit", req, spec, dependsOn: w.dependsOn.get(id) }
-              : { type: "status", req, id },
+              ? { type: "submit", reqId, spec, dependsOn: w.dependsOn.get(id) }
+              : { type: "status", reqId, id },
           (a) => a && w.now - askedMs < 2_000 && hear(w, id, a, askedMs),
         );
       });
@@ -247,7 +247,7 @@
   request(
     w,
     5_000,
-    (req) => ({ type: "submit", req, spec }),
+    (reqId) => ({ type: "submit", reqId, spec }),
     (a) => a?.kind === "job" && w.checker.fail("accepted_unfit", spec.id),
   );
 }
@@ -257,7 +257,7 @@
   request(
     w,
     5_000,
-    (req) => ({ type: "cancel", req, id }),
+    (reqId) => ({ type: "cancel", reqId, id }),
     (a) => {
       if (a) hear(w, id, a, askedMs);
       if (a?.kind !== "job") w.at(1_000, () => cancel(w, id));
@@ -270,7 +270,7 @@
     request(
       w,
       2_000,
-      (req) => ({ type: "status", req, id }),
+      (reqId) => ({ type: "status", reqId, id }),
       (a) => {
         if (a) hear(w, id, a, askedMs);
         if (a?.kind === "job") w.checker.heardOf.set(id, w.now);
--- a/test/simulation/world.ts
+++ b/test/simulation/world.ts
@@ -435,7 +435,7 @@
   ): void {
     this.ask(
       name,
-      (req) => ({ type: "heartbeat", req, heartbeat: r, relayed: false }),
+      (reqId) => ({ type: "heartbeat", reqId, heartbeat: r, relayed: false }),
       (a) => {
         this.noteCommands(name, r, a);
         if (a?.kind !== "relay") return done(a);
@@ -448,7 +448,12 @@
         this.at(this.rng.real(1, 5) + this.retransmissionMs(), () =>
           this.ask(
             a.leader,
-            (req) => ({ type: "heartbeat", req, heartbeat: r, relayed: true }),
+            (reqId) => ({
+              type: "heartbeat",
+              reqId,
+              heartbeat: r,
+              relayed: true,
+            }),
             (b) => {
               this.noteCommands(a.leader, r, b);
               if (b?.kind === "commands") this.at(2, () => done(b));
@@ -504,20 +509,20 @@
       for (const e of effects) {
         if (looksFirst || this.production.has(name))
           this.carryOut(name, node, e);
-        else if (node.core.mayLeave(e, this.now * node.drift)) {
+        else if (node.core.maySend(e, this.now * node.drift)) {
           if (this.nodes.get(name) === node)
             this.checker.leaves(name, node.core, e);
           this.carryOut(name, node, e);
         } else if (e.type === "workerCommand")
           this.feed(name, node.life, {
             type: "commandReply",
-            op: e.op,
+            callId: e.callId,
             reply: { kind: "refused" },
           });
         else if (e.type === "answer")
           this.carryOut(name, node, {
             ...e,
-            answer: { kind: "retryLater", afterS: 1, why: "no permit" },
+            answer: { kind: "retryLater", afterS: 1, reason: "no permit" },
           });
       }
     };
@@ -626,8 +631,8 @@
       this.at(this.rng.real(1, 10), () => this.feed(name, node.life, i));
     switch (e.type) {
       case "answer": {
-        const done = this.answers.get(e.req);
-        this.answers.delete(e.req);
+        const done = this.answers.get(e.reqId);
+        this.answers.delete(e.reqId);
         done?.(e.answer);
         break;
       }
@@ -637,7 +642,7 @@
         const reply = (r: StateReply): void => {
           if (over) return;
           over = true;
-          back({ type: "storeReply", op: e.op, reply: r, sentMs });
+          back({ type: "storeReply", callId: e.callId, reply: r, sentMs });
         };
         const wait = e.call.op === "changes" ? e.call.waitMs + 1500 : 1500;
         this.at(wait, () => reply({ is: "unknown", why: "timeout" }));
@@ -668,7 +673,7 @@
         const reply = (r: CloudReply): void => {
           if (over) return;
           over = true;
-          back({ type: "cloudReply", op: e.op, reply: r });
+          back({ type: "cloudReply", callId: e.callId, reply: r });
         };
         this.at(4_000, () => reply({ kind: "failed", why: "timeout" }));
         const held =
@@ -684,7 +689,7 @@
         const reply = (r: CommandReply): void => {
           if (over) return;
           over = true;
-          back({ type: "commandReply", op: e.op, reply: r });
+          back({ type: "commandReply", callId: e.callId, reply: r });
         };
         this.at(3_000, () => reply({ kind: "unknown" }));
         const id = `n-${e.address.split(":")[1]}`;
@@ -700,7 +705,7 @@
         const reply = (r: Heartbeat | null): void => {
           if (over) return;
           over = true;
-          back({ type: "inspectReply", op: e.op, heartbeat: r });
+          back({ type: "inspectReply", callId: e.callId, heartbeat: r });
         };
         this.at(3_000, () => reply(null));
         this.workers
--- a/test/software-limits.test.ts
+++ b/test/software-limits.test.ts
@@ -61,9 +61,9 @@
     let answer: Answer | undefined;
     w.ask(
       "node-a",
-      (req) => ({
+      (reqId) => ({
         type: "heartbeat",
-        req,
+        reqId,
         heartbeat: report(worker, zone),
         relayed: false,
       }),
--- a/test/transport/transport.test.ts
+++ b/test/transport/transport.test.ts
@@ -90,7 +90,7 @@
     ask: (input) => {
       const i = input(1);
       got.push(i.type === "submit" ? i.spec.tasks : -1);
-      return Promise.resolve({ kind: "retryLater", afterS: 1, why: "test" });
+      return Promise.resolve({ kind: "retryLater", afterS: 1, reason: "test" });
     },
     ready: () => true,
     relay: () => Promise.resolve(null),
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -11,10 +11,10 @@
 import { RangeSet as OldRangeSet } from "./production/coordination/ranges.js";
 import {
   bytesOf,
-  COMPLETION_BLOCK,
-  completionBlock,
+  COMPLETION_BLOCK_SIZE,
+  completionBlockOf,
   completionKey,
-  inBlock,
+  tasksInBlock,
   parseKey,
   readCompletion,
   readJob,
@@ -100,15 +100,15 @@
       stored(old.writeFin(OldRangeSet.of(half.pairs()), chunk)),
     );
   for (
-    let task = 20_000 - (20_000 % COMPLETION_BLOCK);
+    let task = 20_000 - (20_000 % COMPLETION_BLOCK_SIZE);
     task < 40_000;
-    task += COMPLETION_BLOCK
+    task += COMPLETION_BLOCK_SIZE
   ) {
-    const key = completionKey("req-1", "g", completionBlock(task));
+    const key = completionKey("req-1", "g", completionBlockOf(task));
     assert.ok(!kept.has(key));
     kept.set(
       key,
-      stored(writeCompletion(inBlock(finished, completionBlock(task)))),
+      stored(writeCompletion(tasksInBlock(finished, completionBlockOf(task)))),
     );
   }
   const byOld = RangeSet.empty();
@@ -163,31 +163,31 @@
     left: new Map([["t/z/ordinary", 4]]),
     wants: new Map([["red", { cpus: 1, gpus: 0, since: 3 }]]),
     teams: null,
-    cut: false,
+    isTruncated: false,
   };
   const row: TeamRow = {
     use: [1, 2],
-    may: [3, 4],
-    now: [5, 0],
-    nowSince: [6, Infinity],
-    soon: [0, 4],
-    soonSince: [Infinity, 8],
-    beyond: [7, 8],
-    waits: [9, 0],
+    possibleUse: [3, 4],
+    startable: [5, 0],
+    startableSinceMs: [6, Infinity],
+    awaitingMachines: [0, 4],
+    awaitingMachinesSinceMs: [Infinity, 8],
+    baseShare: [7, 8],
+    waiting: [9, 0],
   };
-  const { teams: _, cut: __, ...asOld } = room;
+  const { teams: _, isTruncated: __, ...asOld } = room;
   // Production reads a room without what teams use, and writes one that says nothing of it.
   const more: CapacityRecord = {
     ...room,
     rows: [{ ...room.rows[0]!, reclaimable: [[8, 0, 16, 1, 2, 3]] }],
-    queueFrom: [
+    queueByMinPriority: [
       [3, 2],
       [1, 2],
       [1, 0],
       [0, 0],
     ],
     teams: new Map([["red", row]]),
-    cut: true,
+    isTruncated: true,
   };
   for (const r of [room, more]) {
     assert.deepEqual(old.readRoom(stored(writeCapacity(r))), asOld);
@@ -404,7 +404,12 @@
     48,
     "the group itself goes by all of it",
   );
-  const { teams: _, cut: __, queueFrom: ___, ...asOld } = record;
+  const {
+    teams: _,
+    isTruncated: __,
+    queueByMinPriority: ___,
+    ...asOld
+  } = record;
   assert.deepEqual(old.readRoom(stored(writeCapacity(record))), asOld);
 });
 
@@ -575,7 +580,7 @@
     world.specs.set(spec.id, spec);
     world.ask(
       "node-a",
-      (req) => ({ type: "submit", req, spec }),
+      (reqId) => ({ type: "submit", reqId, spec }),
       () => {},
     );
   });
--- a/test/webhooks/processes.ts
+++ b/test/webhooks/processes.ts
@@ -10,7 +10,7 @@
 import { createInterface } from "node:readline";
 import * as x509 from "@peculiar/x509";
 import {
-  HOLD_ENDED,
+  STORE_LEASE_ENDED,
   type StateCall,
   type StateReply,
 } from "../../src/protocol/state.js";
@@ -129,7 +129,9 @@
         r.is === "refused" && r.why === "429" ? 429 : 400,
         {
           error:
-            r.is === "refused" && r.why === HOLD_ENDED ? HOLD_ENDED : "refused",
+            r.is === "refused" && r.why === STORE_LEASE_ENDED
+              ? STORE_LEASE_ENDED
+              : "refused",
         },
       ];
   }
--- a/test/webhooks/store.ts
+++ b/test/webhooks/store.ts
@@ -1,6 +1,6 @@
 import {
   type Change,
-  HOLD_ENDED,
+  STORE_LEASE_ENDED,
   type Item,
   type StateCall,
   type StateReply,
@@ -131,7 +131,7 @@
           );
         for (const w of call.writes)
           if (w.op === "put" && w.hold !== undefined && !this.holds.has(w.hold))
-            return done({ is: "refused", why: HOLD_ENDED });
+            return done({ is: "refused", why: STORE_LEASE_ENDED });
         this.level = Math.min(
           this.limits.changesPerS,
           this.level +
--- a/test/webhooks/webhook-world.ts
+++ b/test/webhooks/webhook-world.ts
@@ -221,7 +221,7 @@
       else f();
     };
     const tick = (): void => {
-      this.feed(n, { type: "permit", hold: n.hold, untilMs: n.untilMs });
+      this.feed(n, { type: "permit", storeLease: n.hold, untilMs: n.untilMs });
       this.feed(n, { type: "tick" });
       this.at(200, alive(tick));
     };
