--- a/src/coordination/quota/guarantee-reclaims.ts
+++ b/src/coordination/quota/guarantee-reclaims.ts
@@ -67,9 +67,9 @@
   }
 
   /** Whether a team may claim so much more: it fits into its guarantee with all that it has and all that is claimed for it. */
-  mayClaim(team: string, need: ResourceAmounts): boolean {
+  mayReclaim(team: string, need: ResourceAmounts): boolean {
     if (this.asking) return false;
-    const lacks = this.guarantees.lacks(
+    const lacks = this.guarantees.headroom(
       team,
       this.own.usage().get(team) ?? NO_USE,
     );
@@ -79,14 +79,14 @@
   }
 
   /** What may still be taken of a team: all that it surely has beyond its guarantee, less what is claimed of it already. */
-  left(team: string): ResourceAmounts {
+  reclaimableFrom(team: string): ResourceAmounts {
     const excess = this.guarantees.excess(team, this.own.ledger.useOf(team));
     const { loses } = this.claimed(team);
     return [excess[0] - loses[0], excess[1] - loses[1]];
   }
 
   /** Claims so much for a team at the cost of others; `granted`: now, and only now, they may be stopped. */
-  claim(
+  reclaim(
     team: string,
     need: ResourceAmounts,
     from: ReclaimedByTeam,
--- a/src/coordination/quota/guarantee-shortfall-log.ts
+++ b/src/coordination/quota/guarantee-shortfall-log.ts
@@ -48,7 +48,7 @@
       )
         continue;
       const own = used.get(spec.team) ?? NO_USE;
-      const lacks = this.guarantees.lacks(spec.team, own);
+      const lacks = this.guarantees.headroom(spec.team, own);
       const n = spec.kind === "gang" ? spec.tasks : 1;
       if (
         !lacks ||
@@ -61,7 +61,8 @@
       const share = this.sharing.share(spec.team);
       const givers = [...this.ctx.settings.teams.keys()].filter(
         (t) =>
-          t !== spec.team && this.reclaims.left(t).some((x) => x > EPSILON),
+          t !== spec.team &&
+          this.reclaims.reclaimableFrom(t).some((x) => x > EPSILON),
       );
       const why =
         own.cpus + spec.cpus * n > share[0] + EPSILON ||
--- a/src/coordination/quota/guarantees.ts
+++ b/src/coordination/quota/guarantees.ts
@@ -86,7 +86,7 @@
         const part = entry
           ? entry.cap[d] === Infinity
             ? Infinity
-            : (entry.parts[g]?.[d] ?? 0)
+            : (entry.shares[g]?.[d] ?? 0)
           : Infinity;
         sum.use[d] += row?.use[d] ?? 0;
         // What an owner that is gone had published is not sure to run any more.
@@ -115,7 +115,7 @@
   }
 
   /** How much more a team may have before it is beyond its guarantee, at the least; null: no guarantee, or it can't be judged. */
-  lacks(team: string, own: ResourceUse): ResourceAmounts | null {
+  headroom(team: string, own: ResourceUse): ResourceAmounts | null {
     const t = this.ctx.settings.teams.get(team);
     const g = t && guaranteeOf(t);
     if (!g || this.ctx.readAgeMs() > STALE_CACHE_MS) return null;
--- a/src/coordination/quota/partition-demand.ts
+++ b/src/coordination/quota/partition-demand.ts
@@ -35,7 +35,7 @@
 /** Quota to be reserved for one job until it starts. */
 export interface QuotaReservation {
   /** What it lacks of the quota. */
-  lacks: ResourceAmounts;
+  missing: ResourceAmounts;
   /** Time of day since which the job is ready, in whole ms. */
   readyAt: number;
   /** Its place in `PRIORITIES`. */
--- a/src/coordination/quota/quota-allocator.ts
+++ b/src/coordination/quota/quota-allocator.ts
@@ -23,7 +23,7 @@
   CAPS_NAME,
   entryOf,
   limitOf,
-  mayUse,
+  maxUsage,
   type QuotaEntry,
 } from "./quota-records.js";
 import { QuotaReservations } from "./quota-reservations.js";
@@ -97,7 +97,7 @@
   share(team: string): ResourceAmounts {
     const settings = this.context.settings.teams.get(team);
     if (!settings) return [0, 0];
-    const [cpus, gpus] = mayUse(
+    const [cpus, gpus] = maxUsage(
       settings,
       this.entry(team),
       this.state.partition,
@@ -146,7 +146,7 @@
     const rows = this.context.cache.capacities.get(partition)?.teams;
     return perDimension((dimension) => {
       if (!entry || !rows || entry.cap[dimension] === Infinity) return Infinity;
-      const part = entry.parts[partition]?.[dimension] ?? 0;
+      const part = entry.shares[partition]?.[dimension] ?? 0;
       return Math.max(0, part - (rows.get(team)?.use[dimension] ?? 0));
     });
   }
@@ -201,7 +201,7 @@
 
   /** During a failover: no more than what the former leader could have started. */
   private boundedUse(team: Team, use: ResourceAmounts): ResourceAmounts {
-    const part = this.entry(team.name)?.parts[this.state.partition];
+    const part = this.entry(team.name)?.shares[this.state.partition];
     const limit = limitOf(team);
     return perDimension((dimension) => {
       const isLimited = part && Number.isFinite(limit[dimension]);
@@ -259,7 +259,7 @@
       if (partition === this.state.partition) continue;
       const published = publishedDemands(
         capacity,
-        (team) => this.entry(team)?.parts[partition] ?? [0, 0],
+        (team) => this.entry(team)?.shares[partition] ?? [0, 0],
       );
       demands.set(partition, published);
     }
@@ -311,24 +311,24 @@
       partitions: partitions.names,
       teams: settings.teams,
       records: cache.quotaRecords,
-      valueBytes: settings.state.valueBytes,
-      writes: Math.min(MAX_RECORDS_PER_CHANGE, settings.state.txnOps),
+      maxValueBytes: settings.state.valueBytes,
+      maxRecords: Math.min(MAX_RECORDS_PER_CHANGE, settings.state.txnOps),
       use: useOf,
-      known: (team) => this.confirmedUse(team),
-      mine: this.ownDemands(useOf),
-      others: this.othersDemands(),
-      keep: (team, sinceMs, partition, now) =>
+      confirmedUse: (team) => this.confirmedUse(team),
+      ownDemands: this.ownDemands(useOf),
+      otherDemands: this.othersDemands(),
+      needAheadOf: (team, sinceMs, partition, now) =>
         this.needBefore(team, sinceMs, partition, now),
-      idle: (team) => this.backfill.lendable(team),
+      lendable: (team) => this.backfill.lendable(team),
       keptForBackfill: (team) => this.backfill.kept(team),
       reservation: (team) => this.reservations.inForce(team),
-      keptFrom: (team, reservation) =>
+      keptForOverdueJob: (team, reservation) =>
         this.reservations.keptFrom(team, reservation),
-      agreed,
-      gone: new Set(removedTokens.keys()),
+      limitsAgreed: agreed,
+      removedPartitions: new Set(removedTokens.keys()),
       // The version before takes an equal part of what the first record does not name, so elsewhere nothing may move
       // while one of its controllers can come back.
-      movable: (key) => key === QUOTA_KEY || tuning.dividedLimits,
+      mayMoveShares: (key) => key === QUOTA_KEY || tuning.dividedLimits,
     };
   }
 
--- a/src/coordination/quota/quota-change.ts
+++ b/src/coordination/quota/quota-change.ts
@@ -35,7 +35,7 @@
   ) {
     const base: ChangeBase = {
       records: [...plan.writes.keys()].map((key) => [key, this.versionOf(key)]),
-      removedPartitions: plan.gone.flatMap((partition) => {
+      removedPartitions: plan.removedPartitions.flatMap((partition) => {
         const token = removedTokens.get(partition);
         return token === undefined ? [] : [[partition, token]];
       }),
@@ -47,7 +47,7 @@
 
   /** What of a team's limit it gives away. */
   reservedOf(team: string): ResourceAmounts {
-    const reserved = this.plan.reserved.get(team);
+    const reserved = this.plan.released.get(team);
     return reserved ? [reserved[0], reserved[1]] : [0, 0];
   }
 
@@ -93,7 +93,7 @@
   // ---- log -------------------------------------------------------------------------------------------------
 
   logPlanned(agreed: boolean): void {
-    for (const { team, to, give, reason } of this.plan.given)
+    for (const { team, to, amounts: give, reason } of this.plan.transfers)
       this.context.log("transferring quota to another partition", {
         team,
         to,
@@ -103,7 +103,7 @@
       });
     for (const team of this.plan.caps)
       this.context.log("writing team quota", { team, agreed });
-    for (const partition of this.plan.gone)
+    for (const partition of this.plan.removedPartitions)
       this.context.log("reclaiming quota of removed partition", { partition });
   }
 
@@ -117,7 +117,7 @@
         before,
         after: this.versionOf(key),
       })),
-      teams: [...this.plan.reserved.keys()].flatMap((team) => {
+      teams: [...this.plan.released.keys()].flatMap((team) => {
         const entry = entryOf(team);
         return entry ? [{ team, parts: entry.sum, limit: entry.cap }] : [];
       }),
--- a/src/coordination/quota/quota-plan.ts
+++ b/src/coordination/quota/quota-plan.ts
@@ -16,9 +16,9 @@
 export function planQuotas(situation: QuotaSituation): QuotaPlan | null {
   const plan: QuotaPlan = {
     writes: new Map(),
-    reserved: new Map(),
-    given: [],
-    gone: [],
+    released: new Map(),
+    transfers: [],
+    removedPartitions: [],
     caps: [],
   };
   const changed = new Map<string, NewQuotaEntry>();
@@ -27,8 +27,8 @@
     if (entry) changed.set(team.name, entry);
   }
   const { writes, done } = rewriteRecords(situation.records, changed, {
-    maxValueBytes: situation.valueBytes,
-    maxRecords: situation.writes,
+    maxValueBytes: situation.maxValueBytes,
+    maxRecords: situation.maxRecords,
   });
   return done.size === 0 ? null : { ...onlyTeams(plan, done), writes };
 }
@@ -61,13 +61,13 @@
   const parts = Object.fromEntries(
     partitions.map((partition) => [partition, part]),
   );
-  return { cap, parts };
+  return { cap, shares: parts };
 }
 
 /** The plan without the teams whose change did not fit into one transaction: they wait for the next. */
 const onlyTeams = (plan: QuotaPlan, done: ReadonlySet<string>): QuotaPlan => ({
   ...plan,
-  reserved: new Map([...plan.reserved].filter(([team]) => done.has(team))),
-  given: plan.given.filter(({ team }) => done.has(team)),
+  released: new Map([...plan.released].filter(([team]) => done.has(team))),
+  transfers: plan.transfers.filter(({ team }) => done.has(team)),
   caps: plan.caps.filter((team) => done.has(team)),
 });
--- a/src/coordination/quota/quota-record-writer.ts
+++ b/src/coordination/quota/quota-record-writer.ts
@@ -72,7 +72,7 @@
     const cap = perDimension((dimension) =>
       entry.cap[dimension] === Infinity ? 0 : entry.cap[dimension],
     );
-    const bytes = entryBytes(team, entry.parts, cap);
+    const bytes = entryBytes(team, entry.shares, cap);
     const presentKey = entryOf(this.records, team)?.key;
     for (const key of this.candidateKeys(presentKey)) {
       const target = this.open(key);
@@ -80,7 +80,7 @@
       if (newBytes > this.limits.maxValueBytes) continue;
       if (this.countRecordsWith(key, presentKey) > this.limits.maxRecords)
         return false;
-      target.value[team] = entry.parts;
+      target.value[team] = entry.shares;
       capsOf(target)[team] = cap;
       this.newValues.set(key, { value: target.value, bytes: newBytes });
       if (presentKey !== undefined && presentKey !== key)
--- a/src/coordination/quota/quota-records.ts
+++ b/src/coordination/quota/quota-records.ts
@@ -45,7 +45,7 @@
 /** An entry as it is to be written. */
 export interface NewQuotaEntry {
   /** By partition. */
-  parts: Record<string, ResourceAmounts>;
+  shares: Record<string, ResourceAmounts>;
   /** Infinity: none. */
   cap: ResourceAmounts;
 }
@@ -73,7 +73,7 @@
   const written = shares[CAPS_NAME]?.[team] ?? sum;
   // JSON knows no Infinity: 0 stands for it.
   const cap = perDimension((dimension) => written[dimension] || Infinity);
-  return { key, parts, sum, cap };
+  return { key, shares: parts, sum, cap };
 }
 
 /** What the records say of a team; the first record goes before the others. */
@@ -92,14 +92,16 @@
 }
 
 /** Whether more is handed out than the limit allows, until the partitions have given back what they don't use of it. */
-export const overdrawn = (entry: QuotaEntry, dimension: Dimension): boolean =>
-  entry.sum[dimension] > entry.cap[dimension] + EPSILON;
+export const isOverAllocated = (
+  entry: QuotaEntry,
+  dimension: Dimension,
+): boolean => entry.sum[dimension] > entry.cap[dimension] + EPSILON;
 
 /**
  * Up to how much a partition may start tasks of a team, by what is written and by its own settings; `use`: what it uses
  * already. Where more is handed out than the smallest limit that is known of, nothing starts: tasks that run go on.
  */
-export function mayUse(
+export function maxUsage(
   team: Team,
   entry: QuotaEntry | null,
   partition: string,
@@ -112,7 +114,7 @@
       return limit[dimension] === Infinity ? Infinity : use()[dimension];
     // A limit lowered in the own settings is to be written first, so that all go by it.
     const isLowered = cap > limit[dimension] + MAX_ROUNDING_ERROR;
-    if (isLowered || overdrawn(entry, dimension)) return use()[dimension];
-    return entry.parts[partition]?.[dimension] ?? 0;
+    if (isLowered || isOverAllocated(entry, dimension)) return use()[dimension];
+    return entry.shares[partition]?.[dimension] ?? 0;
   });
 }
--- a/src/coordination/quota/quota-reservations.ts
+++ b/src/coordination/quota/quota-reservations.ts
@@ -20,7 +20,7 @@
 } from "./resource-amounts.js";
 
 /** A reservation, and the partition that its job waits in. */
-export interface PlacedReservation extends QuotaReservation {
+export interface PartitionReservation extends QuotaReservation {
   partition: string;
 }
 
@@ -54,7 +54,7 @@
   private checkedMs = -Infinity;
   private readonly overdueByTeam = new Map<string, OverdueJob>();
   /** Of the teams asked about in this step. */
-  private inForceByTeam = new Map<string, PlacedReservation | null>();
+  private inForceByTeam = new Map<string, PartitionReservation | null>();
   private inForceMs = -Infinity;
 
   /** `freeOf`: what this partition may still use of a team. */
@@ -66,7 +66,7 @@
   ) {}
 
   /** The reservation that all partitions serve now; null: there is none. */
-  inForce(team: string): PlacedReservation | null {
+  inForce(team: string): PartitionReservation | null {
     if (this.inForceMs !== this.context.nowMs) {
       this.inForceMs = this.context.nowMs;
       this.inForceByTeam = new Map();
@@ -79,7 +79,7 @@
     return reservation;
   }
 
-  private firstOf(team: string): PlacedReservation | null {
+  private firstOf(team: string): PartitionReservation | null {
     if (this.context.wallMs % PERIOD_MS >= RESERVING_MS) return null;
     const { cache, partitions } = this.context;
     let first = this.own(team);
@@ -95,7 +95,7 @@
   }
 
   /** What this partition asks for: for its first overdue job, while that lacks quota and for a while after. */
-  own(team: string): PlacedReservation | null {
+  own(team: string): PartitionReservation | null {
     this.checkIfDue();
     const overdue = this.overdueByTeam.get(team);
     if (!overdue) return null;
@@ -105,7 +105,7 @@
     if (nowMs - overdue.lackedMs > KEEP_RESERVED_MS) return null;
     return {
       partition: this.state.partition,
-      lacks,
+      missing: lacks,
       readyAt: readyAtOf(overdue.job),
       priority: priorityOf(overdue.job),
     };
@@ -114,13 +114,13 @@
   /** What is published: only what lacks something holds others back. */
   published(team: string): QuotaReservation | undefined {
     const own = this.own(team);
-    if (!own || !isAnyPositive(own.lacks)) return undefined;
-    const { lacks, readyAt, priority } = own;
-    return { lacks, readyAt, priority };
+    if (!own || !isAnyPositive(own.missing)) return undefined;
+    const { missing: lacks, readyAt, priority } = own;
+    return { missing: lacks, readyAt, priority };
   }
 
   /** What this partition keeps for its own overdue job, unless `reservation` comes before that. */
-  keptFrom(team: string, reservation: PlacedReservation): ResourceAmounts {
+  keptFrom(team: string, reservation: PartitionReservation): ResourceAmounts {
     const own = this.own(team);
     const overdue = this.overdueByTeam.get(team);
     if (!own || !overdue || isBefore(reservation, own)) return [0, 0];
@@ -244,8 +244,8 @@
 
 /** One order for all partitions, so that two of them never reserve for two jobs at once. */
 function isBefore(
-  first: PlacedReservation,
-  second: PlacedReservation,
+  first: PartitionReservation,
+  second: PartitionReservation,
 ): boolean {
   if (first.priority !== second.priority)
     return first.priority > second.priority;
--- a/src/coordination/quota/quota-situation.ts
+++ b/src/coordination/quota/quota-situation.ts
@@ -2,7 +2,7 @@
 import type { Team } from "../../config/settings.js";
 import type { QuotaShares } from "../../storage/records.js";
 import type { PartitionDemand } from "./partition-demand.js";
-import type { PlacedReservation } from "./quota-reservations.js";
+import type { PartitionReservation } from "./quota-reservations.js";
 import type { QuotaRecords } from "./quota-records.js";
 import type { ResourceAmounts } from "./resource-amounts.js";
 
@@ -14,38 +14,41 @@
   teams: ReadonlyMap<string, Team>;
   records: QuotaRecords;
   /** The most bytes that a record may have. */
-  valueBytes: number;
+  maxValueBytes: number;
   /** Records that one commit may write. */
-  writes: number;
+  maxRecords: number;
   /** What this partition uses of a team, counting all that may be running. */
   use(team: string): ResourceAmounts;
   /** The same, counting only what surely runs; null: not known yet (the failover fence). */
-  known(team: string): ResourceAmounts | null;
+  confirmedUse(team: string): ResourceAmounts | null;
   /** What this partition wants, by team. */
-  mine: ReadonlyMap<string, PartitionDemand>;
+  ownDemands: ReadonlyMap<string, PartitionDemand>;
   /** What the others want, by partition and team. */
-  others: ReadonlyMap<string, ReadonlyMap<string, PartitionDemand>>;
+  otherDemands: ReadonlyMap<string, ReadonlyMap<string, PartitionDemand>>;
   /** What the own waiting tasks that come before such a demand are going to use; `since` in ms since the epoch. */
-  keep(
+  needAheadOf(
     team: string,
     since: number,
     partition: string,
     now: boolean,
   ): ResourceAmounts;
   /** What this partition has free and nothing that waits here can use. */
-  idle(team: string): ResourceAmounts;
+  lendable(team: string): ResourceAmounts;
   /** What this partition keeps for waiting tasks that idle quota elsewhere completes. */
   keptForBackfill(team: string): ResourceAmounts;
   /** The large job that quota is reserved for now; null: there is none. */
-  reservation(team: string): PlacedReservation | null;
+  reservation(team: string): PartitionReservation | null;
   /** What this partition keeps for its own overdue job while quota is reserved. */
-  keptFrom(team: string, reservation: PlacedReservation): ResourceAmounts;
+  keptForOverdueJob(
+    team: string,
+    reservation: PartitionReservation,
+  ): ResourceAmounts;
   /** Every live controller goes by the same limits as this one. */
-  agreed: boolean;
+  limitsAgreed: boolean;
   /** Partitions that no settings name any more and of which nothing can run. */
-  gone: ReadonlySet<string>;
+  removedPartitions: ReadonlySet<string>;
   /** Whether parts of teams in that record may go from partition to partition. */
-  movable(key: string): boolean;
+  mayMoveShares(key: string): boolean;
 }
 
 /** Why a part of a limit goes to another partition. */
@@ -61,7 +64,7 @@
 export interface QuotaGift {
   team: string;
   to: string;
-  give: ResourceAmounts;
+  amounts: ResourceAmounts;
   reason: GiftReason;
 }
 
@@ -70,10 +73,10 @@
   /** New values of records, by key. */
   writes: Map<string, QuotaShares>;
   /** By team: what this partition gives away, and does not use from before the commit is sent. */
-  reserved: Map<string, ResourceAmounts>;
-  given: QuotaGift[];
+  released: Map<string, ResourceAmounts>;
+  transfers: QuotaGift[];
   /** Partitions whose absence it rests on. */
-  gone: string[];
+  removedPartitions: string[];
   /** Teams whose limit was written anew. */
   caps: string[];
 }
--- a/src/coordination/quota/quota-takers.ts
+++ b/src/coordination/quota/quota-takers.ts
@@ -1,7 +1,7 @@
 /** Orders the partitions that want more of a team's limit. Owns no state. */
 import { EPSILON } from "../scheduling/placement.js";
 import type { PartitionDemand } from "./partition-demand.js";
-import type { PlacedReservation } from "./quota-reservations.js";
+import type { PartitionReservation } from "./quota-reservations.js";
 import type { QuotaSituation } from "./quota-situation.js";
 import {
   type Dimension,
@@ -37,13 +37,13 @@
   dimension: Dimension,
 ): QuotaTaker[] {
   const takers: QuotaTaker[] = [];
-  for (const [partition, demands] of situation.others) {
+  for (const [partition, demands] of situation.otherDemands) {
     const demand = demands.get(team);
     const isNamed = situation.partitions.includes(partition);
     if (demand && isNamed && partition !== situation.partition)
       takers.push(...wantsOf(partition, demand, parts[partition], dimension));
   }
-  const own = situation.mine.get(team);
+  const own = situation.ownDemands.get(team);
   if (own) {
     const { partition } = situation;
     takers.push(...wantsOf(partition, own, parts[partition], dimension));
@@ -82,13 +82,15 @@
 /** The partition of the job that quota is reserved for, with what it still lacks; null: nothing of this. */
 export function reservingTaker(
   situation: QuotaSituation,
-  { partition, lacks, readyAt }: PlacedReservation,
+  { partition, missing: lacks, readyAt }: PartitionReservation,
   team: string,
   parts: Readonly<Record<string, ResourceAmounts>>,
   dimension: Dimension,
 ): QuotaTaker | null {
   const isOwn = partition === situation.partition;
-  const demands = isOwn ? situation.mine : situation.others.get(partition);
+  const demands = isOwn
+    ? situation.ownDemands
+    : situation.otherDemands.get(partition);
   const beyond = demands?.get(team)?.baseShare;
   if (!beyond) return null;
   const wanted = remaining(lacks, beyond, parts[partition], dimension);
@@ -110,7 +112,7 @@
   parts: Readonly<Record<string, ResourceAmounts>>,
 ): BackfillTaker[] {
   const takers: (BackfillTaker & { sinceMs: number })[] = [];
-  for (const [partition, demands] of situation.others) {
+  for (const [partition, demands] of situation.otherDemands) {
     const demand = demands.get(team);
     const isNamed = situation.partitions.includes(partition);
     if (!demand?.backfill || !isNamed || partition === situation.partition)
--- a/src/coordination/quota/quota-team-planner.ts
+++ b/src/coordination/quota/quota-team-planner.ts
@@ -4,7 +4,7 @@
  */
 import type { Team } from "../../config/settings.js";
 import { EPSILON } from "../scheduling/placement.js";
-import type { PlacedReservation } from "./quota-reservations.js";
+import type { PartitionReservation } from "./quota-reservations.js";
 import type {
   GiftReason,
   QuotaPlan,
@@ -14,7 +14,7 @@
   limitOf,
   MAX_ROUNDING_ERROR,
   type NewQuotaEntry,
-  overdrawn,
+  isOverAllocated,
   type QuotaEntry,
 } from "./quota-records.js";
 import {
@@ -44,7 +44,7 @@
   /** What this partition gives away. */
   private readonly reserved: ResourceAmounts = [0, 0];
   /** The large job that quota is reserved for now. */
-  private readonly reservation: PlacedReservation | null;
+  private readonly reservation: PartitionReservation | null;
   private isChanged = false;
 
   constructor(
@@ -54,7 +54,7 @@
     private readonly plan: QuotaPlan,
   ) {
     this.parts = Object.fromEntries(
-      Object.entries(written.parts).map(([partition, part]) => [
+      Object.entries(written.shares).map(([partition, part]) => [
         partition,
         [...part],
       ]),
@@ -62,7 +62,7 @@
     this.cap = [...written.cap];
     this.limit = limitOf(team);
     this.use = situation.use(team.name);
-    this.confirmedUse = situation.known(team.name);
+    this.confirmedUse = situation.confirmedUse(team.name);
     this.reservation = situation.reservation(team.name);
   }
 
@@ -80,8 +80,8 @@
       if (!this.reservation) this.lendIdle();
     }
     if (this.reserved.some((amount) => amount > 0))
-      this.plan.reserved.set(this.team.name, this.reserved);
-    return this.isChanged ? { parts: this.parts, cap: this.cap } : null;
+      this.plan.released.set(this.team.name, this.reserved);
+    return this.isChanged ? { shares: this.parts, cap: this.cap } : null;
   }
 
   /** The partition's part, written as nothing when it has none. */
@@ -101,7 +101,8 @@
     const cap = this.cap[dimension];
     const limit = this.limit[dimension];
     const isLowered = cap > limit + MAX_ROUNDING_ERROR;
-    const isRaised = cap < limit - MAX_ROUNDING_ERROR && this.situation.agreed;
+    const isRaised =
+      cap < limit - MAX_ROUNDING_ERROR && this.situation.limitsAgreed;
     if (!isLowered && !isRaised) return;
     // Where there was no limit, nobody's part says what it uses: with the whole limit for each, nothing starts until each has
     // said so.
@@ -119,14 +120,15 @@
   }
 
   private clearRemovedPartitions(dimension: Dimension): void {
-    for (const partition of this.situation.gone) {
+    for (const partition of this.situation.removedPartitions) {
       const part = this.partOf(partition);
       if (!(part[dimension] > EPSILON)) continue;
       // Nothing of it can run any more, and it stays written as nothing: the version before takes what is not
       // written for an equal part.
       part[dimension] = 0;
       this.isChanged = true;
-      if (!this.plan.gone.includes(partition)) this.plan.gone.push(partition);
+      if (!this.plan.removedPartitions.includes(partition))
+        this.plan.removedPartitions.push(partition);
     }
   }
 
@@ -159,10 +161,10 @@
     const isWithinCap = DIMENSIONS.every(
       (dimension) =>
         this.cap[dimension] === Infinity ||
-        (!overdrawn(this.written, dimension) &&
+        (!isOverAllocated(this.written, dimension) &&
           this.total(dimension) <= this.cap[dimension] + EPSILON),
     );
-    return isWithinCap && this.situation.movable(this.written.key);
+    return isWithinCap && this.situation.mayMoveShares(this.written.key);
   }
 
   /** Gives of the own part to partitions that want more, and takes of what nobody has. */
@@ -226,17 +228,19 @@
     const { situation, reservation } = this;
     const team = this.team.name;
     const reserved = reservation
-      ? situation.keptFrom(team, reservation)[dimension]
+      ? situation.keptForOverdueJob(team, reservation)[dimension]
       : situation.keptForBackfill(team)[dimension];
     if (reason === "reservation") return reserved;
-    const forTurns = situation.keep(team, sinceMs, partition, now)[dimension];
+    const forTurns = situation.needAheadOf(team, sinceMs, partition, now)[
+      dimension
+    ];
     return Math.max(forTurns, reserved);
   }
 
   /** Lends what nothing that waits here can use to partitions whose tasks it completes. */
   private lendIdle(): void {
     const { situation, team, parts } = this;
-    const idle = situation.idle(team.name);
+    const idle = situation.lendable(team.name);
     if (!isAnyPositive(idle)) return;
     for (const { partition, lacks } of backfillTakersOf(
       situation,
@@ -278,16 +282,16 @@
     reason: GiftReason,
   ): void {
     const team = this.team.name;
-    const { given } = this.plan;
+    const { transfers: given } = this.plan;
     const earlier = given.find(
       (gift) => gift.team === team && gift.to === to && gift.reason === reason,
     );
-    if (earlier) earlier.give[dimension] += amount;
+    if (earlier) earlier.amounts[dimension] += amount;
     else
       given.push({
         team,
         to,
-        give: dimension === 0 ? [amount, 0] : [0, amount],
+        amounts: dimension === 0 ? [amount, 0] : [0, amount],
         reason,
       });
   }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -79,12 +79,12 @@
     const { spec } = job.view;
     const teams = new Map<string, ResourceAmounts>();
     if (
-      !this.reclaims.mayClaim(spec.team, [spec.cpus * want, spec.gpus * want])
+      !this.reclaims.mayReclaim(spec.team, [spec.cpus * want, spec.gpus * want])
     )
       return teams;
     for (const team of this.ctx.settings.teams.keys()) {
       if (team === spec.team) continue;
-      const left = this.reclaims.left(team);
+      const left = this.reclaims.reclaimableFrom(team);
       const [cpus, gpus] = left;
       if (cpus > EPSILON || gpus > EPSILON) teams.set(team, left);
     }
@@ -357,7 +357,7 @@
     const stop = (): void => this.stopVictims(job, candidate, graceS);
     const reclaimed = reclaimedByTeam(job, candidate.victims);
     if (reclaimed.size === 0) return stop();
-    this.reclaims.claim(
+    this.reclaims.reclaim(
       spec.team,
       [spec.cpus * want, spec.gpus * want],
       reclaimed,
--- a/src/coordination/statistics.ts
+++ b/src/coordination/statistics.ts
@@ -171,7 +171,7 @@
 ): Omit<TeamStatistics, "team" | "partition" | "limit" | "guarantee"> {
   const known = state.ledger.useOf(team);
   const waiting = quota.waiting(team);
-  const lacking = guarantees.lacks(team, usage) ?? [0, 0];
+  const lacking = guarantees.headroom(team, usage) ?? [0, 0];
   return {
     limitShare: quota.share(team),
     used: [known.cpus, known.gpus],
--- a/src/storage/records/capacity.ts
+++ b/src/storage/records/capacity.ts
@@ -116,7 +116,8 @@
   backfill?: [number, number] | undefined;
   /** For a large job whose first start is overdue: what it lacks, since when (ms) it is ready, its place in `PRIORITIES`. */
   reservation?:
-    { lacks: [number, number]; readyAt: number; priority: number } | undefined;
+    | { missing: [number, number]; readyAt: number; priority: number }
+    | undefined;
 }
 
 export interface CapacityRecord {
@@ -260,7 +261,7 @@
     ...(readyAt
       ? {
           reservation: {
-            lacks: [lackingCpus ?? 0, lackingGpus ?? 0],
+            missing: [lackingCpus ?? 0, lackingGpus ?? 0],
             readyAt,
             priority: priority ?? 0,
           },
@@ -287,7 +288,7 @@
 }
 
 const reservationValues = ({
-  lacks,
+  missing: lacks,
   readyAt,
   priority,
 }: NonNullable<TeamRow["reservation"]>): number[] => [
--- a/src/verification/quota-model.ts
+++ b/src/verification/quota-model.ts
@@ -1,13 +1,13 @@
 import type { Team } from "../config/settings.js";
 import type { PartitionDemand } from "../coordination/quota/partition-demand.js";
 import { planQuotas } from "../coordination/quota/quota-plan.js";
-import type { PlacedReservation } from "../coordination/quota/quota-reservations.js";
+import type { PartitionReservation } from "../coordination/quota/quota-reservations.js";
 import type { QuotaPlan } from "../coordination/quota/quota-situation.js";
 import {
   CAPS_NAME,
   entryOf,
   type QuotaRecords,
-  mayUse,
+  maxUsage,
 } from "../coordination/quota/quota-records.js";
 import type { ResourceAmounts } from "../coordination/quota/resource-amounts.js";
 import { QUOTA_KEY, type QuotaShares } from "../storage/records.js";
@@ -121,9 +121,9 @@
 const reservationOf = (
   partition: string,
   [lacks]: Want,
-): PlacedReservation => ({
+): PartitionReservation => ({
   partition,
-  lacks: [lacks, 0],
+  missing: [lacks, 0],
   readyAt: 1,
   priority: 0,
 });
@@ -164,11 +164,11 @@
     const team = scope.teams[t]!;
     const own = all[g.later ? "true" : "false"].get(team)!;
     let entry = entryOf(records(g), team);
-    if (off.has("what is written holds") && !entry?.parts[scope.groups[i]!])
+    if (off.has("what is written holds") && !entry?.shares[scope.groups[i]!])
       return own.cpusMax / names(g).length;
     if (entry && off.has("overdrawn stops starts"))
       entry = { ...entry, sum: [0, 0] };
-    const [cpus] = mayUse(own, entry, scope.groups[i]!, () => [g.use[t]!, 0]);
+    const [cpus] = maxUsage(own, entry, scope.groups[i]!, () => [g.use[t]!, 0]);
     const c = g.change;
     if (!c || c.base !== g.copy.version || off.has("keeps what it gives"))
       return cpus;
@@ -219,17 +219,17 @@
       partitions: names(g),
       teams: all[g.later ? "true" : "false"],
       records: records(g),
-      valueBytes: 8_000,
-      writes: 1,
+      maxValueBytes: 8_000,
+      maxRecords: 1,
       use: (team) => [g.use[scope.teams.indexOf(team)]!, 0],
-      known: (team) => [g.use[scope.teams.indexOf(team)]!, 0],
-      mine,
-      others,
-      keep: (team, _since, group) => {
+      confirmedUse: (team) => [g.use[scope.teams.indexOf(team)]!, 0],
+      ownDemands: mine,
+      otherDemands: others,
+      needAheadOf: (team, _since, group) => {
         const t = scope.teams.indexOf(team);
         return [scope.groups[i]! < group ? g.wait[t]! : 0, 0];
       },
-      idle: (team) => {
+      lendable: (team) => {
         const t = scope.teams.indexOf(team);
         const free = share(g, i, t) - g.use[t]!;
         return [g.wait[t]! > 0 && free < size(i) ? Math.max(0, free) : 0, 0];
@@ -243,13 +243,13 @@
         if (!want || holder?.gone) return null;
         return reservationOf(scope.groups[at]!, want);
       },
-      keptFrom: (team, { partition }) => {
+      keptForOverdueJob: (team, { partition }) => {
         const t = scope.teams.indexOf(team);
         return [partition === scope.groups[i]! ? g.wait[t]! : 0, 0];
       },
-      agreed: s.groups.every((o) => o.gone || o.later === g.later),
-      gone,
-      movable: () => true,
+      limitsAgreed: s.groups.every((o) => o.gone || o.later === g.later),
+      removedPartitions: gone,
+      mayMoveShares: () => true,
     });
   };
 
@@ -332,13 +332,13 @@
         const p = plan(s, i);
         if (p)
           yield step(
-            `${name} sends ${p.given.map((x) => `${x.give[0]} of ${x.team} to ${x.to}`).join(", ") || "a change"}`,
+            `${name} sends ${p.transfers.map((x) => `${x.amounts[0]} of ${x.team} to ${x.to}`).join(", ") || "a change"}`,
             (to) => {
               const value = p.writes.get(QUOTA_KEY)!;
               to.groups[i]!.change = {
                 base: g.copy.version,
                 value,
-                reserved: Object.fromEntries(p.reserved),
+                reserved: Object.fromEntries(p.released),
                 open: false,
               };
               to.flights.push({
--- a/test/coordination/quota/quota.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -14,8 +14,8 @@
   entryIn,
   entryOf,
   type QuotaRecord,
-  mayUse,
-  overdrawn,
+  maxUsage,
+  isOverAllocated,
 } from "../../../src/coordination/quota/quota-records.js";
 import type { ResourceAmounts } from "../../../src/coordination/quota/resource-amounts.js";
 import type { JobSpec } from "../../../src/coordination/model.js";
@@ -74,20 +74,20 @@
       partitions,
       teams: new Map(teams.map((t) => [t.name, t])),
       records: this.records,
-      valueBytes: this.valueBytes,
-      writes: 3,
+      maxValueBytes: this.valueBytes,
+      maxRecords: 3,
       use,
-      known: use,
-      mine: this.wants.get(partition) ?? new Map(),
-      others: new Map([...this.wants].filter(([g]) => g !== partition)),
-      keep: () => [0, 0],
-      idle: () => [0, 0],
+      confirmedUse: use,
+      ownDemands: this.wants.get(partition) ?? new Map(),
+      otherDemands: new Map([...this.wants].filter(([g]) => g !== partition)),
+      needAheadOf: () => [0, 0],
+      lendable: () => [0, 0],
       keptForBackfill: () => [0, 0],
       reservation: () => null,
-      keptFrom: () => [0, 0],
-      agreed: true,
-      gone: new Set(),
-      movable: () => true,
+      keptForOverdueJob: () => [0, 0],
+      limitsAgreed: true,
+      removedPartitions: new Set(),
+      mayMoveShares: () => true,
       ...over,
     };
   }
@@ -107,7 +107,7 @@
     return true;
   }
   share(partition: string, t: Team): number {
-    return mayUse(t, entryOf(this.records, t.name), partition, () => [
+    return maxUsage(t, entryOf(this.records, t.name), partition, () => [
       this.usedBy(partition, t.name),
       0,
     ])[0];
@@ -168,7 +168,9 @@
   for (let k = 0; k < 3; k++)
     for (const g of four)
       s.turn(
-        s.situation(g, four, [g === "a" ? t300 : t900], { agreed: false }),
+        s.situation(g, four, [g === "a" ? t300 : t900], {
+          limitsAgreed: false,
+        }),
       );
   assert.deepEqual(
     four.map((g) => s.share(g, t900)),
@@ -186,15 +188,17 @@
   s.want("a", "t", 200, 1, s.share("a", t300));
   const had = s.share("c", t300);
   for (const g of two) s.turn(s.situation(g, two, [t300]));
-  assert.equal(entryOf(s.records, "t")!.parts["c"]![0], had);
+  assert.equal(entryOf(s.records, "t")!.shares["c"]![0], had);
   for (let k = 0; k < 2; k++)
     for (const g of two)
-      s.turn(s.situation(g, two, [t300], { gone: new Set(["c"]) }));
-  assert.equal(entryOf(s.records, "t")!.parts["c"]![0], 0);
+      s.turn(
+        s.situation(g, two, [t300], { removedPartitions: new Set(["c"]) }),
+      );
+  assert.equal(entryOf(s.records, "t")!.shares["c"]![0], 0);
   assert.ok(s.share("a", t300) >= 200, `${s.share("a", t300)}`);
   // Raised only when all agree.
   const t600 = team("t", 600);
-  s.turn(s.situation("a", two, [t600], { agreed: false }));
+  s.turn(s.situation("a", two, [t600], { limitsAgreed: false }));
   assert.equal(entryOf(s.records, "t")!.cap[0], 300);
   s.turn(s.situation("a", two, [t600]));
   assert.equal(entryOf(s.records, "t")!.cap[0], 600);
@@ -239,7 +243,9 @@
           )
             goneBy.add(g);
           else if (what === "turn")
-            s.turn(s.situation(g, partitions, [t], { gone: goneBy }));
+            s.turn(
+              s.situation(g, partitions, [t], { removedPartitions: goneBy }),
+            );
           else if (what === "want") s.want(g, "t", n, n, s.share(g, t));
           else if (what === "end")
             s.use.set(g, new Map([["t", Math.max(0, s.usedBy(g, "t") - n)]]));
@@ -249,7 +255,7 @@
           ) {
             s.use.set(g, new Map([["t", s.usedBy(g, "t") + n]]));
             assert.ok(
-              used + n <= before!.cap[0] + 0.05 && !overdrawn(before!, 0),
+              used + n <= before!.cap[0] + 0.05 && !isOverAllocated(before!, 0),
               `${used} + ${n} of ${before!.cap[0]}`,
             );
           }
@@ -289,7 +295,11 @@
     );
     let turns = 0;
     while (
-      s.turn(s.situation(partitions[turns % 7]!, partitions, teams, { writes }))
+      s.turn(
+        s.situation(partitions[turns % 7]!, partitions, teams, {
+          maxRecords: writes,
+        }),
+      )
     )
       assert.ok(++turns < 200, "it comes to an end");
     for (const t of teams) {
@@ -440,7 +450,7 @@
         if (record)
           seen.worst = Math.max(seen.worst, record.sum[0] / record.cap[0]);
         const share = m.quota.share(t.name)[0];
-        const part = record?.parts[m.partition]?.[0] ?? 0;
+        const part = record?.shares[m.partition]?.[0] ?? 0;
         const used = m.state.usage().get(t.name)?.cpus ?? 0;
         assert.ok(
           share <= Math.max(part, used) + 1e-6,
@@ -732,11 +742,11 @@
 });
 
 test("without claims masters that decide at once stop more than the deficit", () => {
-  const { claim, mayClaim } = GuaranteeReclaims.prototype;
-  GuaranteeReclaims.prototype.claim = function (_t, _n, _f, _g, granted) {
+  const { reclaim: claim, mayReclaim: mayClaim } = GuaranteeReclaims.prototype;
+  GuaranteeReclaims.prototype.reclaim = function (_t, _n, _f, _g, granted) {
     granted();
   };
-  GuaranteeReclaims.prototype.mayClaim = () => true;
+  GuaranteeReclaims.prototype.mayReclaim = () => true;
   try {
     assert.ok(
       stopped(
--- a/test/golden/records.ts
+++ b/test/golden/records.ts
@@ -272,7 +272,7 @@
           {
             ...row,
             reservation: {
-              lacks: [4.2, 1],
+              missing: [4.2, 1],
               readyAt: 1_700_000_000_004,
               priority: 2,
             },
--- a/test/simulation/checker.ts
+++ b/test/simulation/checker.ts
@@ -256,7 +256,7 @@
         return isCounted(leader, machine, key);
     }
     const entry = entryOf(core.cache.quotaRecords, team);
-    const part = entry?.parts[partition];
+    const part = entry?.shares[partition];
     if (!entry || !part) return false;
     const use: [number, number] = [0, 0];
     for (const { spec, w } of this.on())
