--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -79,13 +79,14 @@
     all.addAll(job.finished);
     job.isComplete = all.size >= job.view.spec.tasks;
     if (job.isComplete) this.finalize(job);
-    else if (job.written.size < job.finished.size) this.writeCompletions(job);
+    else if (job.writtenFinished.size < job.finished.size)
+      this.writeCompletions(job);
   }
 
   /** Invariant (rules not_done, went_back): the end is one conditional commit, reported only after it. */
   private finalize(job: JobRun): void {
-    if (job.finalizing || job.pendingTransfer) return;
-    job.finalizing = true;
+    if (job.isFinalizing || job.pendingTransfer) return;
+    job.isFinalizing = true;
     const id = job.id;
     this.partition.commit(
       [{ key: jobKey(id), version: job.view.revision }],
@@ -96,28 +97,28 @@
       ),
       CallPriority.Leader,
       (outcome) => {
-        job.finalizing = false;
+        job.isFinalizing = false;
         if (outcome !== "ok") this.backOff(job);
       },
     );
   }
 
   private writeCompletions(job: JobRun): void {
-    if (job.writing) return;
+    if (job.isWritingFinished) return;
     // Ranges are batched: with 5 changes a second, a write for each finished task kept users
     // waiting. What completes this partition's tasks goes at once, for another partition may be waiting for it to end the job.
     const isTooSoon =
-      this.ctx.nowMs - job.lastWrittenMs < COMPLETION_WRITE_INTERVAL_MS;
+      this.ctx.nowMs - job.lastFinishedWriteMs < COMPLETION_WRITE_INTERVAL_MS;
     if (isTooSoon && this.hasUnfinishedTasks(job)) return;
     const unwritten = job.finished.clone();
-    unwritten.removeAll(job.written);
+    unwritten.removeAll(job.writtenFinished);
     const first = unwritten.first();
     if (first === undefined) return;
     const block = completionBlockOf(first);
     const covered = tasksInBlock(job.finished, block);
     const key = completionKey(job.id, this.partition.partition, block);
-    job.writing = true;
-    job.lastWrittenMs = this.ctx.nowMs;
+    job.isWritingFinished = true;
+    job.lastFinishedWriteMs = this.ctx.nowMs;
     this.partition.commit(
       // Without the job's record the ranges would be left behind by a job that is over. Invariant (a task that is done stays
       // done): a commit without an answer that is carried out after a later one would take what that added off the record.
@@ -128,8 +129,8 @@
       [{ op: "put", key, value: writeCompletion(covered) }],
       CallPriority.Leader,
       (outcome) => {
-        job.writing = false;
-        if (outcome === "ok") job.written.addAll(covered);
+        job.isWritingFinished = false;
+        if (outcome === "ok") job.writtenFinished.addAll(covered);
         else this.backOff(job);
       },
     );
@@ -152,7 +153,7 @@
   tick(job: JobRun): void {
     if (
       this.ctx.nowMs >= job.backoffUntilMs &&
-      (job.isComplete || job.written.size < job.finished.size)
+      (job.isComplete || job.writtenFinished.size < job.finished.size)
     )
       this.writeProgress(job);
   }
--- a/src/coordination/machines/delivery-tracker.ts
+++ b/src/coordination/machines/delivery-tracker.ts
@@ -85,7 +85,7 @@
     return (
       !worker.delivery.inspecting &&
       (!mustBeQuiet || this.ctx.nowMs - worker.lastHeardMs > quietMs) &&
-      this.ctx.nowMs - worker.delivery.inspectedMs > INSPECT_INTERVAL_MS
+      this.ctx.nowMs - worker.delivery.lastInspectedMs > INSPECT_INTERVAL_MS
     );
   }
 
@@ -94,12 +94,16 @@
     return (
       worker.delivery.unreachableSinceMs !== null &&
       !worker.delivery.inspecting &&
-      this.ctx.nowMs - worker.delivery.inspectedMs > PROBE_INTERVAL_MS
+      this.ctx.nowMs - worker.delivery.lastInspectedMs > PROBE_INTERVAL_MS
     );
   }
 
   /** Notes what a heartbeat that is news says of delivery, before the rest of it is looked at. */
-  note(worker: Worker, heartbeat: Heartbeat, isNewIncarnation: boolean): void {
+  noteHeartbeat(
+    worker: Worker,
+    heartbeat: Heartbeat,
+    isNewIncarnation: boolean,
+  ): void {
     if (isNewIncarnation) {
       this.noteNewIncarnation(worker);
       return;
@@ -125,7 +129,7 @@
   private noteToken(worker: Worker, heartbeat: Heartbeat): void {
     const { delivery } = worker;
     if (heartbeat.token === this.token) {
-      if (worker.token === this.token) delivery.proven = true;
+      if (worker.token === this.token) delivery.isProven = true;
       else this.markReachable(worker, "it has seen this master's token");
       return;
     }
@@ -174,7 +178,7 @@
 
   private markReachable(worker: Worker, why: string): void {
     const { delivery } = worker;
-    delivery.proven = true;
+    delivery.isProven = true;
     delivery.missed = 0;
     if (delivery.unreachableSinceMs === null) return;
     this.ctx.log("machine reachable again", {
@@ -201,7 +205,7 @@
     };
     worker.delivery = {
       ...newDeliveryState(true, this.ctx.nowMs),
-      inspectedMs: worker.delivery.inspectedMs,
+      lastInspectedMs: worker.delivery.lastInspectedMs,
       timesUnreachable: worker.delivery.timesUnreachable,
       formerLife: former,
     };
--- a/src/coordination/machines/failover-fence.ts
+++ b/src/coordination/machines/failover-fence.ts
@@ -37,11 +37,11 @@
   }
 
   /** Machines that are not accounted for, as a copy. */
-  machines(): string[] {
+  unaccountedMachines(): string[] {
     return [...this.unaccounted.keys()];
   }
 
-  delete(id: string): void {
+  noteAccountedFor(id: string): void {
     this.unaccounted.delete(id);
   }
 
--- a/src/coordination/machines/failure-tracker.ts
+++ b/src/coordination/machines/failure-tracker.ts
@@ -71,12 +71,12 @@
   /** Others of the job that have run for longer than this one did count in favor of the job, but not for ever. */
   private othersRunLonger(task: TaskRun): boolean {
     const now = this.ctx.nowMs;
-    const ranMs = task.phase === "running" ? now - task.sinceMs : 0;
+    const ranMs = task.phase === "running" ? now - task.phaseSinceMs : 0;
     return [...task.job.active.values()].some(
       (other) =>
         other !== task &&
         other.phase === "running" &&
-        now - other.sinceMs > ranMs * 1.2 + 1_000,
+        now - other.phaseSinceMs > ranMs * 1.2 + 1_000,
     );
   }
 
--- a/src/coordination/machines/heartbeat-router.ts
+++ b/src/coordination/machines/heartbeat-router.ts
@@ -46,7 +46,7 @@
     // It has been served under this very token, or was sent there a moment ago, and yet it comes here: its leader is out of its reach.
     const isLeaderOutOfReach =
       token === version ||
-      this.redirects.isBack(worker, version, this.ctx.nowMs);
+      this.redirects.wasJustRedirected(worker, version, this.ctx.nowMs);
     if (isLeaderOutOfReach) return { kind: "relay", leader: owner };
     this.redirects.note(worker, version, this.ctx.nowMs);
     return { kind: "redirect", leader: owner };
--- a/src/coordination/machines/inspection.ts
+++ b/src/coordination/machines/inspection.ts
@@ -26,7 +26,7 @@
   inspect(worker: Worker): void {
     const askedMs = this.ctx.nowMs;
     worker.delivery.inspecting = true;
-    worker.delivery.inspectedMs = askedMs;
+    worker.delivery.lastInspectedMs = askedMs;
     this.ctx.inspect(worker.address, (status) => {
       worker.delivery.inspecting = false;
       if (!status || !this.isCurrent(worker, status)) return;
--- a/src/coordination/machines/machine-registry.ts
+++ b/src/coordination/machines/machine-registry.ts
@@ -87,7 +87,7 @@
    * Every machine that may run tasks of a former leader is listed or gone. The records are marked as complete once all that
    * was added to them is written.
    */
-  confirm(): void {
+  confirmComplete(): void {
     this.isComplete = true;
     this.flush();
   }
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -154,10 +154,10 @@
         worker: worker.id,
         from: task.phase,
         to: state,
-        afterMs: Math.round(now - task.sinceMs),
+        afterMs: Math.round(now - task.phaseSinceMs),
       });
       task.phase = state;
-      task.sinceMs = now;
+      task.phaseSinceMs = now;
     }
     if (state === "running" || state === "waiting")
       this.noteImage(worker, task);
@@ -261,11 +261,11 @@
       phase: reported.state,
       timesSent: 0,
       startAnsweredSequence: -1,
-      sinceMs: this.ctx.nowMs,
+      phaseSinceMs: this.ctx.nowMs,
       stop: null,
     };
     job.active.set(reported.index, task);
-    this.state.ledger.add(task);
+    this.state.ledger.addTask(task);
     this.noteImage(worker, task);
     return true;
   }
--- a/src/coordination/machines/redirects.ts
+++ b/src/coordination/machines/redirects.ts
@@ -37,7 +37,7 @@
   }
 
   /** Whether this worker was redirected under this token a moment ago. */
-  isBack(worker: string, token: number, nowMs: number): boolean {
+  wasJustRedirected(worker: string, token: number, nowMs: number): boolean {
     const redirect = this.redirects.get(worker);
     return (
       redirect !== undefined &&
--- a/src/coordination/machines/resource-ledger.ts
+++ b/src/coordination/machines/resource-ledger.ts
@@ -37,7 +37,7 @@
   }
 
   /** Puts a task on its worker. */
-  add(task: TaskRun): void {
+  addTask(task: TaskRun): void {
     const { job, worker } = task;
     const { spec } = job.view;
     worker.free = null;
@@ -46,7 +46,7 @@
   }
 
   /** Takes a task off its worker, if it is still there. */
-  remove(task: TaskRun): void {
+  removeTask(task: TaskRun): void {
     const { job, worker } = task;
     const { spec } = job.view;
     worker.free = null;
@@ -83,12 +83,12 @@
     worker.unconfirmedTasks.clear();
   }
 
-  unconfirmedOf(jobId: string): ReadonlySet<UnconfirmedTask> {
+  unconfirmedOfJob(jobId: string): ReadonlySet<UnconfirmedTask> {
     return this.unconfirmedByJob.get(jobId) ?? NO_TASKS;
   }
 
   /** What unconfirmed tasks of a team use: some are only listed by late heartbeats and run elsewhere by now. */
-  unconfirmedUse(team: string): ResourceUse {
+  unconfirmedUseOfTeam(team: string): ResourceUse {
     const sum = { cpus: 0, gpus: 0 };
     for (const tasks of this.unconfirmedByJob.values())
       for (const { need } of tasks)
@@ -101,18 +101,18 @@
 
   /** Whether a job, or one task of it, has an unconfirmed task anywhere in the partition. */
   hasUnconfirmed(jobId: string, index?: number): boolean {
-    for (const task of this.unconfirmedOf(jobId))
+    for (const task of this.unconfirmedOfJob(jobId))
       if (index === undefined || task.index === index) return true;
     return false;
   }
 
   /** What is or may be on the machines of one team. */
-  useOf(team: string): Readonly<ResourceUse> {
+  useOfTeam(team: string): Readonly<ResourceUse> {
     return this.teams.get(team) ?? NO_USE;
   }
 
   /** What each team uses, as a copy. */
-  used(): Map<string, ResourceUse> {
+  useByTeam(): Map<string, ResourceUse> {
     return new Map(
       [...this.teams].map(([team, use]) => [
         team,
@@ -122,7 +122,7 @@
   }
 
   /** What tasks of jobs that nobody knows may use, of any team. */
-  unsizedUse(): ResourceUse {
+  maxUseOfUnknownTasks(): ResourceUse {
     const sum = { cpus: 0, gpus: 0 };
     for (const [worker, count] of this.unsized) {
       sum.cpus += count * (worker.type?.cpus ?? Infinity);
--- a/src/coordination/machines/scale-in.ts
+++ b/src/coordination/machines/scale-in.ts
@@ -29,7 +29,7 @@
 const LIST_LAG_FACTOR = 2;
 
 /** The machines of one partition: rents what waiting work needs and returns what nothing needs. */
-export class ScaleIn {
+export class Autoscaler {
   readonly scaleOut: ScaleOut;
   private readonly returns: MachineReturns;
   private readonly warmCapacity: WarmCapacityTracker;
@@ -74,7 +74,7 @@
   }
 
   /** Whether the cloud has confirmed that the machine went back: whatever still comes from it is late. */
-  isGone(id: string): boolean {
+  isReturned(id: string): boolean {
     return this.returns.isReturned(id);
   }
 
--- a/src/coordination/machines/scale-out.ts
+++ b/src/coordination/machines/scale-out.ts
@@ -69,17 +69,17 @@
   }
 
   /** How many more machines of each offer there may be, by offer key, where a refusal told. */
-  left(): Map<string, number> {
+  remainingByOffer(): Map<string, number> {
     return this.offers.remaining();
   }
 
   /** Keys of the offers that the cloud refused of late. */
-  soldOut(): string[] {
+  soldOutOffers(): string[] {
     return this.offers.recentlySoldOut();
   }
 
   /** Whether nothing that this job could use is booting or, as far as known, to be had. */
-  exhausted(spec: JobSpec): boolean {
+  isCapacityExhausted(spec: JobSpec): boolean {
     for (const place of this.bootingPlacesOnce())
       if (this.offers.serves(spec, place) && fits(spec, place.free))
         return false;
@@ -100,11 +100,11 @@
         fits(spec, freeOn(worker))
       )
         return true;
-    return !this.exhausted(spec);
+    return !this.isCapacityExhausted(spec);
   }
 
   /** How many tasks of this job booting machines have places for. */
-  bootingFor(spec: JobSpec): number {
+  countTasksFittingBooting(spec: JobSpec): number {
     let taskCount = 0;
     for (const place of this.bootingPlacesOnce())
       if (this.offers.serves(spec, place))
--- a/src/coordination/machines/worker-commands.ts
+++ b/src/coordination/machines/worker-commands.ts
@@ -40,7 +40,7 @@
     job !== undefined &&
     exited.cause === "done" &&
     job.finished.has(exited.index) &&
-    !job.written.has(exited.index);
+    !job.writtenFinished.has(exited.index);
   if (isResultUnwritten) return false;
   return !worker.unansweredStarts.has(
     attemptKey(exited.job, exited.index, exited.attempt),
--- a/src/coordination/machines/worker-state.ts
+++ b/src/coordination/machines/worker-state.ts
@@ -24,9 +24,9 @@
    * task. -1: no such answer.
    */
   startAnsweredSequence: number;
-  sinceMs: number;
+  phaseSinceMs: number;
   /** It is to be stopped, with this much time to save. */
-  stop: { graceS: number; why: string } | null;
+  stop: { graceS: number; reason: string } | null;
 }
 
 /** A job as far as it concerns one partition. */
@@ -40,22 +40,22 @@
   /** Finished here, written or not. */
   finished: RangeSet;
   /** Finished here and known to be written. */
-  written: RangeSet;
-  writing: boolean;
+  writtenFinished: RangeSet;
+  isWritingFinished: boolean;
   /** All of its tasks are known to be finished, here or elsewhere: its end is to be written. */
   isComplete: boolean;
   /** When finished tasks were last written. */
-  lastWrittenMs: number;
+  lastFinishedWriteMs: number;
   /** From before this leader's token: a task that nobody reports may be running somewhere. */
   predatesLeader: boolean;
   /** Over, or not ours any more: whatever still runs has to go. */
   isOver: boolean;
-  finalizing: boolean;
+  isFinalizing: boolean;
   waitingSinceMs: number;
   backoffUntilMs: number;
   /** A gang spread over several partitions: the attempt that its part here was started under, and whether a record is being written. */
-  lastAttempt: number;
-  writingGangRecord: boolean;
+  lastGangAttempt: number;
+  isWritingGangRecord: boolean;
   /** Machines where it failed, and how often. */
   failuresByMachine: Map<string, number>;
   /** It seems to have been submitted with a mistake, since then; null: no reason to think so. */
@@ -80,7 +80,7 @@
 /** What a leader knows of whether a machine receives its answers and commands, and of its former life. */
 export interface DeliveryState {
   /** It has shown that it receives what this leader sends, or was known to run for this partition before. */
-  proven: boolean;
+  isProven: boolean;
   /** Since when it receives nothing, as far as its heartbeats say; null: it does. */
   unreachableSinceMs: number | null;
   /** Times that it was found unreachable: the more, the longer it has to show the contrary. */
@@ -90,7 +90,7 @@
   /** When its present incarnation was first seen. */
   incarnationSinceMs: number;
   /** When its status was last queried by `inspect`, and whether that query is in flight. */
-  inspectedMs: number;
+  lastInspectedMs: number;
   inspecting: boolean;
   /** It restarted: what its former life had reached at most, and until when late copies of its heartbeats may come. */
   formerLife: { incarnation: number; sequence: number; untilMs: number } | null;
@@ -103,12 +103,12 @@
   proven: boolean,
   nowMs: number,
 ): DeliveryState => ({
-  proven,
+  isProven: proven,
   unreachableSinceMs: null,
   timesUnreachable: 0,
   missed: 0,
   incarnationSinceMs: nowMs,
-  inspectedMs: -Infinity,
+  lastInspectedMs: -Infinity,
   inspecting: false,
   formerLife: null,
   lastCommandMs: -Infinity,
@@ -189,17 +189,17 @@
     waiting: RangeSet.empty(),
     active: new Map(),
     finished: RangeSet.empty(),
-    written: RangeSet.empty(),
-    writing: false,
+    writtenFinished: RangeSet.empty(),
+    isWritingFinished: false,
     isComplete: false,
-    lastWrittenMs: -Infinity,
+    lastFinishedWriteMs: -Infinity,
     predatesLeader,
     isOver: false,
-    finalizing: false,
+    isFinalizing: false,
     waitingSinceMs: nowMs,
     backoffUntilMs: 0,
-    lastAttempt: 0,
-    writingGangRecord: false,
+    lastGangAttempt: 0,
+    isWritingGangRecord: false,
     failuresByMachine: new Map(),
     quarantinedSinceMs: null,
     failedTries: 0,
--- a/src/coordination/quota/guarantee-reclaims.ts
+++ b/src/coordination/quota/guarantee-reclaims.ts
@@ -80,7 +80,10 @@
 
   /** What may still be taken of a team: all that it surely has beyond its guarantee, less what is claimed of it already. */
   reclaimableFrom(team: string): ResourceAmounts {
-    const excess = this.guarantees.excess(team, this.own.ledger.useOf(team));
+    const excess = this.guarantees.excess(
+      team,
+      this.own.ledger.useOfTeam(team),
+    );
     const { loses } = this.claimed(team);
     return [excess[0] - loses[0], excess[1] - loses[1]];
   }
--- a/src/coordination/quota/quota-allocator.ts
+++ b/src/coordination/quota/quota-allocator.ts
@@ -179,7 +179,7 @@
     for (const team of this.context.settings.teams.values()) {
       const { name } = team;
       const demand = this.demand(name, useOf(name));
-      const { cpus, gpus } = this.state.ledger.useOf(name);
+      const { cpus, gpus } = this.state.ledger.useOfTeam(name);
       const row = teamRowOf({
         demand,
         use: [cpus, gpus],
@@ -335,9 +335,9 @@
   /** What surely runs of a team; null during a failover, when it is not known yet. */
   private confirmedUse(team: string): ResourceAmounts | null {
     if (this.state.isFenced) return null;
-    const unconfirmed = this.state.ledger.unconfirmedUse(team);
+    const unconfirmed = this.state.ledger.unconfirmedUseOfTeam(team);
     const unshown = this.state.useWithoutToken(team);
-    const use = this.state.ledger.useOf(team);
+    const use = this.state.ledger.useOfTeam(team);
     return [
       use.cpus - unconfirmed.cpus - unshown.cpus,
       use.gpus - unconfirmed.gpus - unshown.gpus,
--- a/src/coordination/scheduling/capacity-report.ts
+++ b/src/coordination/scheduling/capacity-report.ts
@@ -141,10 +141,10 @@
       if (n > 0) running.set(j.id, n);
     }
     const { scaleOut } = this;
-    const soldOut = scaleOut.soldOut();
+    const soldOut = scaleOut.soldOutOffers();
     // Nothing left of what is sold out goes without saying.
     const left = new Map(
-      [...scaleOut.left()].filter(
+      [...scaleOut.remainingByOffer()].filter(
         ([what, n]) => n > 0 || !soldOut.includes(what),
       ),
     );
--- a/src/coordination/scheduling/gang-assembly.ts
+++ b/src/coordination/scheduling/gang-assembly.ts
@@ -231,7 +231,9 @@
     const { estimateS } = task.job.view.spec;
     if (estimateS <= 0) return Infinity;
     const ranS =
-      task.phase === "running" ? (this.ctx.nowMs - task.sinceMs) / MS_PER_S : 0;
+      task.phase === "running"
+        ? (this.ctx.nowMs - task.phaseSinceMs) / MS_PER_S
+        : 0;
     return Math.max(estimateS - ranS, estimateS * OVERRUN_SHARE);
   }
 }
--- a/src/coordination/scheduling/machine-selector.ts
+++ b/src/coordination/scheduling/machine-selector.ts
@@ -75,7 +75,8 @@
       tasksByZone.set(worker.zone, (tasksByZone.get(worker.zone) ?? 0) + 1);
     };
     for (const task of job.active.values()) count(task);
-    for (const task of this.partition.ledger.unconfirmedOf(job.id)) count(task);
+    for (const task of this.partition.ledger.unconfirmedOfJob(job.id))
+      count(task);
     return tasksByZone;
   }
 
--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -7,7 +7,7 @@
 import type { Answer } from "../effects.js";
 import { FailureTracker } from "../machines/failure-tracker.js";
 import { JobCompletion } from "../jobs/job-completion.js";
-import { ScaleIn } from "../machines/scale-in.js";
+import { Autoscaler } from "../machines/scale-in.js";
 import { PartitionState } from "./partition-state.js";
 import {
   Guarantees,
@@ -51,7 +51,7 @@
  */
 export class PartitionLeader {
   readonly state: PartitionState;
-  private readonly scaleIn: ScaleIn;
+  private readonly autoscaler: Autoscaler;
   readonly quota: QuotaAllocator;
   readonly guarantees: Guarantees;
   readonly reclaims: GuaranteeReclaims;
@@ -79,11 +79,11 @@
     this.deliveries = new DeliveryTracker(ctx, token);
     this.contradictions = new RateLimitedLog(ctx);
     this.quota = new QuotaAllocator(ctx, state, (spec) =>
-      this.scaleIn.scaleOut.hasPlace(spec),
+      this.autoscaler.scaleOut.hasPlace(spec),
     );
     this.guarantees = new Guarantees(ctx, state);
-    this.scaleIn = new ScaleIn(ctx, state, this.quota);
-    const { scaleOut } = this.scaleIn;
+    this.autoscaler = new Autoscaler(ctx, state, this.quota);
+    const { scaleOut } = this.autoscaler;
     this.rebalancer = new Rebalancer(ctx, state, scaleOut, this.quota);
     this.reclaims = new GuaranteeReclaims(ctx, state, this.guarantees);
     this.shortfallLog = new GuaranteeShortfallLog(
@@ -92,7 +92,7 @@
       this.quota,
       this.guarantees,
       this.reclaims,
-      (spec) => scaleOut.exhausted(spec),
+      (spec) => scaleOut.isCapacityExhausted(spec),
     );
     this.scheduler = new Scheduler(
       ctx,
@@ -103,7 +103,7 @@
     );
     this.completion = new JobCompletion(ctx, state);
     const failures = new FailureTracker(ctx, state, (worker, why) =>
-      this.scaleIn.returnWorker(worker, why),
+      this.autoscaler.returnWorker(worker, why),
     );
     this.reconciliation = new Reconciliation(
       ctx,
@@ -136,7 +136,7 @@
   private resumeReturns(): void {
     for (const [id, entry] of this.state.registry.machines())
       if (entry.isReturning)
-        this.scaleIn.returnMachine(
+        this.autoscaler.returnMachine(
           id,
           entry.type,
           "marked for return by a former master",
@@ -158,7 +158,7 @@
     const job = known ?? this.addJob(view, predatesLeader);
     const written = this.ctx.cache.finished(view.id).get(this.partition);
     if (written) {
-      job.written.addAll(written);
+      job.writtenFinished.addAll(written);
       job.finished.addAll(written);
     }
     const transfer = job.pendingTransfer;
@@ -175,7 +175,7 @@
   private addJob(view: JobView, predatesLeader: boolean): JobRun {
     const job = newJobRun(view, predatesLeader, this.ctx.nowMs);
     this.state.jobs.set(view.id, job);
-    this.scaleIn.noteJob(view.spec);
+    this.autoscaler.noteJob(view.spec);
     return job;
   }
 
@@ -236,7 +236,7 @@
 
   /** The answer to a heartbeat of a machine that was returned; null: the machine is new. */
   private answerToGone(heartbeat: Heartbeat): Answer | null {
-    if (!this.scaleIn.isGone(heartbeat.worker)) return null;
+    if (!this.autoscaler.isReturned(heartbeat.worker)) return null;
     this.noteStale(heartbeat, null);
     return STALE_ANSWER;
   }
@@ -299,19 +299,19 @@
     const worker = newWorker(heartbeat, {
       type: this.ctx.catalog?.find((t) => t.name === heartbeat.type) ?? null,
       // One that nobody has heard of may be a late copy of a machine that is gone: it has to show first that it receives.
-      isProven: registry.has(id) || this.scaleIn.scaleOut.booting.has(id),
+      isProven: registry.has(id) || this.autoscaler.scaleOut.booting.has(id),
       isReturning: registry.isReturnWritten(id),
       nowMs: this.ctx.nowMs,
     });
     this.state.workers.set(worker.id, worker);
-    this.scaleIn.onMachineUp(worker);
+    this.autoscaler.onMachineUp(worker);
     return worker;
   }
 
   /** Takes over everything that a heartbeat says of the worker itself; its tasks are reconciled afterwards. */
   private noteHeartbeat(worker: Worker, heartbeat: Heartbeat): void {
     const isNewIncarnation = heartbeat.incarnation > worker.incarnation;
-    this.deliveries.note(worker, heartbeat, isNewIncarnation);
+    this.deliveries.noteHeartbeat(worker, heartbeat, isNewIncarnation);
     if (isNewIncarnation)
       this.state.startIncarnation(worker, heartbeat.incarnation);
     this.logHigherToken(worker, heartbeat);
@@ -415,7 +415,7 @@
     this.rebalancer.tick();
     this.quota.tick(limitsAgreed);
     this.shortfallLog.tick();
-    this.scaleIn.tick();
+    this.autoscaler.tick();
     this.capacity.writeIfChanged();
   }
 }
--- a/src/coordination/scheduling/partition-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -123,7 +123,7 @@
     const { job, index } = task;
     this.logRelease(task, reason);
     if (job.active.get(index) === task) job.active.delete(index);
-    this.ledger.remove(task);
+    this.ledger.removeTask(task);
     if (mustRunHere(job, index)) {
       if (job.waiting.isEmpty) job.waitingSinceMs = this.ctx.nowMs;
       job.waiting.add(index);
@@ -161,7 +161,7 @@
   /** Stops a task with so much time to save; a stop that was asked for with no more time than that stands. */
   stop(task: TaskRun, graceS: number, why: string): void {
     if (task.stop && task.stop.graceS <= graceS) return;
-    task.stop = { graceS, why };
+    task.stop = { graceS, reason: why };
     this.undelivered.add(task.worker);
     this.ctx.log("stopping task", {
       task: taskKey(task.job.id, task.index),
@@ -218,9 +218,9 @@
 
   /** What each team uses in this partition, counting all that may be running. */
   usage(): Map<string, ResourceUse> {
-    const used = this.ledger.used();
+    const used = this.ledger.useByTeam();
     // Of any team: it counts against the limit of each.
-    const unattributed = this.ledger.unsizedUse();
+    const unattributed = this.ledger.maxUseOfUnknownTasks();
     if (this.failoverFence) {
       for (const job of this.jobs.values()) {
         const { spec } = job.view;
@@ -342,7 +342,7 @@
   isUsable(worker: Worker): boolean {
     return (
       !worker.isReturning &&
-      worker.delivery.proven &&
+      worker.delivery.isProven &&
       worker.delivery.unreachableSinceMs === null &&
       worker.reclaimedAtMs === null &&
       worker.type !== null &&
@@ -403,7 +403,7 @@
   /** Nothing of a former leader runs on this machine that is not known: it has reported under this token, or is gone. */
   accountFor(id: string): void {
     if (!this.failoverFence) return;
-    this.failoverFence.delete(id);
+    this.failoverFence.noteAccountedFor(id);
     this.liftClearedFence();
   }
 
@@ -417,11 +417,11 @@
       partition: this.partition,
       token: this.token,
       reason: why,
-      silent: fence.machines().slice(0, MAX_LOGGED_MACHINES),
+      silent: fence.unaccountedMachines().slice(0, MAX_LOGGED_MACHINES),
       afterMs: Math.round(this.ctx.nowMs - this.startedMs),
     });
     this.failoverFence = null;
-    this.registry.confirm();
+    this.registry.confirmComplete();
     this.needsScheduling = true;
   }
 
@@ -460,7 +460,7 @@
     const fence = this.failoverFence;
     if (!fence || asOfMs < this.startedMs + MACHINE_LIST_MARGIN_MS) return;
     if (fence.awaitsMachineList) this.fenceListedMachines(fence, machines);
-    for (const id of fence.machines()) {
+    for (const id of fence.unaccountedMachines()) {
       if (machines.has(id) || this.workers.has(id)) continue;
       this.ctx.log("machine of former leader is gone", { worker: id });
       this.forgetMachine(id);
@@ -496,7 +496,7 @@
 
   private expireFence(fence: FailoverFence): void {
     // Invariant (ran_twice): a machine that has reported, though not under this token yet, may run tasks: it stays.
-    for (const id of fence.machines())
+    for (const id of fence.unaccountedMachines())
       if (!this.workers.has(id)) this.forgetMachine(id);
     this.liftFence(fence, "leases of silent machines have ended");
   }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -106,7 +106,9 @@
   private lostWorkOf(task: TaskRun): number {
     const { spec } = task.job.view;
     const ranS =
-      task.phase === "running" ? (this.ctx.nowMs - task.sinceMs) / MS_PER_S : 0;
+      task.phase === "running"
+        ? (this.ctx.nowMs - task.phaseSinceMs) / MS_PER_S
+        : 0;
     const lostS = spec.checkpointS > 0 ? spec.saveS : ranS;
     return RESTART_LOSS + lostS * Math.max(1, spec.cpus);
   }
@@ -180,7 +182,10 @@
     )
       return;
     const reclaimable = this.teamsToReclaimFrom(job, want);
-    if (!this.anyBehind(job, reclaimable) || !this.scaleOut.exhausted(spec))
+    if (
+      !this.anyBehind(job, reclaimable) ||
+      !this.scaleOut.isCapacityExhausted(spec)
+    )
       return;
     const usable = workers.filter((worker) => this.mayUse(job, worker));
     const best = this.bestCandidate(job, want, usable, free, reclaimable);
--- a/src/coordination/scheduling/rebalancer.ts
+++ b/src/coordination/scheduling/rebalancer.ts
@@ -97,7 +97,7 @@
     const { spec } = job.view;
     if (
       job.pendingTransfer ||
-      job.finalizing ||
+      job.isFinalizing ||
       job.quarantinedSinceMs !== null
     )
       return false;
@@ -159,7 +159,7 @@
     const { catalog } = this.ctx;
     if (!catalog || this.waitedMs(job) <= 2 * REBALANCE_INTERVAL_MS)
       return null;
-    if (!this.scaleOut.exhausted(spec)) return null;
+    if (!this.scaleOut.isCapacityExhausted(spec)) return null;
     const isWhole = startsWhole(spec);
     const usesReserved = isShort(spec, this.ctx.tuning);
     for (const { partition, zones } of capablePartitions(
@@ -202,7 +202,7 @@
     // Machines that are on their way for tasks of an array would come for nothing.
     const movable = isWhole
       ? spec.tasks
-      : job.waiting.size - this.scaleOut.bootingFor(spec);
+      : job.waiting.size - this.scaleOut.countTasksFittingBooting(spec);
     if (movable <= 0) return;
     const maxTasks = Math.min(target.tasks, movable);
     const tasks = Math.min(maxTasks, job.waiting.size);
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -285,7 +285,7 @@
     const lookAt =
       job.view.spec.kind === "gang"
         ? want
-        : want + ledger.unconfirmedOf(job.id).size;
+        : want + ledger.unconfirmedOfJob(job.id).size;
     return [...job.waiting.take(lookAt)]
       .filter((index) => !ledger.hasUnconfirmed(job.id, index))
       .slice(0, want);
@@ -359,11 +359,11 @@
       phase: "ordered",
       timesSent: 0,
       startAnsweredSequence: -1,
-      sinceMs: this.ctx.nowMs,
+      phaseSinceMs: this.ctx.nowMs,
       stop: null,
     };
     job.active.set(index, task);
-    this.partition.ledger.add(task);
+    this.partition.ledger.addTask(task);
     worker.idleSinceMs = null;
     this.ctx.log("starting task", {
       task: taskKey(job.id, index),
--- a/src/coordination/scheduling/spread-gang-coordinator.ts
+++ b/src/coordination/scheduling/spread-gang-coordinator.ts
@@ -20,16 +20,16 @@
 
   /** The attempt under which this partition's part is to start now; null: not yet. */
   nextAttempt(job: JobRun): number | null {
-    if (job.writingGangRecord) return null;
+    if (job.isWritingGangRecord) return null;
     const step = nextGangStep(
       [...job.view.assignment.keys()],
       this.partition.partition,
       this.ctx.cache.gang(job.id),
-      job.lastAttempt,
+      job.lastGangAttempt,
     );
     switch (step.kind) {
       case "start":
-        return (job.lastAttempt = step.attempt);
+        return (job.lastGangAttempt = step.attempt);
       case "wait":
         return null;
       case "ready":
@@ -68,13 +68,13 @@
       key: gangKey(job.id),
       version: this.ctx.cache.gang(job.id).revision,
     };
-    job.writingGangRecord = true;
+    job.isWritingGangRecord = true;
     this.partition.commit(
       [alive, called, ...conditions],
       [write],
       CallPriority.Leader,
       () => {
-        job.writingGangRecord = false;
+        job.isWritingGangRecord = false;
       },
     );
   }
--- a/src/coordination/statistics.ts
+++ b/src/coordination/statistics.ts
@@ -149,7 +149,7 @@
 
 /** What a team has on machines by their last heartbeats: started tasks that these show, and unconfirmed ones. */
 function reportedUse(state: PartitionState, team: string): ResourceAmounts {
-  const { cpus, gpus } = state.ledger.unconfirmedUse(team);
+  const { cpus, gpus } = state.ledger.unconfirmedUseOfTeam(team);
   const sum: ResourceAmounts = [cpus, gpus];
   const tasks = [...state.workers.values()].flatMap((worker) => [
     ...worker.tasks.values(),
@@ -169,7 +169,7 @@
   team: string,
   usage: Readonly<ResourceUse>,
 ): Omit<TeamStatistics, "team" | "partition" | "limit" | "guarantee"> {
-  const known = state.ledger.useOf(team);
+  const known = state.ledger.useOfTeam(team);
   const waiting = quota.waiting(team);
   const lacking = guarantees.headroom(team, usage) ?? [0, 0];
   return {
--- a/test/coordination/machines/delivery-tracker.test.ts
+++ b/test/coordination/machines/delivery-tracker.test.ts
@@ -60,7 +60,7 @@
       x.isReturning,
       [...x.images.keys()],
       x.delivery.unreachableSinceMs,
-      x.delivery.proven,
+      x.delivery.isProven,
     ],
     // Rows "there", "absent", "ended".
     tasks: [...x.tasks].map(([k, t]) => [k, t.phase, t.timesSent]),
@@ -162,7 +162,7 @@
   const s = m.state.workers.get("n-009999")!;
   assert.ok(!m.state.isUsable(s), "not used on the word of one report");
   feed(w, { ...stranger, sequence: stranger.sequence + 1, token: m.token });
-  assert.ok(s.delivery.proven, "the master's own token is evidence");
+  assert.ok(s.delivery.isProven, "the master's own token is evidence");
 });
 
 test("answers that never arrive are seen by a token that is never shown, and by orders that are not carried out", () => {
--- a/test/scenarios/large-fleet.test.ts
+++ b/test/scenarios/large-fleet.test.ts
@@ -47,9 +47,9 @@
 
 test("guard: a worker that comes back is relayed", () => {
   expectDetected(fleet(3, FEW_MACHINES), [0], "sent_back", () => {
-    const before = Redirects.prototype.isBack;
-    Redirects.prototype.isBack = () => false;
-    return () => (Redirects.prototype.isBack = before);
+    const before = Redirects.prototype.wasJustRedirected;
+    Redirects.prototype.wasJustRedirected = () => false;
+    return () => (Redirects.prototype.wasJustRedirected = before);
   });
 });
 
--- a/test/simulation/failure-scenarios.test.ts
+++ b/test/simulation/failure-scenarios.test.ts
@@ -49,18 +49,18 @@
 
 test("guard: a machine's lease counts from the end of the last command with starts as well", () => {
   expectGuardNeeded(failureScenario, [77, 69], "ran_twice", () => {
-    const before = DeliveryTracker.prototype.note;
-    DeliveryTracker.prototype.note = function (w, r, rose) {
+    const before = DeliveryTracker.prototype.noteHeartbeat;
+    DeliveryTracker.prototype.noteHeartbeat = function (w, r, rose) {
       Object.defineProperty(w.delivery, "lastCommandMs", {
         get: () => -Infinity,
         set: () => {},
         configurable: true,
       });
       // Asked at once it would be known to have begun anew: here nobody asks it.
-      w.delivery.inspectedMs = Infinity;
+      w.delivery.lastInspectedMs = Infinity;
       return before.call(this, w, r, rose);
     };
-    return () => (DeliveryTracker.prototype.note = before);
+    return () => (DeliveryTracker.prototype.noteHeartbeat = before);
   });
 });
 
--- a/test/simulation/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -182,22 +182,22 @@
           x.free = null;
           assert.deepEqual(freeOn(x), kept);
         }
-        for (const [team, u] of m.state.ledger.used())
+        for (const [team, u] of m.state.ledger.useByTeam())
           assert.ok(
             Math.abs(u.cpus - (teams.get(team) ?? 0)) < 1e-6,
             `${team}: ${u.cpus}`,
           );
         for (const [team, cpus] of teams)
           assert.ok(
-            Math.abs((m.state.ledger.used().get(team)?.cpus ?? 0) - cpus) <
+            Math.abs((m.state.ledger.useByTeam().get(team)?.cpus ?? 0) - cpus) <
               1e-6,
             `${team}: ${cpus}`,
           );
         for (const [job, n] of unconfirmed)
-          assert.equal(m.state.ledger.unconfirmedOf(job).size, n);
+          assert.equal(m.state.ledger.unconfirmedOfJob(job).size, n);
         for (const id of core.cache.jobs.keys())
           assert.equal(
-            m.state.ledger.unconfirmedOf(id).size,
+            m.state.ledger.unconfirmedOfJob(id).size,
             unconfirmed.get(id) ?? 0,
           );
       }
--- a/test/software-limits.test.ts
+++ b/test/software-limits.test.ts
@@ -81,13 +81,15 @@
   const redirects = new Redirects(MACHINES);
   for (const worker of names) redirects.note(worker, 5, 1_000);
   assert.equal(redirects.size, MACHINES);
-  assert.ok(names.every((worker) => redirects.isBack(worker, 5, 12_999)));
-  assert.ok(!redirects.isBack(names[0]!, 6, 1_001), "another token");
-  assert.ok(!redirects.isBack(names[0]!, 5, 13_000), "too long ago");
+  assert.ok(
+    names.every((worker) => redirects.wasJustRedirected(worker, 5, 12_999)),
+  );
+  assert.ok(!redirects.wasJustRedirected(names[0]!, 6, 1_001), "another token");
+  assert.ok(!redirects.wasJustRedirected(names[0]!, 5, 13_000), "too long ago");
   redirects.note("one more", 5, 1_001);
   assert.equal(redirects.size, MACHINES);
-  assert.ok(!redirects.isBack(names[0]!, 5, 1_002), "the oldest");
-  assert.ok(redirects.isBack(names[1]!, 5, 1_002));
+  assert.ok(!redirects.wasJustRedirected(names[0]!, 5, 1_002), "the oldest");
+  assert.ok(redirects.wasJustRedirected(names[1]!, 5, 1_002));
   redirects.note("later", 5, 13_000);
   assert.equal(redirects.size, 2, "those that say nothing any more are gone");
   for (const memMb of [16, 146, 1_024])
@@ -376,8 +378,8 @@
   w.settings.objectives.push({ kind: "wait", class: "named", withinS: 1 });
   w.run(8_000);
   const leader = lead(w).leaders.values().next().value!;
-  const { scaleIn } = leader as unknown as {
-    scaleIn: {
+  const { autoscaler: scaleIn } = leader as unknown as {
+    autoscaler: {
       noteJob(spec: JobSpec): void;
       warmCapacity: { classNeeds: Map<string, JobSpec> };
     };
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -321,7 +321,7 @@
       if (k === 150) {
         confirmed = true;
         for (const listed of marked) toBeListed.add(listed);
-        r.confirm();
+        r.confirmComplete();
       }
       r.flush();
       pending.shift()?.();
@@ -365,8 +365,8 @@
     backlog: () => ({ plain: 0, accelerated: 0 }),
   };
   const scaleOut = {
-    soldOut: () => [...offers],
-    left: () => new Map(offers.map((o) => [o, 3])),
+    soldOutOffers: () => [...offers],
+    remainingByOffer: () => new Map(offers.map((o) => [o, 3])),
   };
   const sharing = {
     headroom: () => new Map(),
@@ -453,7 +453,10 @@
       headroom: () => new Map(),
       rows: () => ({ wants: new Map(), teams: new Map() }),
     };
-    const scaleOut = { soldOut: () => [], left: () => new Map() };
+    const scaleOut = {
+      soldOutOffers: () => [],
+      remainingByOffer: () => new Map(),
+    };
     const room = new CapacityReport(
       {
         nowMs: 5_000,
