--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -27,7 +27,7 @@
 import { JobAssigner } from "./jobs/job-assigner.js";
 import { JobCancellation } from "./jobs/job-cancellation.js";
 import { JobStatus } from "./jobs/job-status.js";
-import { LeftoversSweep } from "./jobs/leftovers-sweep.js";
+import { EndedJobCleanup } from "./jobs/leftovers-sweep.js";
 import { PendingAssignments } from "./jobs/pending-assignments.js";
 import type { RequestReplies } from "./jobs/request-replies.js";
 import { LeaderlessPartitions } from "./leadership/leaderless-partitions.js";
@@ -92,7 +92,7 @@
   private readonly jobCancellation: JobCancellation;
   private readonly assignments = new PendingAssignments();
   private readonly heartbeats: HeartbeatRouter;
-  private readonly leftoversSweep: LeftoversSweep;
+  private readonly leftoversSweep: EndedJobCleanup;
   private readonly catalogRefresh = new CatalogRefresh(this);
   private readonly cloudAvailabilityLog = new CloudAvailabilityLog(this);
 
@@ -112,7 +112,7 @@
     this.partitionLeaders = new PartitionLeaders(this, this.leadership);
     this.leaders = this.partitionLeaders.byPartition;
     this.heartbeats = new HeartbeatRouter(this, this.leaders, this.leadership);
-    this.leftoversSweep = new LeftoversSweep(
+    this.leftoversSweep = new EndedJobCleanup(
       this,
       this.leaders,
       this.leadership,
@@ -273,7 +273,7 @@
       this.orphanedTasks.tick();
       this.leaderlessPartitions.tick();
     }
-    this.dependencies.act();
+    this.dependencies.processWaitingJobs();
     this.leftoversSweep.tick();
   }
 
@@ -400,7 +400,7 @@
   get statistics(): Statistics {
     return collectStatistics(this, this.leaders, [
       this.watcher.refusals,
-      this.jobStatus.finalStatus,
+      this.jobStatus.finalStatusReader,
     ]);
   }
 
--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -16,7 +16,7 @@
 import { type JobView, ownDueAt } from "../store/job-view.js";
 import { type JobSpec, PRIORITIES } from "../model.js";
 import type { RangeSet } from "./range-set.js";
-import { turnOf } from "./job-partitioner.js";
+import { hashToIndex } from "./job-partitioner.js";
 
 /** Controllers take turns at a job: each acts this much later than the one before. */
 const TURN_INTERVAL_MS = 1_000;
@@ -247,7 +247,7 @@
   // ---- releases and ends ---------------------------------------------------------------------------------
 
   /** Looks up unknown dependencies, releases jobs whose dependencies are done and ends those that are cancelled. */
-  act(): void {
+  processWaitingJobs(): void {
     if (
       this.entries.size === 0 ||
       this.ctx.nowMs - this.checkedMs < CHECK_INTERVAL_MS
@@ -306,7 +306,7 @@
     controllers: readonly string[],
   ): boolean {
     const count = controllers.length;
-    const first = turnOf(waiting.view.id, count);
+    const first = hashToIndex(waiting.view.id, count);
     const self = controllers.indexOf(this.ctx.settings.label);
     const rank = (self - first + count) % count;
     return this.ctx.nowMs - waiting.dueSinceMs >= rank * TURN_INTERVAL_MS;
@@ -387,7 +387,7 @@
       if (outcome !== "ok") return;
       onCommitted();
       this.checkedMs = -Infinity;
-      this.act();
+      this.processWaitingJobs();
     });
   }
 }
--- a/src/coordination/jobs/expected-wait.ts
+++ b/src/coordination/jobs/expected-wait.ts
@@ -5,11 +5,11 @@
 import type { JobSpec, MachineType } from "../model.js";
 import { canRunOn, isSuitable } from "../scheduling/placement.js";
 import {
-  canRent,
+  fastestRentableType,
   type CapablePartition,
   placesOnAllMachines,
-  type PlacesForWhole,
-  waitingBefore,
+  type UndividedJobSlots,
+  backlogAhead,
 } from "./partition-capacity.js";
 
 /** From the request until preempted work has saved its progress and is gone, in seconds. */
@@ -29,7 +29,7 @@
   catalog: readonly MachineType[],
   waiting: number,
 ): number {
-  const rentable = canRent(spec, zones, capacity, catalog);
+  const rentable = fastestRentableType(spec, zones, capacity, catalog);
   if (rentable) return rentable.bootS + RENTAL_OVERHEAD_S + waiting;
   const workS = (waiting + 1) * (spec.estimateS || DEFAULT_ESTIMATE_S);
   return workS / placesOnAllMachines(spec, capacity, catalog);
@@ -39,14 +39,14 @@
 export function expectedWholeWaitS(
   spec: JobSpec,
   { zones }: CapablePartition,
-  places: PlacesForWhole,
+  places: UndividedJobSlots,
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
 ): number {
-  const needed = spec.tasks + waitingBefore(spec, capacity);
-  if (places.now >= needed) return 0;
-  if (places.now >= spec.tasks) return CONTENDED_ROOM_WAIT_S;
-  if (places.yields >= needed) return PREEMPTION_DELAY_S;
+  const needed = spec.tasks + backlogAhead(spec, capacity);
+  if (places.free >= needed) return 0;
+  if (places.free >= spec.tasks) return CONTENDED_ROOM_WAIT_S;
+  if (places.afterPreemption >= needed) return PREEMPTION_DELAY_S;
   const bootTimesS = catalog
     .filter(
       (type) =>
@@ -55,7 +55,7 @@
     )
     .map(({ bootS }) => bootS);
   const rentalS = Math.min(...bootTimesS) + RENTAL_OVERHEAD_S;
-  const lacking = needed - places.soon;
+  const lacking = needed - places.afterRental;
   if (lacking <= 0) return rentalS;
   const workS = lacking * (spec.estimateS || DEFAULT_ESTIMATE_S);
   return rentalS + workS / placesOnAllMachines(spec, capacity, catalog);
--- a/src/coordination/jobs/job-partitioner.ts
+++ b/src/coordination/jobs/job-partitioner.ts
@@ -10,9 +10,9 @@
   backlogKindOf,
   type CapablePartition,
   type PendingAssignment,
-  placesForWhole,
-  placesLeft,
-  waitingBefore,
+  slotsForUndividedJob,
+  availableSlots,
+  backlogAhead,
 } from "./partition-capacity.js";
 import { RangeSet } from "./range-set.js";
 
@@ -37,7 +37,7 @@
 }
 
 /** A fixed shuffle by job id (FNV-1a): equal partitions take turns without a source of chance in the core. */
-export function turnOf(id: string, count: number): number {
+export function hashToIndex(id: string, count: number): number {
   let hash = FNV_OFFSET_BASIS;
   for (const character of id)
     hash = Math.imul(hash ^ character.charCodeAt(0), FNV_PRIME) >>> 0;
@@ -45,7 +45,7 @@
 }
 
 /** An assignment with these tasks of one partition given to another. */
-export function reassigned(
+export function reassignTasks(
   assignment: ReadonlyMap<string, RangeSet>,
   from: string,
   tasks: RangeSet,
@@ -77,7 +77,7 @@
   pending: ReadonlyMap<string, readonly PendingAssignment[]>,
 ): Map<string, RangeSet> {
   const view: CapacityView = { capacities, catalog, isShort, pending };
-  const start = turnOf(spec.id, capable.length);
+  const start = hashToIndex(spec.id, capable.length);
   const weighted = [...capable.slice(start), ...capable.slice(0, start)].map(
     (partition) => weighPartition(spec, partition, view),
   );
@@ -97,7 +97,7 @@
 ): WeightedPartition {
   const capacity = capacities.get(partition.partition);
   const assigned = pending.get(partition.partition) ?? [];
-  let waiting = waitingBefore(spec, capacity);
+  let waiting = backlogAhead(spec, capacity);
   for (const other of assigned)
     if (backlogKindOf(other.spec) === backlogKindOf(spec))
       waiting += other.tasks;
@@ -110,7 +110,7 @@
   );
   return {
     ...partition,
-    room: placesLeft(spec, capacity, catalog, isShort, assigned),
+    room: availableSlots(spec, capacity, catalog, isShort, assigned),
     speed: 1 / waitS,
     limit: maxTasksPerZone(spec) * partition.zones.length,
   };
@@ -151,7 +151,7 @@
   const rated = (sufficient.length > 0 ? sufficient : weighted).map(
     (candidate) => {
       const capacity = capacities.get(candidate.partition);
-      const places = placesForWhole(
+      const places = slotsForUndividedJob(
         spec,
         candidate.zones,
         capacity,
@@ -166,7 +166,7 @@
         capacity,
         catalog,
       );
-      return { candidate, now: places.now, waitS };
+      return { candidate, now: places.free, waitS };
     },
   );
   rated.sort(
--- a/src/coordination/jobs/job-status.ts
+++ b/src/coordination/jobs/job-status.ts
@@ -23,13 +23,13 @@
 }
 
 export class JobStatus {
-  readonly finalStatus: FinalStatusReader;
+  readonly finalStatusReader: FinalStatusReader;
 
   constructor(
     private readonly ctx: Context,
     private readonly ports: JobStatusPorts,
   ) {
-    this.finalStatus = new FinalStatusReader(
+    this.finalStatusReader = new FinalStatusReader(
       ctx,
       (call, priority, done) => ports.callStore(call, priority, done),
       (id, finalRecord) => this.onFinalRecord(id, finalRecord),
@@ -38,7 +38,7 @@
 
   /** Looks up the final record of a job; what is found goes to the cache and the dependency tracker. */
   lookUpFinalRecord(id: string): void {
-    this.finalStatus.ask(id, () => {});
+    this.finalStatusReader.lookUp(id, () => {});
   }
 
   /** Takes note that a job is over. */
@@ -64,7 +64,7 @@
   ): void {
     const known = this.ctx.cache.finalRecords.get(id);
     if (known) return next(known);
-    this.finalStatus.ask(id, (finalRecord, failed) =>
+    this.finalStatusReader.lookUp(id, (finalRecord, failed) =>
       failed === null
         ? next(finalRecord)
         : this.ports.replies.retryLater(request, failed),
--- a/src/coordination/jobs/leftovers-sweep.ts
+++ b/src/coordination/jobs/leftovers-sweep.ts
@@ -7,7 +7,7 @@
 const SWEEP_INTERVAL_MS = 5_000;
 
 /** Sweeps under the fencing token of the controller's home partition, while it leads that. */
-export class LeftoversSweep {
+export class EndedJobCleanup {
   private lastSweepMs = 0;
 
   constructor(
--- a/src/coordination/jobs/partition-capacity.ts
+++ b/src/coordination/jobs/partition-capacity.ts
@@ -94,7 +94,7 @@
 }
 
 /** Tasks that wait in a partition and come before a job or beside it: lower priorities do not keep it waiting. */
-export function waitingBefore(
+export function backlogAhead(
   spec: JobSpec,
   capacity: CapacityRecord | undefined,
 ): number {
@@ -115,7 +115,7 @@
   spec.gpus > 0 ? "accelerated" : "plain";
 
 /** Tasks of a job that a partition can start at once, less what was assigned to it since it wrote its record. */
-export function placesLeft(
+export function availableSlots(
   spec: JobSpec,
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
@@ -129,29 +129,37 @@
 }
 
 /** Tasks of a job that a partition can start: now, once lower priorities are preempted, and once machines are rented too. */
-export interface PlacesForWhole {
-  now: number;
-  yields: number;
-  soon: number;
+export interface UndividedJobSlots {
+  free: number;
+  afterPreemption: number;
+  afterRental: number;
 }
 
 /**
  * Places for a job that is not divided, less what was assigned to the partition since it wrote its record. With
  * `samePlace` one zone must hold all tasks, so the best zone counts and zones are not added up.
  */
-export function placesForWhole(
+export function slotsForUndividedJob(
   spec: JobSpec,
   zones: readonly string[],
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
   isShort: boolean,
   pending: readonly PendingAssignment[] = [],
-): PlacesForWhole {
-  const best: PlacesForWhole = { now: 0, yields: 0, soon: 0 };
-  const sum: PlacesForWhole = { now: 0, yields: 0, soon: 0 };
+): UndividedJobSlots {
+  const best: UndividedJobSlots = {
+    free: 0,
+    afterPreemption: 0,
+    afterRental: 0,
+  };
+  const sum: UndividedJobSlots = {
+    free: 0,
+    afterPreemption: 0,
+    afterRental: 0,
+  };
   for (const zone of zones) {
     const inZone = placesInZone(spec, zone, capacity, catalog, isShort);
-    for (const when of ["now", "yields", "soon"] as const) {
+    for (const when of ["free", "afterPreemption", "afterRental"] as const) {
       sum[when] += inZone[when];
       best[when] = Math.max(best[when], inZone[when]);
     }
@@ -159,9 +167,9 @@
   const places = spec.samePlace ? best : sum;
   const taken = pendingTasksOf(spec, pending);
   return {
-    now: Math.max(0, places.now - taken),
-    yields: Math.max(0, places.yields - taken),
-    soon: Math.max(0, places.soon - taken),
+    free: Math.max(0, places.free - taken),
+    afterPreemption: Math.max(0, places.afterPreemption - taken),
+    afterRental: Math.max(0, places.afterRental - taken),
   };
 }
 
@@ -171,7 +179,7 @@
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
   isShort: boolean,
-): PlacesForWhole {
+): UndividedJobSlots {
   const rows = capacity?.rows.filter((row) => row.zone === zone) ?? [];
   const now = capacity
     ? placesFor(spec, { ...capacity, rows }, catalog, isShort)
@@ -185,7 +193,7 @@
       capacity?.left.get(key) ?? (soldOut.has(key) ? 0 : Infinity);
     if (machines > 0) soon += machines * fitCount(spec, type);
   }
-  return { now, yields, soon };
+  return { free: now, afterPreemption: yields, afterRental: soon };
 }
 
 /** A machine type at its ordinary or its spot price. */
@@ -223,7 +231,7 @@
 }
 
 /** Of the machine types that a partition may rent for a job and did not find sold out lately, the one that boots first. */
-export function canRent(
+export function fastestRentableType(
   spec: JobSpec,
   zones: readonly string[],
   capacity: CapacityRecord | undefined,
--- a/src/coordination/leadership/leaderless-partitions.ts
+++ b/src/coordination/leadership/leaderless-partitions.ts
@@ -9,7 +9,7 @@
   CLOCK_DRIFT_FACTOR,
   STALE_CACHE_MS,
 } from "../context.js";
-import { turnOf } from "../jobs/job-partitioner.js";
+import { hashToIndex } from "../jobs/job-partitioner.js";
 import type { Leadership } from "./leadership.js";
 
 /** Beyond a worker lease and the drift of clocks, until whatever a former leader started has surely ended. */
@@ -122,7 +122,7 @@
   private acquisitionDelayMs(partition: string): number {
     const { names } = this.ctx.partitions;
     const ownIndex = names.indexOf(this.ctx.settings.label);
-    const firstIndex = turnOf(partition, names.length);
+    const firstIndex = hashToIndex(partition, names.length);
     const turn = (ownIndex - firstIndex + names.length) % names.length;
     return ABSENT_BEFORE_ACQUIRING_MS + turn * TURN_INTERVAL_MS;
   }
--- a/src/coordination/leadership/orphaned-tasks.ts
+++ b/src/coordination/leadership/orphaned-tasks.ts
@@ -17,7 +17,7 @@
   StoreView,
 } from "../context.js";
 import { CallPriority } from "../effects.js";
-import { reassigned } from "../jobs/job-partitioner.js";
+import { reassignTasks } from "../jobs/job-partitioner.js";
 import { capablePartitions } from "../jobs/partition-capacity.js";
 import type { RangeSet } from "../jobs/range-set.js";
 import type { JobSpec } from "../model.js";
@@ -108,7 +108,9 @@
 
   private plan(job: JobView, part: OrphanedPart): Reassignment | null {
     const tasks = part.tasks.clone();
-    const completed = this.ctx.cache.finished(job.id).get(part.partition);
+    const completed = this.ctx.cache
+      .finishedByPartition(job.id)
+      .get(part.partition);
     if (completed) tasks.removeAll(completed);
     const newAssignment = this.partitionJob(job.spec);
     if (!newAssignment) return null;
@@ -116,7 +118,7 @@
       ? this.partitionForGangPart(job, tasks.size, newAssignment)
       : largestPartition(newAssignment);
     if (to === undefined) return null;
-    const assignment = reassigned(job.assignment, part.partition, tasks, to);
+    const assignment = reassignTasks(job.assignment, part.partition, tasks, to);
     assignment.delete(part.partition);
     return { to, tasks, value: writeJob({ ...job, assignment }) };
   }
--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -156,7 +156,9 @@
     const known = this.state.jobs.get(view.id);
     if (!known && assigned.isEmpty) return;
     const job = known ?? this.addJob(view, predatesLeader);
-    const written = this.ctx.cache.finished(view.id).get(this.partition);
+    const written = this.ctx.cache
+      .finishedByPartition(view.id)
+      .get(this.partition);
     if (written) {
       job.writtenFinished.addAll(written);
       job.finished.addAll(written);
@@ -166,7 +168,10 @@
       job.pendingTransfer = null;
     job.assigned = assigned.clone();
     // A gang's tasks complete together, in whichever partition it was seen first.
-    if (view.spec.kind === "gang" && this.ctx.cache.finished(view.id).size > 0)
+    if (
+      view.spec.kind === "gang" &&
+      this.ctx.cache.finishedByPartition(view.id).size > 0
+    )
       job.finished.addAll(job.assigned);
     this.state.recomputeWaiting(job);
     this.completion.writeProgress(job);
--- a/src/coordination/scheduling/rebalancer.ts
+++ b/src/coordination/scheduling/rebalancer.ts
@@ -20,15 +20,15 @@
 import { isShort } from "./scheduling-round.js";
 import type { RangeSet } from "../jobs/range-set.js";
 import type { ScaleOut } from "../machines/scale-out.js";
-import { reassigned } from "../jobs/job-partitioner.js";
+import { reassignTasks } from "../jobs/job-partitioner.js";
 import {
-  canRent,
+  fastestRentableType,
   capablePartitions,
   type PendingAssignment,
   backlogKindOf,
-  placesLeft,
-  waitingBefore,
-  placesForWhole,
+  availableSlots,
+  backlogAhead,
+  slotsForUndividedJob,
 } from "../jobs/partition-capacity.js";
 import type { JobRun } from "../machines/worker-state.js";
 
@@ -175,8 +175,8 @@
       )
         continue;
       if (capacity.queue[backlogKindOf(spec)] > 0) continue;
-      if (!canRent(spec, zones, capacity, catalog)) continue;
-      const { soon } = placesForWhole(
+      if (!fastestRentableType(spec, zones, capacity, catalog)) continue;
+      const { afterRental: soon } = slotsForUndividedJob(
         spec,
         zones,
         capacity,
@@ -229,7 +229,9 @@
     const queued = capacity.queue[backlogKindOf(spec)];
     if (queued > 0 && this.waitedMs(job) < LONG_WAIT_MS) return 0;
     const catalog = this.ctx.catalog ?? [];
-    return placesLeft(spec, capacity, catalog, usesReserved, pending) - queued;
+    return (
+      availableSlots(spec, capacity, catalog, usesReserved, pending) - queued
+    );
   }
 
   /**
@@ -244,7 +246,7 @@
     pending: readonly PendingAssignment[] | undefined,
   ): number {
     const { spec } = job.view;
-    const places = placesForWhole(
+    const places = slotsForUndividedJob(
       spec,
       this.zonesFor(spec, partition),
       capacity,
@@ -252,11 +254,11 @@
       usesReserved,
       pending,
     );
-    return places.now < spec.tasks &&
+    return places.free < spec.tasks &&
       this.waitedMs(job) > PREEMPT_ELSEWHERE_AFTER_MS &&
-      waitingBefore(spec, capacity) === 0
-      ? places.yields
-      : places.now;
+      backlogAhead(spec, capacity) === 0
+      ? places.afterPreemption
+      : places.free;
   }
 
   /**
@@ -295,7 +297,7 @@
       if (this.partition.ledger.hasUnconfirmed(job.id, index)) return;
     const value = writeJob({
       ...job.view,
-      assignment: reassigned(
+      assignment: reassignTasks(
         job.view.assignment,
         this.partition.partition,
         tasks,
--- a/src/coordination/statistics.ts
+++ b/src/coordination/statistics.ts
@@ -57,9 +57,9 @@
 /** Queries that a queue has refused. */
 interface Refusals {
   /** How many so far. */
-  refused: number;
+  refusedCount: number;
   /** Since when the job has been refused that was refused longest, in steady time; null: none is. */
-  oldestMs: number | null;
+  longestRefusedSinceMs: number | null;
 }
 
 type StatisticsContext = Clock & Configuration & StoreView;
@@ -71,7 +71,7 @@
   refusals: readonly Refusals[],
 ): Statistics {
   const oldestMs = Math.min(
-    ...refusals.map((queue) => queue.oldestMs ?? Infinity),
+    ...refusals.map((queue) => queue.longestRefusedSinceMs ?? Infinity),
   );
   const statistics: Statistics = {
     unfinishedJobs: ctx.cache.jobs.size,
@@ -86,7 +86,10 @@
     overtakenHeartbeats: 0,
     quarantinedJobs: 0,
     longestGangWaitS: 0,
-    refusedQueries: refusals.reduce((sum, { refused }) => sum + refused, 0),
+    refusedQueries: refusals.reduce(
+      (sum, { refusedCount: refused }) => sum + refused,
+      0,
+    ),
     longestRefusalS: oldestMs === Infinity ? 0 : (ctx.nowMs - oldestMs) / 1000,
   };
   for (const leader of leaders.values()) {
--- a/src/coordination/store-event-handler.ts
+++ b/src/coordination/store-event-handler.ts
@@ -26,7 +26,7 @@
   handle(events: readonly StoreEvent[]): void {
     for (const event of events) this.handleOne(event);
     this.targets.leaders.update();
-    this.targets.dependencies.act();
+    this.targets.dependencies.processWaitingJobs();
   }
 
   private handleOne(event: StoreEvent): void {
--- a/src/coordination/store/fair-queue.ts
+++ b/src/coordination/store/fair-queue.ts
@@ -24,7 +24,7 @@
   /** By job, until one of its questions is answered; in the order of `sinceMs`. */
   private readonly refusals = new Map<string, Refusals>();
   /** Questions refused so far. */
-  refused = 0;
+  refusedCount = 0;
 
   constructor(private readonly capacity: number) {}
 
@@ -49,7 +49,7 @@
 
   /** Notes that a question was refused, for whatever reason, and returns it. */
   refuse(item: T, nowMs: number): T {
-    this.refused++;
+    this.refusedCount++;
     const known = this.refusals.get(item.id);
     if (known) known.lastMs = nowMs;
     else this.rememberRefusal(item.id, nowMs);
@@ -82,7 +82,7 @@
    * Since when (steady time, ms) the job that has been refused longest is refused; null: there is none. A job that nobody
    * asks about any more is forgotten.
    */
-  oldestMs(nowMs: number): number | null {
+  longestRefusedSinceMs(nowMs: number): number | null {
     for (const [id, { sinceMs, lastMs }] of this.refusals) {
       if (nowMs - lastMs < REFUSAL_FORGOTTEN_MS) return sinceMs;
       this.refusals.delete(id);
--- a/src/coordination/store/final-status-reader.ts
+++ b/src/coordination/store/final-status-reader.ts
@@ -48,7 +48,7 @@
   ) {}
 
   /** Reads the final record of a job, and answers with it or with the reason why it can't be known now. */
-  ask(id: string, done: OnFinalStatus): void {
+  lookUp(id: string, done: OnFinalStatus): void {
     const question = { id, askedMs: this.ctx.nowMs, done };
     if (this.start(question)) return;
     const refused = this.waiting.add(question, this.ctx.nowMs);
@@ -56,13 +56,13 @@
   }
 
   /** Questions refused so far. */
-  get refused(): number {
-    return this.waiting.refused;
+  get refusedCount(): number {
+    return this.waiting.refusedCount;
   }
 
   /** Since when (steady time, ms) the job that has been refused longest is refused; null: there is none. */
-  get oldestMs(): number | null {
-    return this.waiting.oldestMs(this.ctx.nowMs);
+  get longestRefusedSinceMs(): number | null {
+    return this.waiting.longestRefusedSinceMs(this.ctx.nowMs);
   }
 
   /** Joins the read of this job that is in flight, or begins one; false: there are as many as there may be. */
--- a/src/coordination/store/indeterminate-transactions.ts
+++ b/src/coordination/store/indeterminate-transactions.ts
@@ -43,7 +43,7 @@
   }
 
   /** Which of them these changes show. A newer value of the same key says nothing more of the transaction: it is forgotten. */
-  foundIn(changes: readonly Change[], nowMs: number): AppliedTransaction[] {
+  takeApplied(changes: readonly Change[], nowMs: number): AppliedTransaction[] {
     const found: AppliedTransaction[] = [];
     if (this.putsByKey.size === 0) return found;
     for (const change of changes) {
--- a/src/coordination/store/store-cache.ts
+++ b/src/coordination/store/store-cache.ts
@@ -100,7 +100,7 @@
   private readonly ownCommits = new Map<string, number>();
 
   /** Finished tasks of a job by partition, as far as they are written. */
-  finished(id: string): ReadonlyMap<string, RangeSet> {
+  finishedByPartition(id: string): ReadonlyMap<string, RangeSet> {
     return this.progress.finished(id);
   }
 
@@ -112,7 +112,8 @@
   /** The finished tasks of a job in all partitions, as a new set. */
   allFinished(id: string): RangeSet {
     const all = RangeSet.empty();
-    for (const tasks of this.finished(id).values()) all.addAll(tasks);
+    for (const tasks of this.finishedByPartition(id).values())
+      all.addAll(tasks);
     return all;
   }
 
--- a/src/coordination/store/store-watcher.ts
+++ b/src/coordination/store/store-watcher.ts
@@ -153,10 +153,13 @@
   }
 
   /** Questions refused so far, and since when (steady time, ms) the job that has been refused longest is; null: none. */
-  get refusals(): { refused: number; oldestMs: number | null } {
+  get refusals(): {
+    refusedCount: number;
+    longestRefusedSinceMs: number | null;
+  } {
     return {
-      refused: this.waiting.refused,
-      oldestMs: this.waiting.oldestMs(this.ctx.nowMs),
+      refusedCount: this.waiting.refusedCount,
+      longestRefusedSinceMs: this.waiting.longestRefusedSinceMs(this.ctx.nowMs),
     };
   }
 
--- a/src/coordination/transactions.ts
+++ b/src/coordination/transactions.ts
@@ -55,7 +55,7 @@
 
   /** Logs those transactions without an answer that these changes show to have been carried out. */
   logLateTransactions(changes: readonly Change[]): void {
-    for (const late of this.indeterminate.foundIn(changes, this.ctx.nowMs))
+    for (const late of this.indeterminate.takeApplied(changes, this.ctx.nowMs))
       this.ctx.log("indeterminate transaction was applied", late);
   }
 
--- a/test/coordination/machines/scale-out.test.ts
+++ b/test/coordination/machines/scale-out.test.ts
@@ -19,7 +19,7 @@
 import { ScaleOut } from "../../../src/coordination/machines/scale-out.js";
 import type { QuotaAllocator } from "../../../src/coordination/quota/index.js";
 import { partitionJob } from "../../../src/coordination/jobs/job-partitioner.js";
-import { placesForWhole } from "../../../src/coordination/jobs/partition-capacity.js";
+import { slotsForUndividedJob } from "../../../src/coordination/jobs/partition-capacity.js";
 import {
   type JobRun,
   newJobRun,
@@ -476,10 +476,18 @@
     rows: [...room("a", 10, 20).rows, ...room("b", 10, 20).rows],
     ...none,
   };
-  assert.equal(placesForWhole(spec, ["a", "b"], both, TYPES, true).now, 10);
   assert.equal(
-    placesForWhole({ ...spec, samePlace: false }, ["a", "b"], both, TYPES, true)
-      .now,
+    slotsForUndividedJob(spec, ["a", "b"], both, TYPES, true).free,
+    10,
+  );
+  assert.equal(
+    slotsForUndividedJob(
+      { ...spec, samePlace: false },
+      ["a", "b"],
+      both,
+      TYPES,
+      true,
+    ).free,
     20,
   );
 });
--- a/test/scenarios/concurrent-queries.test.ts
+++ b/test/scenarios/concurrent-queries.test.ts
@@ -15,8 +15,8 @@
 
 test("guard: that a job is unknown is told only by a read of its final record", () => {
   expectDetected(closeQuestions, [1, 2], "forgotten", () => {
-    const before = FinalStatusReader.prototype.ask;
-    FinalStatusReader.prototype.ask = (_id, done) => done(null, null);
-    return () => (FinalStatusReader.prototype.ask = before);
+    const before = FinalStatusReader.prototype.lookUp;
+    FinalStatusReader.prototype.lookUp = (_id, done) => done(null, null);
+    return () => (FinalStatusReader.prototype.lookUp = before);
   });
 });
--- a/test/simulation/failure-scenarios.test.ts
+++ b/test/simulation/failure-scenarios.test.ts
@@ -313,7 +313,7 @@
     () => {},
   );
   const ask = (who: string, id = "req-1"): void =>
-    l.ask(id, (p, failed) =>
+    l.lookUp(id, (p, failed) =>
       told.push(`${who} ${failed ?? p?.status ?? "unknown"}`),
     );
   ask("a");
