--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -151,7 +151,7 @@
       onStoreLeaseLost: () => this.partitionLeaders.dropAll(),
       onLeadershipChanged: () => this.partitionLeaders.update(),
       isUnreachable: (partition) =>
-        this.leaders.get(partition)?.state.unreachableIn() ?? false,
+        this.leaders.get(partition)?.state.isMostlyUnreachable() ?? false,
     });
   }
 
@@ -211,7 +211,7 @@
     this.wallMs = wallMs;
     this.dispatch(input);
     for (const leader of this.leaders.values()) {
-      leader.place();
+      leader.runSchedulingRound();
       leader.sendCommands();
     }
     const effects = this.effects;
--- a/src/coordination/jobs/job-assigner.ts
+++ b/src/coordination/jobs/job-assigner.ts
@@ -53,9 +53,9 @@
     const capacities = new Map(this.ctx.cache.capacities);
     const pending = new Map(this.ctx.pendingAssignments);
     for (const [partition, leader] of this.leaders) {
-      const recent = leader.capacity.recent();
-      capacities.set(partition, recent.room);
-      pending.set(partition, recent.handed);
+      const recent = leader.capacityReport.recent();
+      capacities.set(partition, recent.capacity);
+      pending.set(partition, recent.pendingAssignments);
     }
     return { capacities, pending };
   }
@@ -66,7 +66,7 @@
   ): void {
     for (const [partition, tasks] of assignment) {
       const leader = this.leaders.get(partition);
-      if (leader) leader.capacity.notePendingAssignment(spec, tasks.size);
+      if (leader) leader.capacityReport.notePendingAssignment(spec, tasks.size);
       else this.ctx.notePendingAssignment(partition, spec, tasks.size);
     }
   }
--- a/src/coordination/machines/command-sender.ts
+++ b/src/coordination/machines/command-sender.ts
@@ -30,8 +30,8 @@
 
   /** Sends commands that workers have not received yet, one message to each; the rest waits for their heartbeats. */
   sendUndelivered(): void {
-    for (const worker of this.state.undelivered) {
-      this.state.undelivered.delete(worker);
+    for (const worker of this.state.workersWithPendingCommands) {
+      this.state.workersWithPendingCommands.delete(worker);
       if (!this.maySend(worker)) continue;
       const commands = this.commandsFor(worker).filter((command) =>
         mayBeSentDirectly(worker, command),
--- a/src/coordination/machines/heartbeat-router.ts
+++ b/src/coordination/machines/heartbeat-router.ts
@@ -9,7 +9,7 @@
 
 /** What answers the heartbeats of a partition. */
 interface HeartbeatHandler {
-  heartbeat(heartbeat: Heartbeat): Answer;
+  handleHeartbeat(heartbeat: Heartbeat): Answer;
 }
 
 /** Answers heartbeats of led partitions, and sends the others where they belong. */
@@ -30,7 +30,7 @@
     const leader = this.leaders.get(partition);
     if (!leader) return this.redirect(heartbeat, partition, relayed);
     return this.leadership.mayAct()
-      ? leader.heartbeat(heartbeat)
+      ? leader.handleHeartbeat(heartbeat)
       : { kind: "retryLater", afterS: 1, reason: "no permit" };
   }
 
--- a/src/coordination/machines/machine-returns.ts
+++ b/src/coordination/machines/machine-returns.ts
@@ -109,7 +109,7 @@
       this.pending.delete(id);
       this.returnedMs.set(id, this.context.nowMs);
     }
-    this.state.machinesGone(ids);
+    this.state.removeMachines(ids);
   }
 
   private retry(ids: readonly string[]): void {
--- a/src/coordination/machines/scale-in.ts
+++ b/src/coordination/machines/scale-in.ts
@@ -187,7 +187,7 @@
   /** Machines that report but receive nothing, a few at a time. */
   private returnUnreachable(): void {
     const unreachable = this.state.unreachableMachines();
-    const beingReplaced = this.state.unreachableBeingReplaced();
+    const beingReplaced = this.state.maxConcurrentReplacements();
     for (const worker of unreachable.slice(0, beingReplaced)) {
       const sinceMs = worker.delivery.unreachableSinceMs;
       if (sinceMs !== null && this.isSilentReturnDue(sinceMs))
--- a/src/coordination/machines/scale-out.ts
+++ b/src/coordination/machines/scale-out.ts
@@ -173,7 +173,7 @@
       )
         yield offerOf(worker);
     const unreachable = this.state.unreachableMachines();
-    const beingReplaced = this.state.unreachableBeingReplaced();
+    const beingReplaced = this.state.maxConcurrentReplacements();
     yield* unreachable.slice(beingReplaced).map(offerOf);
   }
 }
--- a/src/coordination/quota/quota-allocator.ts
+++ b/src/coordination/quota/quota-allocator.ts
@@ -336,7 +336,7 @@
   private confirmedUse(team: string): ResourceAmounts | null {
     if (this.state.isFenced) return null;
     const unconfirmed = this.state.ledger.unconfirmedUseOfTeam(team);
-    const unshown = this.state.useWithoutToken(team);
+    const unshown = this.state.useReportedUnderOtherTokens(team);
     const use = this.state.ledger.useOfTeam(team);
     return [
       use.cpus - unconfirmed.cpus - unshown.cpus,
--- a/src/coordination/quota/quota-demand.ts
+++ b/src/coordination/quota/quota-demand.ts
@@ -14,7 +14,7 @@
   maxTasksPerZone,
   startsWhole,
 } from "../scheduling/placement.js";
-import { isShort, turnAt } from "../scheduling/scheduling-round.js";
+import { isShort, queueOrderMs } from "../scheduling/scheduling-round.js";
 import { isSpreadOverPartitions } from "../scheduling/spread-gangs.js";
 import { freeOn, type JobRun } from "../machines/worker-state.js";
 import type { ResourceAmounts } from "./resource-amounts.js";
@@ -109,7 +109,7 @@
   private turnOf(job: JobRun): number {
     const { readyAt, spec } = job.view;
     return this.context.tuning.fleetOrder
-      ? turnAt(readyAt, spec, this.state.unfinishedTasks(job))
+      ? queueOrderMs(readyAt, spec, this.state.unfinishedTasks(job))
       : readyAt;
   }
 
--- a/src/coordination/scheduling/capacity-report.ts
+++ b/src/coordination/scheduling/capacity-report.ts
@@ -187,29 +187,32 @@
   }
 
   /** For splits: the room as it was a moment ago, and what splits have handed to the group since. */
-  recent(): { room: CapacityRecord; handed: readonly PendingAssignment[] } {
+  recent(): {
+    capacity: CapacityRecord;
+    pendingAssignments: readonly PendingAssignment[];
+  } {
     if (
       !this.recentReport ||
       this.ctx.nowMs - this.recentReport.atMs >= REUSE_MS
     )
       this.recentReport = {
         atMs: this.ctx.nowMs,
-        room: this.current(),
-        handed: [],
+        capacity: this.current(),
+        pendingAssignments: [],
       };
     return this.recentReport;
   }
   notePendingAssignment(spec: JobSpec, tasks: number): void {
-    this.recentReport?.handed.push({ spec, tasks });
+    this.recentReport?.pendingAssignments.push({ spec, tasks });
   }
   private recentReport: {
     atMs: number;
-    room: CapacityRecord;
-    handed: PendingAssignment[];
+    capacity: CapacityRecord;
+    pendingAssignments: PendingAssignment[];
   } | null = null;
 
   /** What is written of it: what fits a value. Running counts give way first, then the smallest kinds of free room. */
-  fitted(): CapacityRecord {
+  currentWithinSizeLimit(): CapacityRecord {
     const all = this.current();
     const rows = all.rows.sort((x, y) => y.machines - x.machines);
     const record: CapacityRecord & { rows: CapacityRow[] } = {
@@ -268,7 +271,7 @@
   writeIfChanged(): void {
     if (this.busy || this.ctx.nowMs - this.writtenMs < WRITE_INTERVAL_MS)
       return;
-    const value = writeCapacity(this.fitted());
+    const value = writeCapacity(this.currentWithinSizeLimit());
     const text = JSON.stringify(value);
     if (text === this.written) return;
     this.writtenMs = this.ctx.nowMs;
--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -59,7 +59,7 @@
   private readonly shortfallLog: GuaranteeShortfallLog;
   private readonly scheduler: Scheduler;
   private readonly completion: JobCompletion;
-  readonly capacity: CapacityReport;
+  readonly capacityReport: CapacityReport;
   private readonly deliveries: DeliveryTracker;
   private readonly reconciliation: Reconciliation;
   private readonly contradictions: RateLimitedLog;
@@ -112,7 +112,7 @@
       this.completion,
       failures,
     );
-    this.capacity = new CapacityReport(ctx, state, this.quota, scaleOut);
+    this.capacityReport = new CapacityReport(ctx, state, this.quota, scaleOut);
     this.inspection = new MachineInspection(
       ctx,
       state,
@@ -202,7 +202,7 @@
    * Takes over the status of the tasks on a machine and answers with the commands for it. May only be called while the
    * leadership lease is valid.
    */
-  heartbeat(heartbeat: Heartbeat): Answer {
+  handleHeartbeat(heartbeat: Heartbeat): Answer {
     const known = this.state.workers.get(heartbeat.worker);
     const untimely = known
       ? this.answerToUntimely(known, heartbeat)
@@ -220,7 +220,7 @@
       this.state.needsScheduling = true;
     if (this.deliveries.mayProbe(worker)) this.inspection.inspect(worker);
     this.scheduler.runRound();
-    this.state.undelivered.delete(worker);
+    this.state.workersWithPendingCommands.delete(worker);
     return this.answerWithCommands(worker);
   }
 
@@ -399,7 +399,7 @@
   }
 
   /** Runs a scheduling round if something has changed that calls for one. */
-  place(): void {
+  runSchedulingRound(): void {
     this.scheduler.runRound();
   }
 
@@ -421,7 +421,7 @@
     this.quota.tick(limitsAgreed);
     this.shortfallLog.tick();
     this.autoscaler.tick();
-    this.capacity.writeIfChanged();
+    this.capacityReport.writeIfChanged();
   }
 }
 
--- a/src/coordination/scheduling/partition-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -66,7 +66,7 @@
   /** Something changed that placement depends on. */
   needsScheduling = true;
   /** Machines with commands that were not sent to them yet. */
-  readonly undelivered = new Set<Worker>();
+  readonly workersWithPendingCommands = new Set<Worker>();
   /** Machines whose free resources a gang reserved in the last scheduling round. */
   readonly reservedForGangs = new Set<Worker>();
   /** What a former leader may have left running; null: all of it is accounted for. */
@@ -162,7 +162,7 @@
   stop(task: TaskRun, graceS: number, why: string): void {
     if (task.stop && task.stop.graceS <= graceS) return;
     task.stop = { graceS, reason: why };
-    this.undelivered.add(task.worker);
+    this.workersWithPendingCommands.add(task.worker);
     this.ctx.log("stopping task", {
       task: taskKey(task.job.id, task.index),
       worker: task.worker.id,
@@ -241,7 +241,7 @@
    * What a team uses by the word of machines that have not shown this leader's token: a heartbeat of a former incarnation, or of a
    * machine that is gone, may come late and name tasks that nobody runs any more.
    */
-  useWithoutToken(team: string): ResourceUse {
+  useReportedUnderOtherTokens(team: string): ResourceUse {
     const use: ResourceUse = { cpus: 0, gpus: 0 };
     for (const { token, tasks } of this.workers.values()) {
       if (token === this.token) continue;
@@ -304,7 +304,7 @@
   }
 
   /** Whether most of its workers have not been heard of for longer than a heartbeat and its retry take. */
-  unreachableIn(): boolean {
+  isMostlyUnreachable(): boolean {
     const limitMs = maxHeartbeatGapMs(this.ctx.settings.reportS);
     let silent = 0;
     let total = 0;
@@ -334,7 +334,7 @@
   }
 
   /** How many unreachable machines may be replaced at a time. */
-  unreachableBeingReplaced(): number {
+  maxConcurrentReplacements(): number {
     return Math.max(1, Math.ceil(this.workers.size * MAX_REPLACED_SHARE));
   }
 
@@ -435,7 +435,7 @@
   }
 
   /** The cloud has said that these machines are gone, with everything on them. */
-  machinesGone(ids: readonly string[]): void {
+  removeMachines(ids: readonly string[]): void {
     for (const id of ids) {
       const worker = this.workers.get(id);
       if (worker) {
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -62,7 +62,7 @@
 export class Scheduler {
   /** Rounds made: tests see by it that heartbeats alone cause none. */
   rounds = 0;
-  private readonly longQueueTurn = { sinceLong: 0 };
+  private readonly longQueueTurn = { shortTasksSinceLong: 0 };
   private lastRoundMs = -Infinity;
   private readonly attempts: AttemptSequence;
   private readonly gangAssembly: GangAssembly;
@@ -370,6 +370,6 @@
       attempt,
       worker: worker.id,
     });
-    this.partition.undelivered.add(worker);
+    this.partition.workersWithPendingCommands.add(worker);
   }
 }
--- a/src/coordination/scheduling/scheduling-round.ts
+++ b/src/coordination/scheduling/scheduling-round.ts
@@ -84,11 +84,14 @@
   spec,
   remainingTasks,
 }: QueuedJob): number =>
-  turnAt(effectivePriority.readyAt, spec, remainingTasks);
+  queueOrderMs(effectivePriority.readyAt, spec, remainingTasks);
 
 /** Whose turn it is, as a time of day in ms: age, less the work that is still to be done. */
-export const turnAt = (readyAt: number, spec: JobSpec, tasks: number): number =>
-  readyAt + spec.estimateS * tasks * MS_PER_S;
+export const queueOrderMs = (
+  readyAt: number,
+  spec: JobSpec,
+  tasks: number,
+): number => readyAt + spec.estimateS * tasks * MS_PER_S;
 
 const MS_PER_S = 1_000;
 /** Nothing is put back for being late for longer than this. */
@@ -204,7 +207,7 @@
   constructor(
     jobs: Iterable<T>,
     private readonly tuning: Tuning,
-    private readonly longQueueTurn: { sinceLong: number },
+    private readonly longQueueTurn: { shortTasksSinceLong: number },
     rankOf: TeamRank | null = null,
   ) {
     this.short = new TeamQueue(rankOf);
@@ -220,7 +223,7 @@
     if (this.long.isEmpty) return false;
     return (
       this.short.isEmpty ||
-      this.longQueueTurn.sinceLong >= this.tuning.longEvery - 1
+      this.longQueueTurn.shortTasksSinceLong >= this.tuning.longEvery - 1
     );
   }
 
@@ -245,15 +248,18 @@
       return this.short.isEmpty ? Infinity : 1;
     return this.long.isEmpty
       ? Infinity
-      : Math.max(1, this.tuning.longEvery - 1 - this.longQueueTurn.sinceLong);
+      : Math.max(
+          1,
+          this.tuning.longEvery - 1 - this.longQueueTurn.shortTasksSinceLong,
+        );
   }
 
   /** So many tasks of the head were served. */
   served(tasks: number): void {
-    this.longQueueTurn.sinceLong =
+    this.longQueueTurn.shortTasksSinceLong =
       this.currentQueue === this.long
         ? 0
-        : this.longQueueTurn.sinceLong + tasks;
+        : this.longQueueTurn.shortTasksSinceLong + tasks;
   }
 
   /** The head can't go on in this round. */
--- a/src/coordination/scheduling/spread-gangs.ts
+++ b/src/coordination/scheduling/spread-gangs.ts
@@ -14,10 +14,14 @@
   attempt: number;
   revision: number;
   /** By partition: the attempt that it is ready to follow. */
-  ready: ReadonlyMap<string, number>;
+  readyAfterAttempt: ReadonlyMap<string, number>;
 }
 /** The records of a gang for which nothing is written yet. */
-export const NO_GANG: GangView = { attempt: 0, revision: 0, ready: new Map() };
+export const NO_GANG: GangView = {
+  attempt: 0,
+  revision: 0,
+  readyAfterAttempt: new Map(),
+};
 
 /** Whether the parts of a job must agree on the attempt under which they start. */
 export const isSpreadOverPartitions = (
@@ -43,7 +47,7 @@
   gang: GangView,
   lastAttempt: number,
 ): GangStep {
-  const readyAfter = gang.ready.get(partition);
+  const readyAfter = gang.readyAfterAttempt.get(partition);
   if (readyAfter !== gang.attempt) {
     // Called after this partition said that it was ready: whoever starts late still completes the gang.
     const isCalled = gang.attempt > 0 && readyAfter !== undefined;
@@ -53,7 +57,7 @@
   }
   const [first] = [...partitions].sort();
   const areAllReady = partitions.every(
-    (name) => gang.ready.get(name) === gang.attempt,
+    (name) => gang.readyAfterAttempt.get(name) === gang.attempt,
   );
   return first === partition && areAllReady
     ? { kind: "call" }
--- a/src/coordination/store/job-progress-cache.ts
+++ b/src/coordination/store/job-progress-cache.ts
@@ -6,7 +6,7 @@
 import { type GangView, NO_GANG } from "../scheduling/spread-gangs.js";
 
 interface CachedGang extends GangView {
-  ready: Map<string, number>;
+  readyAfterAttempt: Map<string, number>;
 }
 
 export class JobProgressCache {
@@ -74,7 +74,7 @@
 
   /** A partition is ready to start its part of a gang under this attempt. */
   setReady(key: string, id: string, partition: string, attempt: number): void {
-    this.gangOrNew(id).ready.set(partition, attempt);
+    this.gangOrNew(id).readyAfterAttempt.set(partition, attempt);
     this.noteKey(id, key);
   }
 
@@ -92,7 +92,7 @@
   private gangOrNew(id: string): CachedGang {
     let gang = this.gangs.get(id);
     if (!gang) {
-      gang = { attempt: 0, revision: 0, ready: new Map() };
+      gang = { attempt: 0, revision: 0, readyAfterAttempt: new Map() };
       this.gangs.set(id, gang);
     }
     return gang;
--- a/test/coordination/components.test.ts
+++ b/test/coordination/components.test.ts
@@ -248,7 +248,7 @@
   const round = new SchedulingRound(
     [queued("req-1", 10, 1), queued("req-2", 10, 2), queued("req-3", 900, 0)],
     { ...DEFAULTS, longEvery: 3 },
-    { sinceLong: 0 },
+    { shortTasksSinceLong: 0 },
   );
   const order: string[] = [];
   for (let k = 0; k < 9; k++) {
@@ -270,7 +270,7 @@
   const two = new SchedulingRound(
     [queued("req-1", 10, 1), queued("req-2", 10, 2), queued("req-3", 900, 0)],
     { ...DEFAULTS, longEvery: 2 },
-    { sinceLong: 0 },
+    { shortTasksSinceLong: 0 },
   );
   assert.equal(two.head()!.spec.id, "req-1");
   two.served(1);
--- a/test/coordination/machines/delivery-tracker.test.ts
+++ b/test/coordination/machines/delivery-tracker.test.ts
@@ -88,7 +88,7 @@
     )) {
       const before = [
         knows(m),
-        [...m.state.undelivered].map((x) => x.id),
+        [...m.state.workersWithPendingCommands].map((x) => x.id),
         m.state.registry.machines().size,
         m.state.usage(),
       ];
@@ -96,7 +96,7 @@
       assert.deepEqual(
         [
           knows(m),
-          [...m.state.undelivered].map((x) => x.id),
+          [...m.state.workersWithPendingCommands].map((x) => x.id),
           m.state.registry.machines().size,
           m.state.usage(),
         ],
--- a/test/coordination/machines/scale-out.test.ts
+++ b/test/coordination/machines/scale-out.test.ts
@@ -163,7 +163,7 @@
     mayStart: () => true,
     usableWorkers: () => ({ usable: workers, reserved: new Set<string>() }),
     unreachableMachines: () => [],
-    unreachableBeingReplaced: () => 1,
+    maxConcurrentReplacements: () => 1,
   };
   const sharing = {
     headroom: () => new Map([["t", { cpus: 1000, gpus: 100 }]]),
--- a/test/coordination/quota/quota.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -847,7 +847,7 @@
     const round = new SchedulingRound(
       jobs,
       { ...DEFAULTS },
-      { sinceLong: 0 },
+      { shortTasksSinceLong: 0 },
       ranked ? (t) => ({ within: shares[t]! < 1, share: shares[t]! }) : null,
     );
     const out: string[] = [];
@@ -873,7 +873,7 @@
   const round = new SchedulingRound(
     [q("a", "in", 0), q("b", "in", 1), q("c", "alsoIn", 5)],
     { ...DEFAULTS },
-    { sinceLong: 0 },
+    { shortTasksSinceLong: 0 },
     (t) =>
       t === "in"
         ? { within: used < 1, share: used }
--- a/test/simulation/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -90,7 +90,7 @@
     // Room leaves no machine out, however many there are: it once named forty at most. What is written of it fits: see the checker.
     for (const n of w.nodes.values())
       for (const m of n!.core.leaders.values()) {
-        const room = m.capacity.current();
+        const room = m.capacityReport.current();
         for (const row of room.rows) {
           const free = [...m.state.workers.values()].filter(
             (x) =>
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -390,7 +390,7 @@
     sharing as unknown as QuotaAllocator,
     scaleOut as unknown as ScaleOut,
   );
-  const record = room.fitted();
+  const record = room.currentWithinSizeLimit();
   assert.ok(
     bytesOf(writeCapacity(record)) <= limits.valueBytes,
     `${bytesOf(writeCapacity(record))}`,
@@ -467,7 +467,7 @@
       sharing as unknown as QuotaAllocator,
       scaleOut as unknown as ScaleOut,
     );
-    const record = room.fitted();
+    const record = room.currentWithinSizeLimit();
     const bytes = bytesOf(writeCapacity(record));
     // The list of what gives way was counted without its own name: up to 7 bytes too many for each row.
     assert.ok(
