--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -27,7 +27,7 @@
 import { JobAssigner } from "./jobs/job-assigner.js";
 import { JobCancellation } from "./jobs/job-cancellation.js";
 import { JobStatus } from "./jobs/job-status.js";
-import { EndedJobCleanup } from "./jobs/leftovers-sweep.js";
+import { EndedJobCleanup } from "./jobs/ended-job-cleanup.js";
 import { PendingAssignments } from "./jobs/pending-assignments.js";
 import type { RequestReplies } from "./jobs/request-replies.js";
 import { LeaderlessPartitions } from "./leadership/leaderless-partitions.js";
@@ -92,7 +92,7 @@
   private readonly jobCancellation: JobCancellation;
   private readonly assignments = new PendingAssignments();
   private readonly heartbeats: HeartbeatRouter;
-  private readonly leftoversSweep: EndedJobCleanup;
+  private readonly endedJobCleanup: EndedJobCleanup;
   private readonly catalogRefresh = new CatalogRefresh(this);
   private readonly cloudAvailabilityLog = new CloudAvailabilityLog(this);
 
@@ -112,7 +112,7 @@
     this.partitionLeaders = new PartitionLeaders(this, this.leadership);
     this.leaders = this.partitionLeaders.byPartition;
     this.heartbeats = new HeartbeatRouter(this, this.leaders, this.leadership);
-    this.leftoversSweep = new EndedJobCleanup(
+    this.endedJobCleanup = new EndedJobCleanup(
       this,
       this.leaders,
       this.leadership,
@@ -274,7 +274,7 @@
       this.leaderlessPartitions.tick();
     }
     this.dependencies.processWaitingJobs();
-    this.leftoversSweep.tick();
+    this.endedJobCleanup.tick();
   }
 
   // ---- effects -------------------------------------------------------------------------------------------
--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -7,7 +7,7 @@
 import type { Answer } from "../effects.js";
 import { FailureTracker } from "../machines/failure-tracker.js";
 import { JobCompletion } from "../jobs/job-completion.js";
-import { Autoscaler } from "../machines/scale-in.js";
+import { Autoscaler } from "../machines/autoscaler.js";
 import { PartitionState } from "./partition-state.js";
 import {
   Guarantees,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -334,14 +334,14 @@
   private async sendCommand(
     effect: Extract<Effect, { type: "workerCommand" }>,
   ): Promise<void> {
-    const { callId: op, address, token, incarnation, commands } = effect;
+    const { callId, address, token, incarnation, commands } = effect;
     const reply = await this.workers.command(
       address,
       token,
       incarnation,
       commands,
     );
-    this.feed({ type: "commandReply", callId: op, reply });
+    this.feed({ type: "commandReply", callId, reply });
   }
 
   private carryOut(e: Effect): void {
@@ -368,15 +368,13 @@
         void this.sendCommand(e);
         break;
       case "inspect":
-        void this.workers
-          .inspect(e.address)
-          .then((report) =>
-            this.feed({
-              type: "inspectReply",
-              callId: e.callId,
-              heartbeat: report,
-            }),
-          );
+        void this.workers.inspect(e.address).then((heartbeat) =>
+          this.feed({
+            type: "inspectReply",
+            callId: e.callId,
+            heartbeat,
+          }),
+        );
         break;
       case "wake":
         setTimeout(() => this.feed({ type: "wake" }), e.afterMs);
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -85,7 +85,13 @@
   };
 }
 
-/** Users', workers' and health-check requests. */
+/**
+ * Users', workers' and health-check requests.
+ *
+ * An unexpected error is answered with 503, since the request may have been carried out: a 4xx would end a submission that
+ * was already accepted, or lose a cancellation. ECONNRESET means that the client closed the connection before its request
+ * was complete, which is no defect of this program.
+ */
 export function api(
   core: RequestHandler,
   more: readonly ((limit: MiddlewareHandler) => Hono)[] = [],
@@ -152,9 +158,7 @@
       Response.json({ error: "method not allowed" }, { status: 405 }),
     );
   app.notFound(() => Response.json({ error: "no such path" }, { status: 404 }));
-  // Not known whether it was carried out: a 4xx would end a submission that is accepted already, or lose a cancellation.
   app.onError((e) => {
-    // Who asked has gone in the middle of the body: nothing was asked, and no defect is to be looked for.
     if ((e as NodeJS.ErrnoException).code !== "ECONNRESET") core.fault(e);
     return Response.json(
       { error: "unexpected fault" },
--- a/test/coordination/quota/quota.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -742,7 +742,7 @@
 });
 
 test("without claims masters that decide at once stop more than the deficit", () => {
-  const { reclaim: claim, mayReclaim: mayClaim } = GuaranteeReclaims.prototype;
+  const { reclaim, mayReclaim } = GuaranteeReclaims.prototype;
   GuaranteeReclaims.prototype.reclaim = function (_t, _n, _f, _g, granted) {
     granted();
   };
@@ -758,7 +758,7 @@
       ) > 24,
     );
   } finally {
-    Object.assign(GuaranteeReclaims.prototype, { claim, mayClaim });
+    Object.assign(GuaranteeReclaims.prototype, { reclaim, mayReclaim });
   }
 });
 
