--- a/test/coordination/machines/scale-out.test.ts
+++ b/test/coordination/machines/scale-out.test.ts
@@ -132,11 +132,7 @@
     nowMs: 0,
     wallMs,
     log: () => {},
-    callCloud: (
-      call: CloudCall,
-      _u: unknown,
-      done: (r: CloudReply) => void,
-    ) => {
+    callCloud: (call: CloudCall, _u: unknown, cb: (r: CloudReply) => void) => {
       assert.equal(call.op, "rent");
       if (call.op !== "rent") return;
       const key = `${call.type}/${call.zone}/${call.spot ? "spot" : "ordinary"}`;
@@ -144,7 +140,7 @@
       stock[key] = (stock[key] ?? 0) - got;
       asked.push(`${call.count} ${key}`);
       pending.push(() =>
-        done(
+        cb(
           got > 0
             ? {
                 kind: "rented",
