--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,6 +1,6 @@
 /**
- * What the parts of the core get from the controller: small interfaces, so that a part can name just those that it needs. The
- * controller provides all of them together as `Context`, and sets the times before each step.
+ * Services that the controller provides to the parts of the core, as small interfaces, so that each part declares only those that it
+ * needs. The controller implements all of them together as `Context`, and sets the times before each step.
  */
 import type { Settings } from "../config/settings.js";
 import type { EventLog } from "../logging/events.js";
@@ -22,27 +22,27 @@
 } from "./model.js";
 import type { StoreCache } from "./store/store-cache.js";
 
-/** How a transaction ended. `unknown`: it may have been carried out, or may yet be. */
+/** Outcome of a transaction. `unknown`: it may have been applied, or may still be applied later. */
 export type TransactionOutcome = "ok" | "conflict" | "refused" | "unknown";
 
-/** The times of the present step: the core has no clock of its own. */
+/** The times of the current step. The core has no clock of its own. */
 export interface Clock {
-  /** Steady time of this step, in ms. */
+  /** Steady (monotonic) time of this step, in ms. */
   nowMs: number;
   /** Time of day of this step, in ms since the epoch. */
   wallMs: number;
 }
 
-/** What was set before the start and stays as it is. */
+/** Configuration that is fixed at the start of the process. */
 export interface Configuration {
   readonly settings: Settings;
   readonly tuning: Tuning;
   readonly partitions: PartitionMap;
 }
 
-/** What the cloud offers. */
+/** Machine types that the cloud platform offers. */
 export interface MachineCatalog {
-  /** null: not read yet. */
+  /** null if it has not been read yet. */
   catalog: MachineType[] | null;
 }
 
@@ -55,7 +55,7 @@
 
 /** Compare-and-swap transactions at the store. */
 export interface StoreTransactions {
-  /** Carries out the writes if all conditions hold; `done` is called once, in a later step. */
+  /** Applies the writes if all conditions hold. `done` is called once, in a later step. */
   commit(
     conditions: Condition[],
     writes: Write[],
@@ -84,13 +84,13 @@
     commands: Command[],
     done: (reply: CommandReply) => void,
   ): void;
-  /** Asks a machine itself for its heartbeat: the answer is of a moment after the question; null: none came. */
+  /** Requests a heartbeat directly from a machine. The heartbeat is newer than the request; null if there was no reply. */
   inspect(address: string, done: (heartbeat: Heartbeat | null) => void): void;
 }
 
-/** Tasks assigned to partitions whose capacity records may not show them yet. */
+/** Tasks assigned to partitions whose capacity records may not include them yet. */
 export interface Assignments {
-  /** By partition, since it last wrote its capacity record. */
+  /** By partition: the assignments since it last wrote its capacity record. */
   readonly pendingAssignments: ReadonlyMap<
     string,
     readonly PendingAssignment[]
@@ -98,13 +98,13 @@
   notePendingAssignment(partition: string, spec: JobSpec, tasks: number): void;
 }
 
-/** Partitions that no settings name any more. */
+/** Partitions that are no longer in the settings. */
 export interface LeaderlessTokens {
-  /** The fencing token to act under for such a partition; null: not yet, or another controller does. */
+  /** The fencing token to act under for such a partition; null if this controller may not act for it, or not yet. */
   leaderlessToken(partition: string): number | null;
 }
 
-/** All that the parts of the core share. */
+/** All services that the controller provides to the parts of the core. */
 export type Context = Clock &
   Configuration &
   MachineCatalog &
@@ -116,9 +116,10 @@
   LeaderlessTokens &
   EventLog;
 
-/** Steady clocks of different machines may drift apart by 0.05%; waiting for another's clock takes this factor. */
+/** Steady clocks of two machines may drift apart by 0.05%: a wait for a time that another machine measures is multiplied by this. */
 export const CLOCK_DRIFT_FACTOR = 1.0015;
 /**
- * A cache older than this judges nobody, and says of no partition that it is gone: a watch that shows nothing is renewed every 2 s.
+ * With a cache older than this no team's guarantee is evaluated, and no partition counts as absent. A watch without changes is renewed
+ * every 2 s.
  */
 export const STALE_CACHE_MS = 6_000;
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,6 +1,6 @@
 /**
- * The core of one controller: dispatches inputs to the parts that handle them, and collects their effects. It wires the parts
- * together and gives them their shared context; everything else is theirs.
+ * The core of one controller: creates the parts and connects them, provides their shared context, dispatches inputs to the parts that
+ * handle them, and collects their effects.
  */
 import type { Settings } from "../config/settings.js";
 import {
@@ -59,12 +59,12 @@
 import { StoreWatcher } from "./store/store-watcher.js";
 import { Transactions } from "./transactions.js";
 
-/** So long without the store and without any peer a controller tells users to go elsewhere. */
+/** A controller that no peer answers reports that it is not ready once it has not reached the store for this long. */
 const ISOLATED_AFTER_MS = 6_000;
 
 /**
- * The whole of one controller without its sockets and clocks: takes inputs, returns effects. Everything that several controllers must
- * agree on goes through conditional transactions at the store.
+ * One controller without its sockets and clocks: takes inputs and returns effects. All state that controllers must agree on is changed
+ * by conditional transactions at the store.
  */
 export class Controller implements Context {
   nowMs: number;
@@ -72,9 +72,9 @@
   catalog: MachineType[] | null = null;
   readonly partitions: PartitionMap;
   readonly cache = new StoreCache();
-  /** Calls whose replies have not come yet. */
+  /** Calls that wait for their replies. */
   readonly calls = new PendingCalls((effect) => this.effects.push(effect));
-  /** By partition, those that this controller leads. */
+  /** The partitions that this controller leads. */
   readonly leaders: ReadonlyMap<string, PartitionLeader>;
   readonly leadership: Leadership;
   readonly dependencies: DependencyTracker;
@@ -159,7 +159,7 @@
     return new Transactions(this, {
       callStore: this.calls.callStore,
       onStoreLeaseEnded: (storeLease) =>
-        this.leadership.storeLeaseEnded(storeLease),
+        this.leadership.onStoreLeaseEnded(storeLease),
     });
   }
 
@@ -205,7 +205,7 @@
 
   // ---- inputs --------------------------------------------------------------------------------------------
 
-  /** Handles one input at the given steady time and time of day, both in ms; returns what is to be done. */
+  /** Handles one input at the given steady time and time of day, both in ms; returns the effects to execute. */
   step(input: Input, nowMs: number, wallMs: number): Effect[] {
     this.nowMs = nowMs;
     this.wallMs = wallMs;
@@ -236,8 +236,8 @@
       case "status":
         return this.jobStatus.answerAfterRead(input.reqId, input.id);
       case "cancel":
-        return this.watcher.afterRead(input.reqId, input.id, (req, id) =>
-          this.jobCancellation.cancel(req, id),
+        return this.watcher.afterRead(input.reqId, input.id, (reqId, id) =>
+          this.jobCancellation.cancel(reqId, id),
         );
       case "heartbeat":
         return this.answer(
@@ -283,15 +283,18 @@
     this.effects.push({ type: "log", ...logEntry(event, fields) });
   }
 
-  private answer(req: number, answer: Answer): void {
-    this.effects.push({ type: "answer", reqId: req, answer });
+  private answer(reqId: number, answer: Answer): void {
+    this.effects.push({ type: "answer", reqId, answer });
   }
 
-  private readonly retryLater = (req: number, why: string, afterS = 1): void =>
-    this.answer(req, { kind: "retryLater", afterS, reason: why });
+  private readonly retryLater = (
+    reqId: number,
+    reason: string,
+    afterS = 1,
+  ): void => this.answer(reqId, { kind: "retryLater", afterS, reason });
 
   private readonly replies: RequestReplies = {
-    answer: (req, answer) => this.answer(req, answer),
+    answer: (reqId, answer) => this.answer(reqId, answer),
     retryLater: this.retryLater,
   };
 
@@ -329,7 +332,7 @@
     this.calls.inspect(address, done);
   }
 
-  /** For those who follow the ends of jobs, and for the log; this core has no need of it. */
+  /** Publishes changes for webhooks, and logs indeterminate transactions that the changes show to be applied. */
   private publishChanges(
     from: number,
     to: number,
@@ -350,7 +353,7 @@
   }
 
   leaderlessToken(partition: string): number | null {
-    return this.leaderlessPartitions.token(partition);
+    return this.leaderlessPartitions.requestToken(partition);
   }
 
   get pendingAssignments(): ReadonlyMap<string, readonly PendingAssignment[]> {
@@ -361,11 +364,11 @@
     this.assignments.note(partition, spec, tasks);
   }
 
-  // ---- what the process asks -----------------------------------------------------------------------------
+  // ---- queries of the process ----------------------------------------------------------------------------
 
   /**
-   * Whether an effect of the last step may still go out at this moment. Invariant (ran_cancelled, one leader a partition): what only
-   * a leadership lease allows is not sent once that has ended, although the step that decided it came before.
+   * Whether an effect of the last step may still be sent at `nowMs`. Invariant (ran_cancelled, one leader per partition): effects that
+   * need a leadership lease are not sent after the lease has ended, even if the step that produced them came before its end.
    */
   maySend(effect: Effect, nowMs: number): boolean {
     const needsLeadershipLease =
@@ -377,8 +380,9 @@
   }
 
   /**
-   * Ready to take requests: it has read what is alive. A store that nobody reaches makes nobody unready, since the load balancer would
-   * then keep all of them out beyond its end; a controller that reaches neither it nor any peer is cut off itself.
+   * Whether this controller can take requests: it has read all live records and is not cut off. An outage of the store alone does not
+   * make it unready, since all controllers would be, and the load balancer would exclude them for longer than the outage lasts. A
+   * controller that reaches neither the store nor any peer is cut off itself.
    */
   get ready(): boolean {
     const isCutOff =
@@ -388,7 +392,7 @@
     return this.cache.ready && !isCutOff;
   }
 
-  /** The present store lease, and until when (steady time, ms) this controller may act on what it owns under it. */
+  /** The current store lease, and the end (steady time, ms) of the leadership lease under it. */
   get leadershipLease(): { storeLease: number | null; untilMs: number } {
     return {
       storeLease: this.leadership.storeLeaseId,
@@ -396,7 +400,7 @@
     };
   }
 
-  /** How things stand in the partitions that this controller leads. */
+  /** Totals over the partitions that this controller leads. */
   get statistics(): Statistics {
     return collectStatistics(this, this.leaders, [
       this.watcher.refusals,
@@ -404,7 +408,7 @@
     ]);
   }
 
-  /** How teams stand in the partitions that this controller leads. */
+  /** Quota and use of each team in each partition that this controller leads. */
   get teamStatistics(): TeamStatistics[] {
     return collectTeamStatistics(this, this.leaders);
   }
--- a/src/coordination/effects.ts
+++ b/src/coordination/effects.ts
@@ -1,6 +1,6 @@
 /**
- * The messages between the core of a controller and the process around it: inputs go in, effects come out. A call goes out with a number
- * (`op`), and the input with the same number brings its reply. `req` numbers what users and workers ask.
+ * The messages between the core of a controller and the process around it: the core takes inputs and returns effects. A call is an
+ * effect with a `callId`, and its reply is the input with the same `callId`. `reqId` identifies a request of a user or worker.
  */
 import type { LogEntry } from "../logging/events.js";
 import type { Change, StateCall, StateReply } from "../protocol/state.js";
@@ -12,7 +12,7 @@
   MachineType,
 } from "./model.js";
 
-/** What the core is told. Times come with each input: the core has no clock of its own. */
+/** An input of the core. The core has no clock of its own: the process passes the time with each input. */
 export type Input =
   | {
       type: "submit";
@@ -22,23 +22,23 @@
     }
   | { type: "status"; reqId: number; id: string }
   | { type: "cancel"; reqId: number; id: string }
-  /** `relayed`: by a peer that the worker can reach; it is not passed on again. */
+  /** `relayed`: a peer that the worker can reach has forwarded it. A relayed heartbeat is not relayed again. */
   | { type: "heartbeat"; reqId: number; heartbeat: Heartbeat; relayed: boolean }
   /** A heartbeat could not be relayed to the leader of its partition. */
   | { type: "leaderUnreachable"; zone: string }
-  /** The other controllers that answer. */
+  /** Labels of the other controllers that answer now. */
   | { type: "peers"; up: readonly string[] }
   /** `sentMs`: the steady time at which the call was sent. */
   | { type: "storeReply"; callId: number; reply: StateReply; sentMs: number }
   | { type: "cloudReply"; callId: number; reply: CloudReply }
   | { type: "commandReply"; callId: number; reply: CommandReply }
-  /** A machine's own answer to `inspect`; null: none came. */
+  /** A machine's reply to `inspect`; null if there was none. */
   | { type: "inspectReply"; callId: number; heartbeat: Heartbeat | null }
-  /** Whether memory is nearly used up. */
+  /** Whether the process is short of memory. */
   | { type: "memory"; short: boolean }
-  /** Time has passed; comes at a steady rate. */
+  /** Sent at a fixed interval. */
   | { type: "tick" }
-  /** The time is over that the effect `wake` asked for. */
+  /** The time requested by the effect `wake` has passed. */
   | { type: "wake" };
 
 /** A call to the cloud platform. */
@@ -53,40 +53,40 @@
       count: number;
     }
   | { op: "return"; machines: string[] }
-  /** `after`: the last machine of the page before; empty: the first page. */
+  /** One page of the list of machines. `after`: the last machine of the previous page; empty for the first page. */
   | { op: "list"; after: string };
 
-/** How a call to the cloud platform ended. */
+/** Outcome of a call to the cloud platform. */
 export type CloudReply =
   | { kind: "catalog"; types: MachineType[] }
   | { kind: "rented"; machines: string[] }
   | { kind: "noCapacity" }
   | { kind: "returned" }
   | { kind: "list"; machines: ListedMachine[]; more: boolean }
-  /** Not carried out, or it cannot be known. */
+  /** The call was not carried out, or its outcome is unknown. */
   | { kind: "failed"; why: string };
 
-/** Why a call was not even sent: this controller's part of the rate limit was used up. */
+/** Reason of a call that was not sent because this controller's share of the rate limit was used up. */
 export const OWN_RATE_LIMIT = "own rate limit";
 
-/** How a command to a worker ended. */
+/** Outcome of sending commands to a worker. */
 export type CommandReply =
-  /** `sequence`: of the status that the machine made after the commands; null: they were not carried out. */
+  /** `sequence`: that of the machine's status after it executed the commands; null if it did not execute them. */
   | { kind: "answered"; status: number; sequence: number | null }
-  /** No connection came about, so nothing can arrive later. */
+  /** No connection was made, so the commands cannot arrive later. */
   | { kind: "refused" }
-  /** It may arrive, minutes later. */
+  /** The commands may still arrive, even minutes later. */
   | { kind: "unknown" };
 
-/** Which calls go first when a rate limit is short: those that keep the rules. Lower goes first. */
+/** Order of calls that wait for a rate limit, lowest first. Calls on which the safety rules depend come first. */
 export const enum CallPriority {
   /** Leases and leadership. */
   Lease = 0,
-  /** What a user waits for. */
+  /** Calls that a user's request waits for. */
   UserRequest = 1,
-  /** The work of partition leaders. */
+  /** Scheduling by partition leaders. */
   Leader = 2,
-  /** What may wait for minutes. */
+  /** Calls that can wait for minutes. */
   Background = 3,
 }
 
@@ -101,20 +101,20 @@
       running?: number;
       dependsOn?: readonly string[];
     }
-  /** No machine type that is offered can run the job. */
+  /** No machine type on offer can run the job. */
   | { kind: "cannotRun"; error: string }
-  /** The job's record would not fit a value of the store. */
+  /** The job's record exceeds the size limit of the store's values. */
   | { kind: "recordTooLarge"; error: string }
   | { kind: "unknownJob" }
   | { kind: "retryLater"; afterS: number; reason: string }
   /** Renews the worker's lease. */
   | { kind: "commands"; token: number; commands: Command[] }
-  /** The worker belongs to another leader; null: nobody knows whose it is. */
+  /** Another controller leads the worker's partition; null if the leader is not known. */
   | { kind: "redirect"; leader: string | null }
-  /** The worker cannot reach its leader: the heartbeat is to be relayed to it. */
+  /** The worker cannot reach its leader: the process has to relay the heartbeat to it. */
   | { kind: "relay"; leader: string };
 
-/** What the core wants done. */
+/** An effect for the process to execute. */
 export type Effect =
   | { type: "answer"; reqId: number; answer: Answer }
   | {
@@ -138,13 +138,13 @@
       incarnation: number;
       commands: Command[];
     }
-  /** Asks a machine for its heartbeat. */
+  /** Requests a heartbeat from a machine. */
   | { type: "inspect"; callId: number; address: string }
   /**
-   * All changes of final records and of records that this core does not know itself, between two revisions. After a gap `from` is
-   * later than the last `to`. Only with `tellEnds`.
+   * All changes between two revisions to final records and to records of kinds that the core does not read. After a gap, `from` is
+   * greater than the last `to`. Only emitted if `tellEnds` is set.
    */
   | { type: "storeChanges"; from: number; to: number; changes: Change[] }
-  /** To be called again after this time, sooner than by the next tick; one at a time. */
+  /** Requests the input `wake` after this time, before the next tick. At most one such request is pending. */
   | { type: "wake"; afterMs: number }
   | ({ type: "log" } & LogEntry);
--- a/src/coordination/leadership/leaderless-partitions.ts
+++ b/src/coordination/leadership/leaderless-partitions.ts
@@ -1,6 +1,6 @@
 /**
- * Partitions that no settings name any more and of which something is left in the store: parts of jobs, parts of limits. Owns which
- * of them this controller wants and since when it has them.
+ * Partitions that are no longer in the settings but still have records in the store: tasks of jobs, shares of team limits. Owns which
+ * of them this controller requests, and since when it owns them.
  */
 import {
   type Clock,
@@ -12,39 +12,39 @@
 import { hashToIndex } from "../jobs/job-partitioner.js";
 import type { Leadership } from "./leadership.js";
 
-/** Beyond a worker lease and the drift of clocks, until whatever a former leader started has surely ended. */
+/** Added to the worker lease and the clock drift: after all three, everything that a former leader started has ended. */
 const LEASE_MARGIN_MS = 2_000;
-/** Without an owner for so long before it is acquired: a controller that goes by other settings may be about to. */
-const ABSENT_BEFORE_ACQUIRING_MS = 1_000;
-/** Between the turns of two controllers. */
+/** A partition is acquired only after this time without an owner: a controller with other settings may be about to acquire it. */
+const MIN_ABSENCE_MS = 1_000;
+/** Interval between the turns of two controllers to acquire a partition. */
 const TURN_INTERVAL_MS = 1_000;
-/** Released when nothing was asked of it for so long. */
+/** A partition is released when its token has not been requested for this long. */
 const RELEASE_AFTER_UNUSED_MS = 10_000;
 
-/** Since when, in steady time, the record of a partition's owner is absent. */
+/** Since when, in steady time, a partition has had no owner. */
 interface Absence {
-  /** The revision that deleted the record. */
+  /** The revision that deleted the owner's record; 0 if it was never in the cache. */
   changedRevision: number;
   sinceMs: number;
 }
 
-/** A partition that this controller owns, under which fencing token and since when, in steady time. */
+/** The fencing token of a partition that this controller owns, and when it first saw the token, in steady time. */
 interface OwnedPartition {
   token: number;
   sinceMs: number;
 }
 
 /**
- * One controller acquires such a partition, as any is acquired, and keeps it without a leader: nobody can lead it meanwhile.
+ * One controller acquires such a partition like any other, and keeps it without a leader, so that no controller can lead it meanwhile.
  *
- * Invariant (ran_twice, quota): what is done in its name is conditional on the token that it was acquired under, and is sent once that
- * has been seen for longer than a worker lease: what a former leader left there has ended by then, and nobody has started anything
- * since. That nobody owns it would not do: absence is no revision, and a transaction that is carried out late could find it absent
- * again after another had it in between.
+ * Invariant (ran_twice, quota): every transaction for the partition is conditional on the token under which it was acquired, and is sent
+ * only after that token has been seen for longer than a worker lease. By then everything that a former leader started has ended, and
+ * nothing has been started since. A condition that the partition has no owner would not suffice: absence has no revision, so a
+ * transaction that is applied late could find the partition absent again after another controller owned it in between.
  */
 export class LeaderlessPartitions {
-  /** When each partition was last asked for. */
-  private readonly wantedMs = new Map<string, number>();
+  /** When the token of each partition was last requested, in steady time. */
+  private readonly lastRequestedMs = new Map<string, number>();
   private readonly absences = new Map<string, Absence>();
   private readonly owned = new Map<string, OwnedPartition>();
 
@@ -57,11 +57,11 @@
   ) {}
 
   /**
-   * The token to act under for a partition that no settings name; null: not yet, or another controller does. Asking for it is wanting
-   * it.
+   * The token to act under for a partition that is not in the settings; null if this controller may not act for it, or not yet. The
+   * request makes this controller acquire the partition, or keep it.
    */
-  token(partition: string): number | null {
-    this.wantedMs.set(partition, this.ctx.nowMs);
+  requestToken(partition: string): number | null {
+    this.lastRequestedMs.set(partition, this.ctx.nowMs);
     const owned = this.owned.get(partition);
     if (!owned || this.leadership.tokenOf(partition) !== owned.token)
       return null;
@@ -70,7 +70,7 @@
       : null;
   }
 
-  /** After this time nothing that a former leader started runs any more. */
+  /** Time after which nothing that a former leader started is still running. */
   private get quietPeriodMs(): number {
     return (
       this.ctx.settings.leaseS * 1000 * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_MS
@@ -79,8 +79,8 @@
 
   /** Only called by a controller that leads a partition. */
   tick(): void {
-    for (const [partition, wantedMs] of this.wantedMs) {
-      const isUnused = this.ctx.nowMs - wantedMs > RELEASE_AFTER_UNUSED_MS;
+    for (const [partition, requestedMs] of this.lastRequestedMs) {
+      const isUnused = this.ctx.nowMs - requestedMs > RELEASE_AFTER_UNUSED_MS;
       const token = this.leadership.tokenOf(partition);
       if (token === null) this.tickNotOwned(partition, isUnused);
       else this.tickOwned(partition, token, isUnused);
@@ -95,11 +95,11 @@
 
   private tickNotOwned(partition: string, isUnused: boolean): void {
     this.owned.delete(partition);
-    if (isUnused) this.wantedMs.delete(partition);
-    const isKnownAbsent =
+    if (isUnused) this.lastRequestedMs.delete(partition);
+    const isAbsent =
       !this.ctx.cache.partitions.has(partition) &&
       this.ctx.readAgeMs() < STALE_CACHE_MS;
-    if (!isKnownAbsent) {
+    if (!isAbsent) {
       this.absences.delete(partition);
       return;
     }
@@ -108,12 +108,12 @@
       this.leadership.acquireLeaderless(partition);
   }
 
-  /** An owner in between starts the time anew, though it was never seen. */
+  /** The present absence. It starts again after every change of the owner's record, also if the cache never showed that owner. */
   private absenceOf(partition: string): Absence {
     const changedRevision =
       this.ctx.cache.leaderChangedRevision.get(partition) ?? 0;
-    const known = this.absences.get(partition);
-    if (known?.changedRevision === changedRevision) return known;
+    const recorded = this.absences.get(partition);
+    if (recorded?.changedRevision === changedRevision) return recorded;
     const absence = { changedRevision, sinceMs: this.ctx.nowMs };
     this.absences.set(partition, absence);
     return absence;
@@ -124,6 +124,6 @@
     const ownIndex = names.indexOf(this.ctx.settings.label);
     const firstIndex = hashToIndex(partition, names.length);
     const turn = (ownIndex - firstIndex + names.length) % names.length;
-    return ABSENT_BEFORE_ACQUIRING_MS + turn * TURN_INTERVAL_MS;
+    return MIN_ABSENCE_MS + turn * TURN_INTERVAL_MS;
   }
 }
--- a/src/coordination/leadership/leadership-bids.ts
+++ b/src/coordination/leadership/leadership-bids.ts
@@ -1,6 +1,6 @@
 /**
  * Bids for the leadership of partitions that other controllers lead. A bid is a record in the store; the leader reads it and may
- * release the partition. This module owns what decides when to bid: which peers answer, and which partitions go unserved.
+ * release the partition. Owns the state that bids depend on: which peers answer, and which partitions have unserved workers.
  */
 import { leadershipBidKey, partitionKey } from "../../storage/records.js";
 import type {
@@ -14,25 +14,25 @@
 
 /** Workers of a partition must have gone unserved for this long before a peer bids for the partition. */
 const BID_AFTER_MS = 3_000;
-/** Bids for a partition come no faster than this, and after a release the bidder has this long to acquire it. */
+/** Minimum interval between two bids for a partition, and the time that a bidder has to acquire it after its release. */
 export const BID_INTERVAL_MS = 6_000;
-/** The home controller must have been in touch with the leader for this long before it bids for its partition. */
+/** The leader must have answered the home controller for this long before that controller bids for its partition. */
 const HOME_BID_AFTER_MS = 8_000;
 
-/** What leadership uses of the context of the core. */
+/** The services of the core's context that leadership uses. */
 export type LeadershipContext = Clock &
   Configuration &
   StoreView &
   StoreTransactions &
   Pick<Context, "log">;
 
-/** When the workers of a partition could not be served, in steady time. */
+/** A period in which workers of a partition could not be served, in steady time. */
 interface UnservedPeriod {
   firstMs: number;
   lastMs: number;
 }
 
-/** Places the bids of this controller, and tells whose bid for a released partition counts. */
+/** Places the bids of this controller, and determines which bid for a released partition counts. */
 export class LeadershipBids {
   private readonly unservedPeriods = new Map<string, UnservedPeriod>();
   private readonly lastBidMs = new Map<string, number>();
@@ -41,7 +41,7 @@
 
   constructor(private readonly ctx: LeadershipContext) {}
 
-  /** No other controller answers. */
+  /** Whether no other controller answers. */
   get isIsolated(): boolean {
     return this.reachableSinceMs.size === 0;
   }
@@ -55,7 +55,7 @@
         this.reachableSinceMs.set(peer, this.ctx.nowMs);
   }
 
-  /** A worker of another's partition cannot be served there: if that lasts, this controller bids for the partition. */
+  /** Notes that a worker cannot be served by the leader of its partition. If that lasts, this controller bids for the partition. */
   noteUnserved(partition: string): void {
     const record = this.ctx.cache.partitions.get(partition);
     if (!record || record.owner === this.ctx.settings.label) return;
@@ -70,20 +70,20 @@
       this.bid(partition, record.version);
   }
 
-  /** The home controller bids for its partition once it has been in touch with the leader for a while. */
+  /** Bids for this controller's home partition, once the present leader has answered for long enough. */
   bidForHomePartition(partition: string, owner: string, token: number): void {
     const sinceMs = this.reachableSinceMs.get(owner);
     if (sinceMs !== undefined && this.ctx.nowMs - sinceMs > HOME_BID_AFTER_MS)
       this.bid(partition, token);
   }
 
-  /** Remembers the present token of each partition: a bid counts only for the token that it names. */
+  /** Remembers the current token of each partition, since a bid only counts for the token that it contains. */
   noteTokens(): void {
     for (const [partition, record] of this.ctx.cache.partitions)
       this.lastSeenTokens.set(partition, record.version);
   }
 
-  /** Who bid for the partition under the last token that this controller saw for it; null: nobody. */
+  /** The controller that bid for the partition under the last token that this controller saw for it; null if there is none. */
   currentBidder(partition: string): string | null {
     const bid = this.ctx.cache.leadershipBids.get(partition);
     return bid !== undefined && bid.token === this.lastSeenTokens.get(partition)
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -1,5 +1,5 @@
 /**
- * Which partitions this controller leads, and until when it may act on them. Owns the store lease and its renewal, the leadership
+ * The partitions that this controller leads, and until when it may act on them. Owns the store lease and its renewal, the leadership
  * lease that follows from it, and the acquisition and release of partitions.
  */
 import type { StateCall, StateReply } from "../../protocol/state.js";
@@ -14,35 +14,35 @@
 
 /** The store lease is renewed this many times within its duration. */
 const RENEWALS_PER_TTL = 8;
-/** A store lease that was not granted is asked for again after this time. */
+/** A store lease that was not granted is requested again after this time. */
 const GRANT_RETRY_MS = 400;
 /** A renewal that failed is repeated after this time. */
 const RENEWAL_RETRY_MS = 500;
-/** The store's clock may run faster than this controller's by up to the rest of this. */
+/** Allows for a store clock that runs faster than this controller's, by up to 0.2%. */
 const LEASE_DRIFT_FACTOR = 0.998;
-/** What is sent at the last moment still has to leave the process. */
+/** Time for a message that is sent at the last moment to leave the process. */
 const LEASE_MARGIN_MS = 100;
-/** Between the turns of two controllers to acquire a partition that nobody leads. */
+/** Interval between the turns of two controllers to acquire a partition that has no leader. */
 const TURN_INTERVAL_MS = 1_500;
-/** For so long after its start a controller leaves others' partitions to home controllers that may be starting as well. */
+/** For this long after its start, a controller waits longer for others' partitions: their home controllers may be starting too. */
 const STARTUP_MS = 12_000;
-/** By so much a controller that has just started waits longer for others' partitions. */
+/** How much longer a controller that has just started waits for others' partitions. */
 const STARTUP_DELAY_MS = 10_000;
 
 /** The calls that grant and renew a store lease. */
 type StoreLeaseCall = Extract<StateCall, { op: "newHold" | "touch" }>;
 
-/** Who owns a partition, under which store lease and fencing token. */
+/** The owner of a partition, with its store lease and its fencing token (`version`). */
 type OwnerRecord = PartitionRecord & { version: number };
 
-/** What leadership needs from the controller around it. */
+/** Services that `Leadership` needs from the controller. */
 export interface LeadershipPorts {
   /** Sends a call to the store; `done` gets its reply, and the steady time at which the call was sent. */
   callStore(
     call: StoreLeaseCall,
     done: (reply: StateReply, sentMs: number) => void,
   ): void;
-  /** The store lease is over: nothing is led any more. */
+  /** The store lease has ended, and with it the leadership of all partitions. */
   onStoreLeaseLost(): void;
   /** The partitions that this controller leads have changed. */
   onLeadershipChanged(): void;
@@ -50,9 +50,9 @@
   isUnreachable(partition: string): boolean;
 }
 
-/** Which partitions are this controller's, and until when it may act on them. */
+/** The partitions that this controller leads, and until when it may act on them. */
 export class Leadership {
-  /** Duration of the store lease. */
+  /** Duration of the store lease, in ms. */
   readonly leaseTtlMs: number;
   private storeLease: number | null = null;
   /** When the last renewal that succeeded was sent. */
@@ -66,9 +66,9 @@
   private readonly bids: LeadershipBids;
   private readonly acquiring = new Set<string>();
   private readonly absentSinceMs = new Map<string, number>();
-  /** Partitions being released, by token: nothing is done under it any more, whatever becomes of the transaction. */
+  /** Token of each partition being released. It is no longer used, whatever the outcome of the transaction. */
   private readonly releasing = new Map<string, number>();
-  private readonly releasesSent = new Set<string>();
+  private readonly releasesInFlight = new Set<string>();
 
   constructor(
     private readonly ctx: LeadershipContext,
@@ -81,7 +81,7 @@
 
   // ---- leadership lease ----------------------------------------------------------------------------------
 
-  /** The cache of the store's records is as new as a request sent then. */
+  /** Notes a read of the store that was sent at this steady time: the cache is at least as new. */
   noteRead(sentMs: number): void {
     this.readMs = Math.max(this.readMs, sentMs);
   }
@@ -89,9 +89,9 @@
   /**
    * End of the leadership lease, in steady time.
    *
-   * Invariant (ran_cancelled, and one leader a partition): workers are answered and commands issued only while both the last renewal
-   * of the store lease and the last read of cancellations, counted from their sending, are younger than the duration of the
-   * store lease. The store ends no lease earlier, whatever it answers to whom.
+   * Invariant (ran_cancelled, and one leader per partition): heartbeats are answered and commands sent only while the last renewal of
+   * the store lease and the last read of cancellations, both counted from when they were sent, are younger than the duration of the
+   * store lease. The store never ends a lease earlier, whatever it replies to any request.
    */
   get leadershipLeaseUntilMs(): number {
     if (this.storeLease === null) return -Infinity;
@@ -99,27 +99,27 @@
     return confirmedMs + this.leaseTtlMs * LEASE_DRIFT_FACTOR - LEASE_MARGIN_MS;
   }
 
-  /** The store's number of the present store lease; null: there is none. */
+  /** The store's id of the current store lease; null if there is none. */
   get storeLeaseId(): number | null {
     return this.storeLease;
   }
 
-  /** Whether the leadership lease lasts. */
+  /** Whether the leadership lease is valid now. */
   mayAct(): boolean {
     return this.ctx.nowMs < this.leadershipLeaseUntilMs;
   }
 
-  /** Age of the older of renewal and read: how long the store has been out of reach. */
+  /** Time since the last renewal or the last read, whichever is older: how long the store has been out of reach. */
   get storeSilenceMs(): number {
     return this.ctx.nowMs - Math.min(this.renewedMs, this.readMs);
   }
 
-  /** Age of the cache of the store's records. */
+  /** Age of the cache of the store's records, in ms. */
   get readAgeMs(): number {
     return this.ctx.nowMs - this.readMs;
   }
 
-  /** Logs once when the leadership lease ends under a store lease, with the age of each of its terms, and when there is one again. */
+  /** Logs when the leadership lease expires under a valid store lease, with the ages that caused it, and when it is acquired again. */
   private logLeadershipLease(): void {
     const { storeLease } = this;
     const isAllowedToAct = this.mayAct();
@@ -139,7 +139,7 @@
 
   // ---- store lease ---------------------------------------------------------------------------------------
 
-  private keepStoreLease(): void {
+  private maintainStoreLease(): void {
     if (this.isRenewing || this.ctx.nowMs < this.nextRenewalMs) return;
     this.isRenewing = true;
     if (this.storeLease === null) this.requestStoreLease();
@@ -165,13 +165,13 @@
   private renewStoreLease(storeLease: number): void {
     this.ports.callStore({ op: "touch", hold: storeLease }, (reply, sentMs) => {
       this.isRenewing = false;
-      // It ended before this answer came: a put that it was attached to has said so.
-      if (storeLease !== this.storeLease) return this.keepStoreLease();
+      // The lease had ended before this reply came, as the reply to a put attached to it has shown.
+      if (storeLease !== this.storeLease) return this.maintainStoreLease();
       this.nextRenewalMs = this.ctx.nowMs + RENEWAL_RETRY_MS;
       if (reply.is === "touched") {
         this.renewedMs = Math.max(this.renewedMs, sentMs);
         this.scheduleRenewal();
-      } else if (reply.is === "gone") this.storeLeaseEnded(storeLease);
+      } else if (reply.is === "gone") this.onStoreLeaseEnded(storeLease);
     });
   }
 
@@ -180,19 +180,19 @@
   }
 
   /**
-   * The store has said that a store lease is over: to its renewal, or to a put that is attached to it. After a process stood still the
-   * put may well come first, and the controller goes on under a new lease at once.
+   * The store has reported that a store lease has ended, in reply to its renewal or to a put attached to it. After a pause of the process
+   * the reply to the put may come first. A new lease is requested at once.
    */
-  storeLeaseEnded(storeLease: number): void {
+  onStoreLeaseEnded(storeLease: number): void {
     if (storeLease !== this.storeLease) return;
     this.storeLease = null;
     this.nextRenewalMs = 0;
     this.ctx.log("store lease expired", { storeLease });
     this.ports.onStoreLeaseLost();
-    this.keepStoreLease();
+    this.maintainStoreLease();
   }
 
-  /** Fencing token of a partition that this controller leads under its present store lease; null: it does not. */
+  /** Fencing token of a partition that this controller owns under its current store lease; null if it does not own it. */
   tokenOf(partition: string): number | null {
     const record = this.ctx.cache.partitions.get(partition);
     if (
@@ -207,7 +207,7 @@
 
   // ---- bids and releases ---------------------------------------------------------------------------------
 
-  /** No other controller answers. */
+  /** Whether no other controller answers. */
   get isIsolated(): boolean {
     return this.bids.isIsolated;
   }
@@ -217,13 +217,13 @@
     this.bids.setReachablePeers(reachable);
   }
 
-  /** A worker of another's partition cannot be served there: if that lasts, this controller bids for the partition. */
+  /** Notes that a worker cannot be served by the leader of its partition. If that lasts, this controller bids for the partition. */
   noteUnserved(partition: string): void {
     this.bids.noteUnserved(partition);
   }
 
-  /** Releases each partition for a peer that its workers reach, or for its home controller that is back. */
-  private honourBids(): void {
+  /** Releases partitions to their bidders: the home controller, or a peer if the workers of the partition cannot reach this one. */
+  private acceptBids(): void {
     for (const [partition, bid] of this.ctx.cache.leadershipBids) {
       const token = this.tokenOf(partition);
       if (
@@ -244,25 +244,25 @@
     }
   }
 
-  /** Deletes the records of partitions being released, and forgets those that are gone. */
+  /** Deletes the owner records of partitions being released, and forgets releases that are complete. */
   private sendReleases(): void {
     for (const [partition, token] of this.releasing) {
       if (this.ctx.cache.partitions.get(partition)?.version !== token) {
         this.releasing.delete(partition);
         continue;
       }
-      if (this.releasesSent.has(partition)) continue;
-      this.releasesSent.add(partition);
+      if (this.releasesInFlight.has(partition)) continue;
+      this.releasesInFlight.add(partition);
       this.ctx.commit(
         [{ key: partitionKey(partition), version: token }],
         [{ op: "delete", key: partitionKey(partition) }],
         CallPriority.Lease,
-        () => this.releasesSent.delete(partition),
+        () => this.releasesInFlight.delete(partition),
       );
     }
   }
 
-  /** Nothing is done for the partition from now on, whatever becomes of the transaction. */
+  /** Releases a partition. Its token is no longer used from now on, whatever the outcome of the transaction. */
   release(partition: string): void {
     const token = this.tokenOf(partition);
     if (token !== null) this.releasing.set(partition, token);
@@ -270,7 +270,7 @@
 
   // ---- acquisition ---------------------------------------------------------------------------------------
 
-  /** Acquires a partition that no settings name and nobody owns: like any other, but it gets no leader. */
+  /** Acquires a partition that is not in the settings and has no owner: like any other, but no partition leader is created for it. */
   acquireLeaderless(partition: string): void {
     if (this.mayAct()) this.acquire(partition, 0);
   }
@@ -294,12 +294,12 @@
     );
   }
 
-  /** Keeps the store lease, honours bids and acquires partitions whose turn it is. */
+  /** Renews the store lease, answers bids, and acquires partitions when it is this controller's turn. */
   tick(): void {
     this.logLeadershipLease();
-    this.keepStoreLease();
+    this.maintainStoreLease();
     if (this.storeLease === null || !this.ctx.cache.ready) return;
-    this.honourBids();
+    this.acceptBids();
     this.sendReleases();
     this.bids.noteTokens();
     for (const partition of this.ctx.partitions.names) {
@@ -309,18 +309,18 @@
     }
   }
 
-  /** A partition that somebody owns: acquired again after a restart, bid for if it is this controller's home partition. */
+  /** Handles a partition with an owner: acquires it again after a restart, or bids for it if it is this controller's home partition. */
   private checkOwned(partition: string, record: OwnerRecord): void {
     this.absentSinceMs.delete(partition);
     const { label } = this.ctx.settings;
-    // Left by this controller before it was started again: nobody else acts on it.
+    // Acquired by this controller before its restart, so no other controller acts on it.
     if (record.owner === label && record.hold !== this.storeLease)
       this.acquire(partition, record.version);
     else if (partition === label && record.owner !== label && this.mayAct())
       this.bids.bidForHomePartition(partition, record.owner, record.version);
   }
 
-  /** A partition that nobody owns: a current bidder comes first, else its home controller, then the others by turns. */
+  /** Handles a partition without an owner: a current bidder may acquire it first, else its home controller, then the others by turns. */
   private checkAbsent(partition: string): void {
     const absentMs = this.noteAbsent(partition);
     const bidder =
@@ -334,7 +334,7 @@
       this.acquire(partition, 0);
   }
 
-  /** For how long a partition has had no owner, as far as this controller has seen. */
+  /** How long a partition has had no owner according to this controller's cache, in ms. */
   private noteAbsent(partition: string): number {
     const { nowMs } = this.ctx;
     const sinceMs = this.absentSinceMs.get(partition) ?? nowMs;
@@ -342,7 +342,7 @@
     return nowMs - sinceMs;
   }
 
-  /** How long this controller leaves a partition that nobody owns to its home controller and those before it. */
+  /** How long this controller leaves a partition without an owner to its home controller and to those whose turns come first, in ms. */
   private acquisitionDelayMs(partition: string): number {
     const { names } = this.ctx.partitions;
     const ownIndex = names.indexOf(this.ctx.settings.label);
--- a/src/coordination/leadership/orphaned-tasks.ts
+++ b/src/coordination/leadership/orphaned-tasks.ts
@@ -1,6 +1,6 @@
 /**
- * Unfinished tasks assigned to a partition that no settings name any more: nobody would ever start them. They are reassigned to a
- * partition that exists, once none of them can run. Owns which jobs are being reassigned.
+ * Unfinished tasks assigned to a partition that is no longer in the settings. No leader would ever start them, so they are reassigned to
+ * an existing partition once none of them can be running. Owns which jobs are being reassigned.
  */
 import {
   bytesOf,
@@ -26,17 +26,17 @@
 import type { JobView } from "../store/job-view.js";
 import type { LeaderlessPartitions } from "./leaderless-partitions.js";
 
-/** Between two searches for such tasks: each reads all jobs. */
+/** Interval between two searches for such tasks, each of which reads all jobs. */
 const CHECK_INTERVAL_MS = 5_000;
 
-/** The tasks of a job in one partition that no settings name, and the token to act under there. */
+/** The tasks of a job in a partition that is not in the settings, and the token to act under for that partition. */
 interface OrphanedPart {
   partition: string;
   tasks: RangeSet;
   token: number;
 }
 
-/** A job's record with its orphaned tasks in another partition. */
+/** A job's new record, with its orphaned tasks assigned to another partition. */
 interface Reassignment {
   to: string;
   tasks: RangeSet;
@@ -44,8 +44,10 @@
 }
 
 /**
- * Invariant (ran_twice): the partition has been this controller's for longer than a worker lease, so that nothing of it runs
- * (`LeaderlessPartitions`). The transaction is conditional on that token and on the job's record.
+ * Reassigns orphaned tasks.
+ *
+ * Invariant (ran_twice): this controller has owned the removed partition for longer than a worker lease, so none of its tasks is running
+ * (`LeaderlessPartitions`). The transaction is conditional on the token of that ownership and on the job's record.
  */
 export class OrphanedTasks {
   private lastCheckMs = 0;
@@ -58,8 +60,11 @@
       StoreView &
       StoreTransactions &
       Pick<Context, "log">,
-    private readonly leaderlessPartitions: Pick<LeaderlessPartitions, "token">,
-    /** How a job would be assigned now, by partition; null: it cannot be decided yet. */
+    private readonly leaderlessPartitions: Pick<
+      LeaderlessPartitions,
+      "requestToken"
+    >,
+    /** The tasks that each partition would get if the job were assigned now; null if that cannot be decided yet. */
     private readonly partitionJob: (
       spec: JobSpec,
     ) => Map<string, RangeSet> | null,
@@ -77,7 +82,7 @@
     const { names } = this.ctx.partitions;
     for (const [partition, tasks] of job.assignment) {
       if (tasks.isEmpty || names.includes(partition)) continue;
-      const token = this.leaderlessPartitions.token(partition);
+      const token = this.leaderlessPartitions.requestToken(partition);
       if (token !== null) this.reassign(job, { partition, tasks, token });
     }
   }
@@ -124,10 +129,10 @@
   }
 
   /**
-   * Where a part of a gang with `spread` goes, beside the parts that stay where they are and may run: to a partition whose zones may
-   * hold it together with the part that is there. Those that such a gang would be assigned to now come first, then those that have
-   * a part. Invariant (ran_twice): the parts start under a new attempt, which all of them announce first (`nextGangStep`); records of
-   * former attempts are conditional on the revision of the job that this replaces.
+   * The partition for a part of a gang with `spread`, whose other parts stay where they are and may be running: one whose zones can hold
+   * this part in addition to the part already there. Partitions that the gang would be assigned to now are preferred, then those that
+   * have a part of it. Invariant (ran_twice): the parts start under a new attempt, for which each of them must first report ready
+   * (`nextGangStep`). Records of earlier attempts are conditional on the revision of the job that this transaction replaces.
    */
   private partitionForGangPart(
     { spec, assignment }: JobView,
@@ -139,25 +144,25 @@
         ({ partition, zones }) => [partition, zones.length],
       ),
     );
-    const holdsPart = (partition: string): boolean => {
+    const fitsPart = (partition: string): boolean => {
       const zones = zonesByPartition.get(partition) ?? 0;
-      const present = assignment.get(partition)?.size ?? 0;
-      return present + taskCount <= zones * maxTasksPerZone(spec);
+      const assignedTasks = assignment.get(partition)?.size ?? 0;
+      return assignedTasks + taskCount <= zones * maxTasksPerZone(spec);
     };
     return [
       ...newAssignment.keys(),
       ...assignment.keys(),
       ...zonesByPartition.keys(),
-    ].find(holdsPart);
+    ].find(fitsPart);
   }
 }
 
-/** A gang whose tasks lie in several partitions, which start under one attempt. */
+/** Whether the job is a gang with tasks in several partitions, which must start under one attempt. */
 function isSpreadGang({ spec, assignment }: JobView): boolean {
   return isSpreadOverPartitions(spec, assignment.size);
 }
 
-/** The partition with the most tasks, the first by name if several have as many. */
+/** The partition with the most tasks; the first by name if there are several. */
 function largestPartition(
   assignment: ReadonlyMap<string, RangeSet>,
 ): string | undefined {
--- a/src/coordination/leadership/partition-leaders.ts
+++ b/src/coordination/leadership/partition-leaders.ts
@@ -1,9 +1,9 @@
-/** The partition leaders of this controller: one for each partition whose fencing token it has. */
+/** The partition leaders of this controller: one for each partition whose fencing token it holds. */
 import type { Context } from "../context.js";
 import { PartitionLeader } from "../scheduling/partition-leader.js";
 import type { Leadership } from "./leadership.js";
 
-/** Creates and drops partition leaders as the cache shows tokens come and go. */
+/** Creates and drops partition leaders when the fencing tokens in the cache change. */
 export class PartitionLeaders {
   private readonly leaders = new Map<string, PartitionLeader>();
 
@@ -12,12 +12,12 @@
     private readonly leadership: Pick<Leadership, "tokenOf" | "mayAct">,
   ) {}
 
-  /** The present leaders; changes as they come and go. */
+  /** A live view of the current leaders. */
   get byPartition(): ReadonlyMap<string, PartitionLeader> {
     return this.leaders;
   }
 
-  /** A leader exists exactly while the cache shows its token as this controller's. */
+  /** Creates and drops leaders so that one exists exactly for each token that this controller holds according to the cache. */
   update(): void {
     this.dropDeposed();
     for (const partition of this.ctx.partitions.names) {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** The store lease is over, and every token with it. */
+  /** Drops all leaders: the store lease has ended, and every token with it. */
   dropAll(): void {
     for (const [partition, { token }] of this.leaders)
       this.ctx.log("partition lost", { partition, token, owner: null });
@@ -44,8 +44,8 @@
   }
 
   /**
-   * The cache reaches beyond the token's revision, and every transaction of the former leader depended on the record that this token
-   * replaced: its registry and assignments are all here.
+   * Creates a leader. Its data is complete: every transaction of the former leader was conditional on the partition's record that this
+   * token replaced, and the cache includes all changes up to the token's revision, so it has the former leader's registry and assignments.
    */
   private create(partition: string, token: number): void {
     const mayAct = (): boolean =>
--- a/src/coordination/leadership/partition-map.ts
+++ b/src/coordination/leadership/partition-map.ts
@@ -1,17 +1,17 @@
-/** Which partition a zone belongs to: a pure function of the settings, the same on every controller. */
+/** The partition of each zone: a pure function of the settings, so that all controllers agree on it. */
 import type { Settings } from "../../config/settings.js";
 
-/** Keeps the hash of a zone's name well within exact integers. */
+/** Keeps the hash of a zone's name well below the largest exact integer. */
 const HASH_MODULUS = 1_000_003;
 const HASH_MULTIPLIER = 31;
 
 /**
- * The partitions and their zones. One leader alone rents, uses and returns machines in a zone, since all controllers agree on its
- * partition. A zone with a controller is that controller's (the first by label, if several); the others are dealt out by sorted
- * order.
+ * The partitions and their zones. Only one leader rents, uses and returns machines in a zone, since all controllers agree on the zone's
+ * partition. A zone with a controller belongs to that controller's partition (the first by label if there are several); the other
+ * zones, sorted by name, are assigned to the partitions in turn.
  */
 export class PartitionMap {
-  /** A partition bears the label of its home controller; sorted. */
+  /** Names of all partitions, sorted. A partition has the label of its home controller as its name. */
   readonly names: string[];
   private readonly partitionByZone = new Map<string, string>();
 
@@ -32,7 +32,7 @@
   }
 
   partitionOf(zone: string): string {
-    // A zone that the settings don't name (a machine may turn up anywhere): any fixed choice will do.
+    // A machine may be in a zone that is not in the settings: any choice will do that is the same on every controller.
     return this.partitionByZone.get(zone) ?? this.nameAt(hashOf(zone));
   }
 
--- a/src/coordination/leadership/pending-transfer.ts
+++ b/src/coordination/leadership/pending-transfer.ts
@@ -1,27 +1,27 @@
-/** A change of a shared record that gives something away, until it is known whether it was carried out. */
+/** A change of a shared record that gives something away, until it is known whether the change was applied. */
 import type { TransactionOutcome } from "../context.js";
 
 /**
- * A change of a shared record by which this partition gives something away: waiting tasks, or part of a team's limit. What is given is
- * not used from before the transaction is sent. Invariant (ran_twice, quota): it comes back only if no such transaction can have been
- * carried out. After one without an answer even a conflict proves nothing: the record itself, once the cache shows it at another
- * version than `baseRevision`, says which it is, and until then what is given stays untouched.
+ * A change of a shared record by which this partition gives something away: waiting tasks, or part of a team's limit. This partition
+ * stops using it before it sends the transaction. Invariant (ran_twice, quota): the partition uses it again only if no transaction of
+ * the transfer can have been applied. After a transaction of unknown outcome, even a conflict proves nothing. The outcome is then read
+ * from the record itself, once the cache has it at another version than `baseRevision`; until then what is given away stays unused.
  */
 export class PendingTransfer<Base = number, Value = object> {
-  /** How the last transaction was answered; null: it was not yet. */
+  /** Outcome of the last transaction; null before the first reply. */
   lastOutcome: TransactionOutcome | null = null;
   private isSent = false;
   private isSettled = false;
-  /** A transaction was not answered: it may have been carried out, or may yet be. */
+  /** The outcome of a transaction is unknown: it may have been applied, or may still be applied later. */
   private isIndeterminate = false;
 
   constructor(
-    /** The version of the record that the change starts from. */
+    /** The revision of the record that the change is based on. */
     readonly baseRevision: Base,
     private readonly value: Value,
   ) {}
 
-  /** Sends the transaction, again after a refusal; `onNotApplied`: it was surely not carried out. */
+  /** Sends the transaction, also again after a refusal. `onNotApplied` is called if it has certainly not been applied. */
   send(
     commit: (
       base: Base,
--- a/src/coordination/model.ts
+++ b/src/coordination/model.ts
@@ -1,15 +1,15 @@
 /**
- * What the core works with: jobs, machines, heartbeats and commands, as they are inside. The wire's and the store's names for them are
- * mapped in their codecs. `S` ends names of durations in seconds, `Gb` those of sizes in GB.
+ * The data model of the core: jobs, machines, heartbeats and commands. Their names on the wire and in the store are mapped by the
+ * codecs. Names of durations in seconds end with `S`, names of sizes in GB with `Gb`.
  */
 
 /**
- * `array`: tasks that run independently. `gang`: tasks that run all at once or not at all. `service`: tasks that are started again
- * whenever they exit, until the job is cancelled.
+ * `array`: tasks that run independently. `gang`: tasks that run all at once or not at all. `service`: tasks that are restarted whenever
+ * they exit, until the job is cancelled.
  */
 export type JobKind = "array" | "gang" | "service";
 
-/** From the least to the most urgent. */
+/** From the lowest to the highest. */
 export const PRIORITIES = ["best_effort", "normal", "high", "prod"] as const;
 export type Priority = (typeof PRIORITIES)[number];
 
@@ -21,15 +21,15 @@
   kind: JobKind;
   priority: Priority;
   tasks: number;
-  /** Of each task, as are accelerators and memory. */
+  /** Per task, as are `gpus` and `memGb`. */
   cpus: number;
   gpus: number;
   memGb: number;
   image: string;
   imageGb: number;
-  /** null: any. */
+  /** null if any type will do. */
   machineTypes: string[] | null;
-  /** null: any. */
+  /** null if any zone will do. */
   zone: string | null;
   /** All tasks run in one zone. */
   samePlace: boolean;
@@ -39,15 +39,15 @@
   spot: boolean;
   /** Estimated run time of a task. */
   estimateS: number;
-  /** Between two checkpoints of a task; 0: it writes none. */
+  /** Interval between two checkpoints of a task; 0 if it writes none. */
   checkpointS: number;
-  /** How long a task that is stopped takes to save its checkpoint. */
+  /** Time that a task needs to save its checkpoint when it is stopped. */
   saveS: number;
-  /** Counted from the acceptance; null: none. */
+  /** Counted from the acceptance of the job; null if there is none. */
   deadlineS: number | null;
 }
 
-/** How far a task is on its machine. */
+/** State of a task on its machine. */
 export type TaskState =
   "fetching" | "waiting" | "running" | "saving" | "exited";
 /** Why a task exited. */
@@ -67,12 +67,12 @@
   index: number;
   attempt: number;
   state: TaskState;
-  /** null: it has not exited. */
+  /** null if it has not exited. */
   cause: ExitCause | null;
   checkpointed: boolean;
 }
 
-/** What a worker reports of itself and its tasks. */
+/** A worker's report on itself and its tasks. */
 export interface Heartbeat {
   worker: string;
   address: string;
@@ -83,14 +83,14 @@
   incarnation: number;
   /** Grows with each heartbeat of an incarnation. */
   sequence: number;
-  /** The fencing token under which the worker was last answered. */
+  /** The fencing token of the last reply that the worker received. */
   token: number;
-  /** Until the platform takes the machine back; null: no notice was given. */
+  /** Time until the platform reclaims the machine; null if it has given no notice. */
   noticeS: number | null;
   tasks: ReportedTask[];
 }
 
-/** What a leader tells a worker to do with one attempt of a task. `graceS`: time to save a checkpoint. */
+/** A leader's command to a worker for one attempt of a task. `graceS`: time to save a checkpoint. */
 export type Command =
   | { op: "start"; job: string; index: number; attempt: number }
   | { op: "stop"; job: string; index: number; attempt: number; graceS: number }
@@ -102,7 +102,7 @@
   cpus: number;
   gpus: number;
   memGb: number;
-  /** Of images that were fetched. */
+  /** Size of the cache of fetched images. */
   cacheGb: number;
   fetchGbPerS: number;
   price: number;
@@ -111,7 +111,7 @@
   zones: string[];
 }
 
-/** A machine in the cloud platform's list of those rented. */
+/** An entry of the cloud platform's list of rented machines. */
 export interface ListedMachine {
   id: string;
   address: string;
@@ -122,58 +122,58 @@
   ageS: number;
 }
 
-/** What the operators may set; every value has a default (config/operator.ts). */
+/** Settings of the operators; each has a default (config/operator.ts). */
 export interface Tuning {
-  /** Of so many tasks served, at least one comes from a waiting queue of long tasks. */
+  /** At least one in this many tasks that are started comes from a queue of long tasks, while one is waiting. */
   longEvery: number;
-  /** Part of a partition's machines of a type that serves short tasks only. */
+  /** Share of a partition's machines of each type that is reserved for short tasks. */
   reservedShare: number;
-  /** Estimated run time below which a task is short. */
+  /** Tasks with a shorter estimated run time count as short. */
   shortCutoffS: number;
-  /** The same for gangs: estimated run time times tasks, since a gang takes all its machines at once. */
+  /** The same for gangs, of the run time multiplied by the number of tasks, since a gang occupies all its machines at once. */
   shortGangS: number;
-  /** A gang reserves the capacity that it could use already once it has waited this long. */
+  /** Waiting time after which a gang reserves the capacity that it can already use. */
   holdAfterS: number;
-  /** No job waits longer for its first start where it could have had one; 0: no such bound. */
+  /** Upper bound on the wait for a job's first start, if it could have started at all; 0 for no bound. */
   beginWithinS: number;
-  /** Least idle time before a machine is given back. */
+  /** Minimum idle time before a machine is returned. */
   idleReturnS: number;
-  /** The same as a multiple of its type's usual boot time. */
+  /** The same minimum as a multiple of the usual boot time of its type. */
   idleBoots: number;
-  /** How far back the most machines in use at once counts for what is kept warm. */
+  /** Length of the period whose peak number of machines in use determines how many are kept warm. */
   warmWindowS: number;
-  /** Machines to have free beyond those in use, as part of them, where a class should start sooner than one boots. */
+  /** Spare machines, as a share of those in use, where the jobs of a class should start faster than a machine boots. */
   spareShare: number;
-  /** Part of its time until the deadline that a job waits for a spot machine before an ordinary one is rented. */
+  /** Share of the time until its deadline that a job waits for a spot machine before an on-demand one is rented. */
   cheapPatience: number;
-  /** Time without a heartbeat after which a machine is given back. */
+  /** Time without a heartbeat after which a machine is returned. */
   silentReturnS: number;
-  /** Multiple of the type's usual boot time after which a machine that never came up is given back. */
+  /** Multiple of the usual boot time of its type after which a machine that has not come up is returned. */
   bootPatience: number;
-  /** Send starts straight to the workers as well as in answers to heartbeats. */
+  /** Start commands are also sent directly to workers, in addition to the replies to heartbeats. */
   directOrders: boolean;
-  /** At equal priority teams within their guarantee come first, then those with the smaller share of it. */
+  /** At equal priority, teams within their guarantee come first, then teams that use a smaller share of it. */
   guaranteeOrder: boolean;
-  /** Arrays come in the order of their unfinished tasks in all partitions, and parts of limits follow that order. */
+  /** Arrays are ordered by their unfinished tasks in all partitions, and quota shares follow that order. */
   fleetOrder: boolean;
-  /** Limits of teams that the first record has no space for move between partitions: only once no controller of 0.1 can come back. */
+  /** Quota shares of teams that do not fit the first quota record also move. Only safe if no controller of 0.1 can come back. */
   dividedLimits: boolean;
-  /** Final records hold what webhooks need, and changes are passed on to those who follow them. */
+  /** Final records contain the data that webhooks need, and changes are published to webhooks. */
   tellEnds: boolean;
 }
 
-/** What decides when a waiting job is served, beside its description; for a job that others depend on, theirs count as well. */
+/** Priority and times that the scheduling of a job depends on, with those of the jobs that depend on it taken into account. */
 export interface EffectivePriority {
-  /** Time of day when it was accepted. Deadlines count from here. */
+  /** Time of day of its acceptance. Deadlines count from here. */
   acceptedAt: number;
-  /** Time of day when it could start: all other times count from here. */
+  /** Time of day from which it could start. All other times count from here. */
   readyAt: number;
   /** Its own priority, or the highest of the jobs that depend on it. */
   priority: Priority;
-  /** Time of day by which it should be done, so that jobs that depend on it can be in time too; Infinity: no deadline. */
+  /** Time of day by which it should be done for the jobs that depend on it to meet their deadlines; Infinity if there is none. */
   dueAt: number;
 }
 
-/** `req-000412` and 3 make `req-000412/3`. */
+/** The key of task 3 of job `req-000412` is `req-000412/3`. */
 export const taskKey = (job: string, index: number): string =>
   `${job}/${index}`;
--- a/src/coordination/pending-calls.ts
+++ b/src/coordination/pending-calls.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to the store, the cloud and workers whose replies have not come yet. Owns the numbering of calls: each goes out as an effect
- * with its number, and the input with the same number brings its reply.
+ * Calls to the store, the cloud and workers that wait for their replies. Owns the call ids: each call is emitted as an effect with its
+ * id, and its reply is the input with the same id.
  */
 import type { StateReply } from "../protocol/state.js";
 import type {
@@ -21,7 +21,7 @@
   commands: Command[];
 }
 
-/** Takes out the callback of a call: its reply counts once. */
+/** Removes and returns the callback of a call, so that only its first reply counts. */
 function take<Callback>(
   callbacks: Map<number, Callback>,
   callId: number,
@@ -31,7 +31,7 @@
   return callback;
 }
 
-/** Sends calls as effects, and passes each reply to whoever made the call. */
+/** Emits calls as effects, and passes each reply to the callback of its call. */
 export class PendingCalls {
   private lastCallId = 0;
   private readonly storeCalls = new Map<number, OnStoreReply>();
@@ -47,16 +47,16 @@
 
   constructor(private readonly emit: (effect: Effect) => void) {}
 
-  /** Calls to the store that wait for their replies. */
+  /** Number of calls to the store that wait for their replies. */
   get storeCallCount(): number {
     return this.storeCalls.size;
   }
 
-  /** Calls the store; bound, since it is passed on as a port. */
+  /** Calls the store. An arrow function, since it is passed to other parts as a port. */
   readonly callStore: CallStore = (call, priority, done) => {
-    const op = ++this.lastCallId;
-    this.storeCalls.set(op, done);
-    this.emit({ type: "storeCall", callId: op, call, priority });
+    const callId = ++this.lastCallId;
+    this.storeCalls.set(callId, done);
+    this.emit({ type: "storeCall", callId, call, priority });
   };
 
   /** Calls the cloud platform. */
@@ -65,39 +65,39 @@
     priority: CallPriority,
     done: (reply: CloudReply) => void,
   ): void {
-    const op = ++this.lastCallId;
-    this.cloudCalls.set(op, done);
-    this.emit({ type: "cloudCall", callId: op, call, priority });
+    const callId = ++this.lastCallId;
+    this.cloudCalls.set(callId, done);
+    this.emit({ type: "cloudCall", callId, call, priority });
   }
 
   /** Sends commands to a worker. */
   sendCommands(batch: CommandBatch, done: (reply: CommandReply) => void): void {
-    const op = ++this.lastCallId;
-    this.commandCalls.set(op, done);
-    this.emit({ type: "workerCommand", callId: op, ...batch });
+    const callId = ++this.lastCallId;
+    this.commandCalls.set(callId, done);
+    this.emit({ type: "workerCommand", callId, ...batch });
   }
 
-  /** Asks a machine for its heartbeat; null: none came. */
+  /** Requests a heartbeat from a machine; null if there was no reply. */
   inspect(address: string, done: (heartbeat: Heartbeat | null) => void): void {
-    const op = ++this.lastCallId;
-    this.inspections.set(op, done);
-    this.emit({ type: "inspect", callId: op, address });
+    const callId = ++this.lastCallId;
+    this.inspections.set(callId, done);
+    this.emit({ type: "inspect", callId, address });
   }
 
-  /** A reply to a call that nobody waits for is ignored, here and below. */
-  onStoreReply(op: number, reply: StateReply, sentMs: number): void {
-    take(this.storeCalls, op)?.(reply, sentMs);
+  /** This and the methods below ignore replies without a pending call. */
+  onStoreReply(callId: number, reply: StateReply, sentMs: number): void {
+    take(this.storeCalls, callId)?.(reply, sentMs);
   }
 
-  onCloudReply(op: number, reply: CloudReply): void {
-    take(this.cloudCalls, op)?.(reply);
+  onCloudReply(callId: number, reply: CloudReply): void {
+    take(this.cloudCalls, callId)?.(reply);
   }
 
-  onCommandReply(op: number, reply: CommandReply): void {
-    take(this.commandCalls, op)?.(reply);
+  onCommandReply(callId: number, reply: CommandReply): void {
+    take(this.commandCalls, callId)?.(reply);
   }
 
-  onInspectReply(op: number, heartbeat: Heartbeat | null): void {
-    take(this.inspections, op)?.(heartbeat);
+  onInspectReply(callId: number, heartbeat: Heartbeat | null): void {
+    take(this.inspections, callId)?.(heartbeat);
   }
 }
--- a/src/coordination/statistics.ts
+++ b/src/coordination/statistics.ts
@@ -1,11 +1,11 @@
-/** How the partitions stand that this controller leads, for metrics. Computed when asked for; owns no state. */
+/** Figures on the partitions that this controller leads, for metrics. Computed on request; owns no state. */
 import type { Clock, Configuration, StoreView } from "./context.js";
 import { NO_USE, type ResourceUse } from "./machines/resource-ledger.js";
 import type { ResourceAmounts } from "./quota/index.js";
 import type { PartitionState } from "./scheduling/partition-state.js";
 import type { PartitionLeader } from "./scheduling/partition-leader.js";
 
-/** How things stand in the partitions that this controller leads. */
+/** Totals over the partitions that this controller leads. */
 export interface Statistics {
   unfinishedJobs: number;
   ledPartitions: number;
@@ -14,63 +14,63 @@
   queuedTasksWithoutAccelerator: number;
   queuedTasksWithAccelerator: number;
   runningTasks: number;
-  /** Machines whose heartbeats arrive and which get no commands. */
+  /** Machines whose heartbeats arrive but which commands do not reach. */
   unreachableMachines: number;
-  /** Heartbeats that were no newer than what was known, since these partitions were acquired. */
+  /** Heartbeats no newer than the last known status of their machine, since the partitions were acquired. */
   staleHeartbeats: number;
-  /** Times that a heartbeat said nothing of a task because the answer to its start had overtaken it. */
+  /** Times that a heartbeat lacked a task because it was older than the reply to the task's start command, and came after it. */
   overtakenHeartbeats: number;
-  /** Jobs that fail wherever they run. */
+  /** Jobs that fail on every machine. */
   quarantinedJobs: number;
-  /** The longest that a gang which has not begun has waited, in seconds. */
+  /** Longest current wait of a gang that has not started, in seconds. */
   longestGangWaitS: number;
-  /** Queries refused so far. */
+  /** Queries refused since the start. */
   refusedQueries: number;
-  /** For how long the job has been refused that was refused longest, in seconds. */
+  /** Longest time for which all queries about one job have been refused, in seconds. */
   longestRefusalS: number;
 }
 
-/** One team in one partition; amounts in CPUs and accelerators. */
+/** Figures on one team in one partition; amounts in CPUs and accelerators. */
 export interface TeamStatistics {
   team: string;
   partition: string;
-  /** Infinity: none. */
+  /** Infinity if there is none. */
   limit: ResourceAmounts;
   guarantee: ResourceAmounts;
-  /** Part of the limit that the partition may use. */
+  /** Share of the limit that the partition may use. */
   limitShare: ResourceAmounts;
   used: ResourceAmounts;
-  /** All that may run, with what a former leader may have left. */
+  /** Upper bound of the use, including tasks that a former leader may have started. */
   possibleUse: ResourceAmounts;
-  /** What the last heartbeats of the machines show. */
+  /** Use according to the last heartbeats of the machines. */
   reportedUse: ResourceAmounts;
-  /** Waiting work that has a place, now or to be rented. */
+  /** Needs of waiting tasks that fit on machines that are rented or could be. */
   waiting: ResourceAmounts;
-  /** Of that, what the team is promised and does not have. */
+  /** The part of `waiting` that the team is guaranteed and does not have. */
   guaranteeDeficit: ResourceAmounts;
-  /** Part of the limit on its way to other partitions. */
+  /** Part of the limit that is being transferred to other partitions. */
   limitInTransfer: ResourceAmounts;
-  /** Preempted of other teams for this team since this controller acquired the partition. */
+  /** Resources of other teams preempted for this team since this controller acquired the partition. */
   reclaimed: ResourceAmounts;
 }
 
-/** Queries that a queue has refused. */
+/** Refusals of a queue of queries. */
 interface Refusals {
-  /** How many so far. */
+  /** Queries refused since the start. */
   refusedCount: number;
-  /** Since when the job has been refused that was refused longest, in steady time; null: none is. */
+  /** Start of the longest current refusal of a job's queries, in steady time; null if there is none. */
   longestRefusedSinceMs: number | null;
 }
 
 type StatisticsContext = Clock & Configuration & StoreView;
 
-/** Sums up the partitions that this controller leads; `refusals`: of each queue of queries. */
+/** Sums up the partitions that this controller leads. `refusals`: those of each queue of queries. */
 export function collectStatistics(
   ctx: StatisticsContext,
   leaders: ReadonlyMap<string, PartitionLeader>,
   refusals: readonly Refusals[],
 ): Statistics {
-  const oldestMs = Math.min(
+  const longestRefusedSinceMs = Math.min(
     ...refusals.map((queue) => queue.longestRefusedSinceMs ?? Infinity),
   );
   const statistics: Statistics = {
@@ -87,10 +87,13 @@
     quarantinedJobs: 0,
     longestGangWaitS: 0,
     refusedQueries: refusals.reduce(
-      (sum, { refusedCount: refused }) => sum + refused,
+      (sum, { refusedCount }) => sum + refusedCount,
       0,
     ),
-    longestRefusalS: oldestMs === Infinity ? 0 : (ctx.nowMs - oldestMs) / 1000,
+    longestRefusalS:
+      longestRefusedSinceMs === Infinity
+        ? 0
+        : (ctx.nowMs - longestRefusedSinceMs) / 1000,
   };
   for (const leader of leaders.values()) {
     addMachines(statistics, leader);
@@ -133,7 +136,7 @@
   }
 }
 
-/** How each team stands in each partition that this controller leads. */
+/** Figures on each team in each partition that this controller leads. */
 export function collectTeamStatistics(
   { settings }: Configuration,
   leaders: ReadonlyMap<string, PartitionLeader>,
@@ -150,7 +153,7 @@
   });
 }
 
-/** What a team has on machines by their last heartbeats: started tasks that these show, and unconfirmed ones. */
+/** A team's use according to the last heartbeats of the machines: tasks reported as started, and unconfirmed tasks. */
 function reportedUse(state: PartitionState, team: string): ResourceAmounts {
   const { cpus, gpus } = state.ledger.unconfirmedUseOfTeam(team);
   const sum: ResourceAmounts = [cpus, gpus];
@@ -166,24 +169,24 @@
   return sum;
 }
 
-/** A team's quota in one partition. */
+/** Quota and use of a team in one partition. */
 function quotaOf(
   { quota, guarantees, reclaims, state }: PartitionLeader,
   team: string,
   usage: Readonly<ResourceUse>,
 ): Omit<TeamStatistics, "team" | "partition" | "limit" | "guarantee"> {
-  const known = state.ledger.useOfTeam(team);
+  const confirmedUse = state.ledger.useOfTeam(team);
   const waiting = quota.waiting(team);
-  const lacking = guarantees.headroom(team, usage) ?? [0, 0];
+  const guaranteeHeadroom = guarantees.headroom(team, usage) ?? [0, 0];
   return {
     limitShare: quota.share(team),
-    used: [known.cpus, known.gpus],
+    used: [confirmedUse.cpus, confirmedUse.gpus],
     possibleUse: [usage.cpus, usage.gpus],
     reportedUse: reportedUse(state, team),
     waiting,
     guaranteeDeficit: [
-      Math.max(0, Math.min(waiting[0], lacking[0])),
-      Math.max(0, Math.min(waiting[1], lacking[1])),
+      Math.max(0, Math.min(waiting[0], guaranteeHeadroom[0])),
+      Math.max(0, Math.min(waiting[1], guaranteeHeadroom[1])),
     ],
     limitInTransfer: quota.inFlight(team),
     reclaimed: reclaims.reclaimed.get(team) ?? [0, 0],
--- a/src/coordination/store-event-handler.ts
+++ b/src/coordination/store-event-handler.ts
@@ -1,4 +1,4 @@
-/** Passes on what the cache shows anew, to the parts of the core that act on it. */
+/** Dispatches changes of the store cache to the parts of the core that act on them. */
 import type { RateLimitedLog } from "../logging/rate-limited-log.js";
 import type { StoreView } from "./context.js";
 import type { DependencyTracker } from "./jobs/dependency-tracker.js";
@@ -7,7 +7,7 @@
 import type { JobView } from "./store/job-view.js";
 import type { StoreEvent } from "./store/store-events.js";
 
-/** The parts that act on changes of the store. */
+/** The parts of the core that act on changes of the store cache. */
 interface StoreEventTargets {
   leaders: PartitionLeaders;
   dependencies: DependencyTracker;
@@ -15,14 +15,14 @@
   inconsistencyLog: RateLimitedLog;
 }
 
-/** Hands each event to its targets, then brings partition leaders and dependencies up to date. */
+/** Passes each event to its targets, then updates the partition leaders and processes the jobs that wait for others. */
 export class StoreEventHandler {
   constructor(
     private readonly ctx: StoreView,
     private readonly targets: StoreEventTargets,
   ) {}
 
-  /** Events in the order in which the cache has seen them. */
+  /** Handles events in the order in which the cache applied them. */
   handle(events: readonly StoreEvent[]): void {
     for (const event of events) this.handleOne(event);
     this.targets.leaders.update();
@@ -44,7 +44,7 @@
         return pendingAssignments.forget(event.partition);
       case "unreadable":
         return inconsistencyLog.warn("unreadable record", event.key, {});
-      // Read from the cache when they are needed.
+      // No part acts on these at once: they are read from the cache when they are needed.
       case "partition":
       case "leadershipBid":
       case "quota":
@@ -64,7 +64,7 @@
     this.targets.dependencies.onJobRemoved(jobId);
   }
 
-  /** Only leaders that know the job have tasks of it. */
+  /** Only leaders that have the job have tasks of it. */
   private onTasksCompleted(jobId: string): void {
     const job = this.ctx.cache.jobs.get(jobId);
     if (!job) return;
--- a/src/coordination/transactions.ts
+++ b/src/coordination/transactions.ts
@@ -1,6 +1,6 @@
 /**
- * Transactions at the store: turns replies into outcomes, notes what was written, and logs what needs the operators. Owns the
- * transactions whose outcome is not known.
+ * Transactions at the store: maps replies to outcomes, tells the cache which revisions were written, and logs what operators should
+ * know. Owns the transactions whose outcome is unknown.
  */
 import {
   type Change,
@@ -24,14 +24,14 @@
 /** The store's reply to a malformed or too large request. */
 const BAD_REQUEST = "400";
 
-/** What transactions need from the controller around them. */
+/** Services that `Transactions` needs from the controller. */
 interface TransactionPorts {
   callStore: CallStore;
-  /** The store has said that this store lease is over. */
+  /** The store has reported that this store lease has ended. */
   onStoreLeaseEnded(storeLease: number): void;
 }
 
-/** Sends transactions and judges how they ended. */
+/** Sends transactions and determines their outcomes. */
 export class Transactions implements StoreTransactions {
   private readonly indeterminate = new IndeterminateTransactions();
 
@@ -53,10 +53,13 @@
     );
   }
 
-  /** Logs those transactions without an answer that these changes show to have been carried out. */
+  /** Logs the transactions of unknown outcome that turn out to be applied, since these changes contain their writes. */
   logLateTransactions(changes: readonly Change[]): void {
-    for (const late of this.indeterminate.takeApplied(changes, this.ctx.nowMs))
-      this.ctx.log("indeterminate transaction was applied", late);
+    for (const applied of this.indeterminate.takeApplied(
+      changes,
+      this.ctx.nowMs,
+    ))
+      this.ctx.log("indeterminate transaction was applied", applied);
   }
 
   private outcomeOf(
@@ -85,10 +88,10 @@
       if (write.op === "put") this.ctx.cache.noteCommitted(write.key, revision);
   }
 
-  private onRefused(why: string, writes: readonly Write[]): void {
-    if (why === STORE_LEASE_ENDED) this.endStoreLeasesOf(writes);
-    // Repeated unchanged it would be refused for ever: everything written is kept within the limits, now and next.
-    else if (why === BAD_REQUEST)
+  private onRefused(reason: string, writes: readonly Write[]): void {
+    if (reason === STORE_LEASE_ENDED) this.endStoreLeasesOf(writes);
+    // A retry would be refused as well. Not expected: all writes are kept within the store's current and announced limits.
+    else if (reason === BAD_REQUEST)
       this.ctx.log("transaction rejected by the store", {
         writes: writes.map((write) => [
           write.op,
