--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,7 +1,7 @@
 import * as v from "valibot";
 import type { ListedMachine, MachineType } from "../coordination/model.js";
 
-/** The cloud's interface. */
+/** Bodies and paths of the cloud platform's interface. Its names are mapped to those of the core here. */
 
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 const amount = v.optional(
@@ -25,8 +25,8 @@
     }),
   ),
 });
-const Rented = v.object({ berths: v.array(text) });
-const Listed = v.object({
+const RentReply = v.object({ berths: v.array(text) });
+const MachineListPage = v.object({
   berths: v.array(
     v.object({
       id: text,
@@ -42,42 +42,42 @@
 });
 
 export function parseCatalog(raw: unknown): MachineType[] | null {
-  const got = v.safeParse(Catalog, raw);
-  if (!got.success) return null;
-  return got.output.hulls.map((h) => ({
-    name: h.name,
-    cpus: h.cores ?? 0,
-    gpus: h.accelerators ?? 0,
-    memGb: h.memoryGb ?? 0,
-    cacheGb: h.localGb ?? 0,
-    fetchGbPerS: h.pullGbPerS || 1,
-    price: h.price ?? 0,
-    spotPrice: h.marketPrice || (h.price ?? 0),
-    bootS: h.startupS ?? 0,
-    zones: h.yards,
+  const parsed = v.safeParse(Catalog, raw);
+  if (!parsed.success) return null;
+  return parsed.output.hulls.map((type) => ({
+    name: type.name,
+    cpus: type.cores ?? 0,
+    gpus: type.accelerators ?? 0,
+    memGb: type.memoryGb ?? 0,
+    cacheGb: type.localGb ?? 0,
+    fetchGbPerS: type.pullGbPerS || 1,
+    price: type.price ?? 0,
+    spotPrice: type.marketPrice || (type.price ?? 0),
+    bootS: type.startupS ?? 0,
+    zones: type.yards,
   }));
 }
 
 export function parseRented(raw: unknown): string[] | null {
-  const got = v.safeParse(Rented, raw);
-  return got.success ? got.output.berths : null;
+  const parsed = v.safeParse(RentReply, raw);
+  return parsed.success ? parsed.output.berths : null;
 }
 
 export function parseList(
   raw: unknown,
 ): { machines: ListedMachine[]; more: boolean } | null {
-  const got = v.safeParse(Listed, raw);
-  if (!got.success) return null;
+  const parsed = v.safeParse(MachineListPage, raw);
+  if (!parsed.success) return null;
   return {
-    more: got.output.truncated ?? false,
-    machines: got.output.berths.map((m) => ({
-      id: m.id,
-      address: m.address ?? "",
-      type: m.hull,
-      zone: m.yard,
-      spot: m.loaners ?? false,
-      state: m.status,
-      ageS: m.ageS ?? 0,
+    more: parsed.output.truncated ?? false,
+    machines: parsed.output.berths.map((machine) => ({
+      id: machine.id,
+      address: machine.address ?? "",
+      type: machine.hull,
+      zone: machine.yard,
+      spot: machine.loaners ?? false,
+      state: machine.status,
+      ageS: machine.ageS ?? 0,
     })),
   };
 }
--- a/src/protocol/frames.ts
+++ b/src/protocol/frames.ts
@@ -1,21 +1,21 @@
 /**
- * Frames between controllers. Each is: length of what follows (u32), version (u8), type (u8), request id (u32),
- * payload; numbers are big-endian. Replies bear the id of their request. A frame of another version, of unknown
- * type or over the bound closes the connection.
+ * Frames between controllers. A frame consists of the length of the rest (u32), version (u8), type (u8), request id
+ * (u32) and payload; numbers are big-endian. A reply has the id of its request. A frame of another version, of
+ * unknown type or above the size limit closes the connection.
  */
 export const FRAME_VERSION = 1;
 export const MAX_FRAME_BYTES = 1 << 20;
-const HEAD = 10;
+const HEADER_BYTES = 10;
 
-/** Types of frames, as they stand in a frame's head. */
+/** Frame types, as in the header of a frame. */
 export const Frame = {
   Ping: 1,
   Pong: 2,
-  /** A worker's report that came to the wrong node: payload is its JSON body. */
+  /** A worker's heartbeat, relayed to the leader of its partition. The payload is its JSON body. */
   Heartbeat: 3,
-  /** A call to the state service, for a controller that it refuses. */
+  /** A call to the state service for a controller that cannot reach the service. The payload is the call as JSON. */
   StoreCall: 4,
-  /** Reply to either: status (u16), then the body. */
+  /** Reply to a heartbeat or a store call: status (u16), then the body. */
   Reply: 5,
 } as const;
 export type Frame = (typeof Frame)[keyof typeof Frame];
@@ -23,19 +23,19 @@
 const FIRST_TYPE: number = Frame.Ping;
 const LAST_TYPE: number = Frame.Reply;
 
-interface Message {
+interface ReceivedFrame {
   type: Frame;
   id: number;
   payload: Buffer;
 }
 
 export function encodeFrame(type: Frame, id: number, payload: Buffer): Buffer {
-  const head = Buffer.allocUnsafe(HEAD);
-  head.writeUInt32BE(payload.length + HEAD - 4, 0);
-  head.writeUInt8(FRAME_VERSION, 4);
-  head.writeUInt8(type, 5);
-  head.writeUInt32BE(id >>> 0, 6);
-  return Buffer.concat([head, payload]);
+  const header = Buffer.allocUnsafe(HEADER_BYTES);
+  header.writeUInt32BE(payload.length + HEADER_BYTES - 4, 0);
+  header.writeUInt8(FRAME_VERSION, 4);
+  header.writeUInt8(type, 5);
+  header.writeUInt32BE(id >>> 0, 6);
+  return Buffer.concat([header, payload]);
 }
 
 export function encodeReply(id: number, status: number, body: string): Buffer {
@@ -53,33 +53,36 @@
     : { status: payload.readUInt16BE(0), body: payload.toString("utf8", 2) };
 }
 
-/** Cuts a byte stream into frames; holds at most one unfinished frame. */
+/** Splits a byte stream into frames. Buffers at most one incomplete frame. */
 export class FrameReader {
-  private held: Buffer = Buffer.alloc(0);
+  private incomplete: Buffer = Buffer.alloc(0);
 
-  /** The frames that are complete now; null if the stream is no sequence of frames of this version. */
-  push(data: Buffer): Message[] | null {
-    let b = this.held.length > 0 ? Buffer.concat([this.held, data]) : data;
-    const out: Message[] = [];
-    while (b.length >= 4) {
-      const length = b.readUInt32BE(0);
-      if (length < HEAD - 4 || length > MAX_FRAME_BYTES) return null;
+  /** Adds data and returns the frames that it completes; null if the stream is not a sequence of frames of this version. */
+  push(data: Buffer): ReceivedFrame[] | null {
+    let buffer =
+      this.incomplete.length > 0
+        ? Buffer.concat([this.incomplete, data])
+        : data;
+    const frames: ReceivedFrame[] = [];
+    while (buffer.length >= 4) {
+      const length = buffer.readUInt32BE(0);
+      if (length < HEADER_BYTES - 4 || length > MAX_FRAME_BYTES) return null;
       if (
-        b.length >= 6 &&
-        (b.readUInt8(4) !== FRAME_VERSION ||
-          b.readUInt8(5) < FIRST_TYPE ||
-          b.readUInt8(5) > LAST_TYPE)
+        buffer.length >= 6 &&
+        (buffer.readUInt8(4) !== FRAME_VERSION ||
+          buffer.readUInt8(5) < FIRST_TYPE ||
+          buffer.readUInt8(5) > LAST_TYPE)
       )
         return null;
-      if (b.length < length + 4) break;
-      out.push({
-        type: b.readUInt8(5) as Frame,
-        id: b.readUInt32BE(6),
-        payload: Buffer.from(b.subarray(HEAD, length + 4)),
+      if (buffer.length < length + 4) break;
+      frames.push({
+        type: buffer.readUInt8(5) as Frame,
+        id: buffer.readUInt32BE(6),
+        payload: Buffer.from(buffer.subarray(HEADER_BYTES, length + 4)),
       });
-      b = b.subarray(length + 4);
+      buffer = buffer.subarray(length + 4);
     }
-    this.held = Buffer.from(b);
-    return out;
+    this.incomplete = Buffer.from(buffer);
+    return frames;
   }
 }
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,16 +1,16 @@
 import * as v from "valibot";
 import type { JobKind, JobSpec } from "../coordination/model.js";
 
-/** Users' interface: wire names stop in this folder. */
+/** Requests and responses of users. Names on the wire are mapped to those of the core in this folder. */
 
 export const JOB_ID = /^req-[0-9]{1,40}$/;
 export const MAX_TASKS = 100_000;
-/** Jobs that one may wait for: their names stand in its record, and each is looked up when it is accepted. */
-const MAX_AWAITS = 64;
+/** Jobs that a job may depend on. Its record contains their ids, and each is looked up when the job is accepted. */
+const MAX_DEPENDENCIES = 64;
 /** Strings and lists in a job are bounded so that its record always fits a value of the state service. */
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e12));
-/** The wire's words for the kinds of jobs. */
+/** Job kinds by their names on the wire. */
 const JOB_KINDS = {
   batch: "array",
   ensemble: "gang",
@@ -18,7 +18,7 @@
 } as const satisfies Record<string, JobKind>;
 const flag = v.optional(v.nullable(v.boolean()), false);
 
-const Job = v.object({
+const JobBody = v.object({
   id: v.pipe(v.string(), v.regex(JOB_ID, "must look like req-000412")),
   jobclass: text,
   crew: text,
@@ -49,7 +49,7 @@
           v.pipe(v.string(), v.regex(JOB_ID, "must look like req-000412")),
         ),
         v.transform((ids) => [...new Set(ids)]),
-        v.maxLength(MAX_AWAITS, `at most ${MAX_AWAITS} jobs`),
+        v.maxLength(MAX_DEPENDENCIES, `at most ${MAX_DEPENDENCIES} jobs`),
       ),
     ),
     null,
@@ -75,40 +75,40 @@
   return { ok: true, value: raw };
 }
 
-/** `dependsOn`: the jobs that have to be done before this one starts. */
+/** Parses a submitted job. `dependsOn`: the jobs that must be done before this one starts. */
 export function parseJob(
   body: string,
 ): Parsed<{ spec: JobSpec; dependsOn: string[] }> {
   const raw = parseObject(body);
   if (!raw.ok) return raw;
-  const got = v.safeParse(Job, raw.value);
-  if (!got.success) return { ok: false, error: firstIssue(got.issues) };
-  const j = got.output;
+  const parsed = v.safeParse(JobBody, raw.value);
+  if (!parsed.success) return { ok: false, error: firstIssue(parsed.issues) };
+  const job = parsed.output;
   return {
     ok: true,
     value: {
-      dependsOn: j.awaits ?? [],
+      dependsOn: job.awaits ?? [],
       spec: {
-        id: j.id,
-        jobClass: j.jobclass,
-        team: j.crew,
-        kind: JOB_KINDS[j.shape],
-        priority: j.urgency,
-        tasks: j.shards,
-        cpus: j.cores,
-        gpus: j.accelerators ?? 0,
-        memGb: j.memoryGb,
-        image: j.bundle ?? "",
-        imageGb: j.sizeGb ?? 0,
-        machineTypes: j.hulls,
-        zone: j.yard,
-        samePlace: j.samePlace ?? false,
-        spread: j.spread ?? false,
-        spot: j.loaners ?? false,
-        estimateS: j.reckonS ?? 0,
-        checkpointS: j.stashEveryS ?? 0,
-        saveS: j.stashS ?? 0,
-        deadlineS: j.dueS,
+        id: job.id,
+        jobClass: job.jobclass,
+        team: job.crew,
+        kind: JOB_KINDS[job.shape],
+        priority: job.urgency,
+        tasks: job.shards,
+        cpus: job.cores,
+        gpus: job.accelerators ?? 0,
+        memGb: job.memoryGb,
+        image: job.bundle ?? "",
+        imageGb: job.sizeGb ?? 0,
+        machineTypes: job.hulls,
+        zone: job.yard,
+        samePlace: job.samePlace ?? false,
+        spread: job.spread ?? false,
+        spot: job.loaners ?? false,
+        estimateS: job.reckonS ?? 0,
+        checkpointS: job.stashEveryS ?? 0,
+        saveS: job.stashS ?? 0,
+        deadlineS: job.dueS,
       },
     },
   };
--- a/src/protocol/state.ts
+++ b/src/protocol/state.ts
@@ -1,12 +1,16 @@
 import * as v from "valibot";
 
-/** The state service's interface. */
+/**
+ * Requests and replies of the state service. `StateCall` and `StateReply` are also sent between controllers as JSON, so
+ * their names are fixed.
+ */
 
 export interface Condition {
   key: string;
-  /** Revision of the key's last change; 0: must not exist. */
+  /** Required revision of the key's last change; 0 if the key must not exist. */
   version: number;
 }
+/** `hold`: id of the store lease that the record is attached to. The service deletes the record when the lease ends. */
 export type Write =
   | { op: "put"; key: string; value: unknown; hold?: number }
   | { op: "delete"; key: string };
@@ -19,6 +23,7 @@
   | { op: "put"; key: string; value: unknown; version: number }
   | { op: "delete"; key: string; version: number };
 
+/** `newHold` requests a store lease, `touch` renews it. `changes` reads what follows revision `since`, or waits for it. */
 export type StateCall =
   | { op: "get"; key: string }
   | { op: "list"; prefix: string; after: string }
@@ -27,7 +32,10 @@
   | { op: "touch"; hold: number }
   | { op: "changes"; prefix: string; since: number; waitMs: number };
 
-/** `refused`: certainly not carried out. `unknown`: it may have been, or may yet be. */
+/**
+ * `refused`: the call was certainly not carried out. `unknown`: it may have been, or may still be later. `gone`: the lease
+ * has ended, or the changes since that revision are no longer available. `epoch`: revision of the store.
+ */
 export type StateReply =
   | { is: "item"; item: Item | null }
   | { is: "items"; items: Item[]; more: boolean; epoch: number }
@@ -41,12 +49,12 @@
   | { is: "unknown"; why: string };
 
 const Int = v.pipe(v.number(), v.integer(), v.minValue(0));
-const Items = v.object({
+const ListReply = v.object({
   items: v.array(v.object({ k: v.string(), value: v.unknown(), stamp: Int })),
   truncated: v.optional(v.nullable(v.boolean()), false),
   epoch: Int,
 });
-const Log = v.object({
+const ChangesReply = v.object({
   epoch: Int,
   log: v.optional(
     v.nullable(
@@ -62,12 +70,12 @@
     [],
   ),
 });
-const Got = v.object({ k: v.string(), value: v.unknown(), stamp: Int });
-/** Why a put attached to a hold that has ended is refused; every other 400 is a mistake in the request. */
+const ItemReply = v.object({ k: v.string(), value: v.unknown(), stamp: Int });
+/** The service's error for a put attached to a lease that has ended. Any other 400 is a defect of the request. */
 export const STORE_LEASE_ENDED = "no such lease";
-const Refused = v.object({ error: v.literal(STORE_LEASE_ENDED) });
-const Epoch = v.object({ epoch: Int });
-const Hold = v.object({ tenancy: Int });
+const LeaseEndedReply = v.object({ error: v.literal(STORE_LEASE_ENDED) });
+const CommitReply = v.object({ epoch: Int });
+const Lease = v.object({ tenancy: Int });
 
 export function stateRequest(call: StateCall): {
   method: "GET" | "POST";
@@ -87,15 +95,18 @@
         method: "POST",
         path: "/commit",
         body: JSON.stringify({
-          if: call.conditions.map((c) => ({ k: c.key, stamp: c.version })),
-          writes: call.writes.map((w) =>
-            w.op === "put"
+          if: call.conditions.map((condition) => ({
+            k: condition.key,
+            stamp: condition.version,
+          })),
+          writes: call.writes.map((write) =>
+            write.op === "put"
               ? {
-                  put: w.key,
-                  value: w.value,
-                  ...(w.hold === undefined ? {} : { tenancy: w.hold }),
+                  put: write.key,
+                  value: write.value,
+                  ...(write.hold === undefined ? {} : { tenancy: write.hold }),
                 }
-              : { delete: w.key },
+              : { delete: write.key },
           ),
         }),
       };
@@ -115,14 +126,14 @@
   }
 }
 
-function ok<S extends v.GenericSchema>(
+function read<S extends v.GenericSchema>(
   schema: S,
   raw: unknown,
-  then: (o: v.InferOutput<S>) => StateReply,
+  toReply: (body: v.InferOutput<S>) => StateReply,
 ): StateReply {
-  const got = v.safeParse(schema, raw);
-  return got.success
-    ? then(got.output)
+  const parsed = v.safeParse(schema, raw);
+  return parsed.success
+    ? toReply(parsed.output)
     : { is: "unknown", why: "malformed answer" };
 }
 
@@ -137,34 +148,37 @@
     case "get":
       if (status === 404) return { is: "item", item: null };
       if (status === 200)
-        return ok(Got, raw, (o) => ({
+        return read(ItemReply, raw, (body) => ({
           is: "item",
-          item: { key: o.k, value: o.value, version: o.stamp },
+          item: { key: body.k, value: body.value, version: body.stamp },
         }));
       break;
     case "list":
       if (status === 200)
-        return ok(Items, raw, (o) => ({
+        return read(ListReply, raw, (body) => ({
           is: "items",
-          epoch: o.epoch,
-          more: o.truncated ?? false,
-          items: o.items.map((i) => ({
-            key: i.k,
-            value: i.value,
-            version: i.stamp,
+          epoch: body.epoch,
+          more: body.truncated ?? false,
+          items: body.items.map((item) => ({
+            key: item.k,
+            value: item.value,
+            version: item.stamp,
           })),
         }));
       break;
     case "commit":
       if (status === 200)
-        return ok(Epoch, raw, (o) => ({ is: "committed", epoch: o.epoch }));
+        return read(CommitReply, raw, (body) => ({
+          is: "committed",
+          epoch: body.epoch,
+        }));
       if (status === 409) return { is: "conflict" };
-      if (status === 400 && v.is(Refused, raw))
+      if (status === 400 && v.is(LeaseEndedReply, raw))
         return { is: "refused", why: STORE_LEASE_ENDED };
       break;
     case "newHold":
       if (status === 200)
-        return ok(Hold, raw, (o) => ({ is: "hold", hold: o.tenancy }));
+        return read(Lease, raw, (body) => ({ is: "hold", hold: body.tenancy }));
       break;
     case "touch":
       if (status === 200) return { is: "touched" };
@@ -173,10 +187,10 @@
     case "changes":
       if (status === 410) return { is: "gone" };
       if (status === 200)
-        return ok(Log, raw, (o) => ({
+        return read(ChangesReply, raw, (body) => ({
           is: "changes",
-          epoch: o.epoch,
-          changes: (o.log ?? []).flatMap((e): Change[] => {
+          epoch: body.epoch,
+          changes: (body.log ?? []).flatMap((e): Change[] => {
             if (e.put !== undefined)
               return [
                 { op: "put", key: e.put, value: e.value, version: e.stamp },
@@ -188,7 +202,7 @@
         }));
       break;
   }
-  // A 400 and whatever else is no success: the service did nothing.
+  // With any other 4xx status, the service did nothing.
   return status >= 400 && status < 500
     ? { is: "refused", why: String(status) }
     : { is: "unknown", why: String(status) };
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -6,13 +6,13 @@
 } from "../coordination/model.js";
 import { firstIssue, MAX_TASKS, type Parsed, parseObject } from "./jobs.js";
 
-/** Workers' interface: reports, answers to them, and orders sent straight to a worker. */
+/** Heartbeats of workers, the replies to them, and commands sent directly to a worker. */
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 const MAX_REPORTED_TASKS = 5_000;
 
-const Task = v.object({
+const TaskBody = v.object({
   shard: v.pipe(
     v.string(),
     v.regex(/^req-[0-9]{1,40}\/[0-9]{1,6}$/, "must look like req-000412/3"),
@@ -37,7 +37,7 @@
   kept: v.optional(v.nullable(v.boolean()), false),
 });
 
-const Hello = v.object({
+const HeartbeatBody = v.object({
   berth: text,
   address: v.pipe(
     v.string(),
@@ -51,70 +51,70 @@
   baton: v.optional(v.nullable(count), 0),
   recallS: v.optional(v.nullable(v.pipe(v.number(), v.finite())), null),
   shards: v.optional(
-    v.nullable(v.pipe(v.array(Task), v.maxLength(MAX_REPORTED_TASKS))),
+    v.nullable(v.pipe(v.array(TaskBody), v.maxLength(MAX_REPORTED_TASKS))),
     [],
   ),
 });
 
 const SequenceOnly = v.object({ tally: count });
 
-/** Of a name that the schema has found well formed. */
-function splitTask(key: string): { job: string; index: number } | null {
-  const at = key.lastIndexOf("/");
-  const index = Number(key.slice(at + 1));
-  return index < MAX_TASKS ? { job: key.slice(0, at), index } : null;
+/** Splits a task key that the schema has validated; null if the index is out of range. */
+function splitTaskKey(key: string): { job: string; index: number } | null {
+  const slash = key.lastIndexOf("/");
+  const index = Number(key.slice(slash + 1));
+  return index < MAX_TASKS ? { job: key.slice(0, slash), index } : null;
 }
 
-/** The longest that a worker in touch is silent: a report comes every `report_s`, give or take a quarter, and is given up after 4 s. */
+/** Longest time between two heartbeats of a reachable worker: one starts every `report_s`, ±25%, and times out after 4 s. */
 export const maxHeartbeatGapMs = (reportS: number): number =>
   (reportS * 1.25 + 4) * 1000;
 
 export function parseHeartbeat(body: string): Parsed<Heartbeat> {
   const raw = parseObject(body);
   if (!raw.ok) return raw;
-  const got = v.safeParse(Hello, raw.value);
-  if (!got.success) return { ok: false, error: firstIssue(got.issues) };
-  const r = got.output;
+  const parsed = v.safeParse(HeartbeatBody, raw.value);
+  if (!parsed.success) return { ok: false, error: firstIssue(parsed.issues) };
+  const heartbeat = parsed.output;
   const tasks: ReportedTask[] = [];
-  const states = new Map<string, string>();
-  for (const t of r.shards ?? []) {
-    const id = splitTask(t.shard);
+  const stateByAttempt = new Map<string, string>();
+  for (const task of heartbeat.shards ?? []) {
+    const id = splitTaskKey(task.shard);
     if (!id)
-      return { ok: false, error: `shards: ${t.shard}: no such task number` };
-    const state = `${t.status}/${t.cause ?? ""}`;
-    const before = states.get(`${t.shard}#${t.try}`);
-    if (before !== undefined && before !== state)
+      return { ok: false, error: `shards: ${task.shard}: no such task number` };
+    const state = `${task.status}/${task.cause ?? ""}`;
+    const previous = stateByAttempt.get(`${task.shard}#${task.try}`);
+    if (previous !== undefined && previous !== state)
       return {
         ok: false,
-        error: `shards: ${t.shard}: attempt ${t.try} is ${before.split("/")[0]} and ${t.status}`,
+        error: `shards: ${task.shard}: attempt ${task.try} is ${previous.split("/")[0]} and ${task.status}`,
       };
-    states.set(`${t.shard}#${t.try}`, state);
+    stateByAttempt.set(`${task.shard}#${task.try}`, state);
     tasks.push({
       ...id,
-      attempt: t.try,
-      state: t.status,
-      cause: t.cause,
-      checkpointed: t.kept ?? false,
+      attempt: task.try,
+      state: task.status,
+      cause: task.cause,
+      checkpointed: task.kept ?? false,
     });
   }
   return {
     ok: true,
     value: {
-      worker: r.berth,
-      address: r.address,
-      type: r.hull,
-      zone: r.yard,
-      spot: r.loaners ?? false,
-      incarnation: r.watch,
-      sequence: r.tally,
-      token: r.baton ?? 0,
-      noticeS: r.recallS,
+      worker: heartbeat.berth,
+      address: heartbeat.address,
+      type: heartbeat.hull,
+      zone: heartbeat.yard,
+      spot: heartbeat.loaners ?? false,
+      incarnation: heartbeat.watch,
+      sequence: heartbeat.tally,
+      token: heartbeat.baton ?? 0,
+      noticeS: heartbeat.recallS,
       tasks,
     },
   };
 }
 
-/** The sequence of a machine's status, all that is needed of the answer to a command; null: it can't be read. */
+/** The sequence of a worker's status, the only field used of its reply to commands; null if it cannot be parsed. */
 export function readSequence(body: string): number | null {
   const raw = parseObject(body);
   if (!raw.ok) return null;
@@ -122,19 +122,24 @@
   return status.success ? status.output.tally : null;
 }
 
-function wireCommand(o: Command): object {
-  const shard = `${o.job}/${o.index}`;
-  switch (o.op) {
+function wireCommand(command: Command): object {
+  const shard = `${command.job}/${command.index}`;
+  switch (command.op) {
     case "start":
-      return { verb: "start", shard, try: o.attempt };
+      return { verb: "start", shard, try: command.attempt };
     case "stop":
-      return { verb: "kill", shard, try: o.attempt, leewayS: o.graceS };
+      return {
+        verb: "kill",
+        shard,
+        try: command.attempt,
+        leewayS: command.graceS,
+      };
     case "forget":
-      return { verb: "clear", shard, try: o.attempt };
+      return { verb: "clear", shard, try: command.attempt };
   }
 }
 
-/** At most this many orders in one message: keeps every line far below 64 KiB; the rest follows with the next. */
+/** Maximum number of commands in a message, which keeps it far below 64 KiB. The rest is sent with the next one. */
 const MAX_COMMANDS = 200;
 
 export const heartbeatAnswerBody = (
--- a/src/storage/keys.ts
+++ b/src/storage/keys.ts
@@ -1,8 +1,8 @@
 /**
- * Keys in the state service. What is alive lies under `lc/now/`, so a controller that starts reads only that; the records of
- * finished jobs move to `lc/past/`, are kept for ever and read one by one. One watch on `lc/` shows both.
+ * Keys in the state service. Live records are under `lc/now/`, so that a starting controller reads only these. Final records of
+ * jobs are under `lc/past/`; they are kept forever and read one at a time. One watch on `lc/` covers both.
  *
- * The stored names are older than the terms of this code, and stay: controllers of an earlier version read and write the
+ * The stored names differ from the terms of this code and cannot change: controllers of an earlier version read and write the
  * same keys at the same time.
  */
 export const ROOT_PREFIX = "lc/";
@@ -13,7 +13,7 @@
 export const leadershipBidKey = (partition: string): string =>
   `lc/now/claim/${partition}`;
 export const jobKey = (id: string): string => `lc/now/job/${id}`;
-/** Final records: kept for ever. */
+/** Final records, which are kept forever. */
 export const FINAL_PREFIX = "lc/past/";
 export const finalKey = (id: string): string => `${FINAL_PREFIX}${id}`;
 export const completionKey = (
@@ -21,7 +21,7 @@
   partition: string,
   block: number,
 ): string => `lc/now/fin/${id}/${partition}/${block}`;
-/** The attempt under which the parts of a gang start, and for each partition the attempt that it is ready for. */
+/** The attempt under which the parts of a gang start, and for each partition the attempt that its part is ready to follow. */
 export const gangKey = (id: string): string => `lc/now/gang/${id}`;
 export const readyKey = (id: string, partition: string): string =>
   `lc/now/ready/${id}/${partition}`;
@@ -30,18 +30,18 @@
 export const capacityKey = (partition: string): string =>
   `lc/now/room/${partition}`;
 /**
- * The partitions' shares of the teams' quotas. The first record is the one that the version before knows; it reads any key below it as
- * the same record, so teams that it has no room for are elsewhere.
+ * The partitions' shares of the teams' quotas. The previous version only has this record, and would read any key below it as the same
+ * record, so teams that do not fit are stored under `quotaKey`.
  */
 export const QUOTA_KEY = "lc/now/quota";
 export const quotaKey = (index: number): string => `lc/now/limit/${index}`;
-/** Which limits a live controller goes by; deleted with its store lease. */
+/** The limits in the settings of a live controller; deleted with its store lease. */
 export const observedLimitsKey = (label: string): string =>
   `lc/now/belief/${label}`;
-/** What leaders preempt of teams that are beyond their guarantee, for teams that are below theirs. */
+/** Resources that leaders preempt from teams above their guarantee, for teams below theirs. */
 export const RECLAIM_KEY = "lc/now/reclaim";
 
-/** What the keys of each kind of record name. */
+/** The parts of a key, by kind of record. The kinds have their stored names, except `limits`: quota records. */
 export interface StoreKeyFields {
   group: { partition: string };
   claim: { partition: string };
@@ -62,42 +62,43 @@
   [K in Kind]: { kind: K } & StoreKeyFields[K];
 }[Kind];
 
-/** What a key names; null: it is not of a kind that this version knows. */
+/** Parses a key; null if this version has no records of its kind. */
 export function parseKey(key: string): StoreKey | null {
-  const [root, area, first, ...names] = key.split("/");
+  const [root, section, first, ...rest] = key.split("/");
   if (root !== "lc" || first === undefined) return null;
-  if (area === "past" && names.length === 0) return { kind: "past", id: first };
-  return area === "now" ? parseLiveKey(first, names) : null;
+  if (section === "past" && rest.length === 0)
+    return { kind: "past", id: first };
+  return section === "now" ? parseLiveKey(first, rest) : null;
 }
 
-function parseLiveKey(kind: string, names: readonly string[]): StoreKey | null {
-  const [first = "", second = "", third] = names;
+function parseLiveKey(kind: string, parts: readonly string[]): StoreKey | null {
+  const [first = "", second = "", third] = parts;
   switch (kind) {
     case "group":
     case "claim":
     case "room":
-      return names.length === 1 ? { kind, partition: first } : null;
+      return parts.length === 1 ? { kind, partition: first } : null;
     case "job":
     case "gang":
-      return names.length === 1 ? { kind, id: first } : null;
+      return parts.length === 1 ? { kind, id: first } : null;
     case "fin":
-      return names.length === 3
+      return parts.length === 3
         ? { kind, id: first, partition: second, chunk: Number(third) }
         : null;
     case "roster":
-      return names.length === 2
+      return parts.length === 2
         ? { kind, partition: first, chunk: Number(second) }
         : null;
     case "ready":
-      return names.length === 2 ? { kind, id: first, partition: second } : null;
+      return parts.length === 2 ? { kind, id: first, partition: second } : null;
     case "quota":
-      return names.length === 0 ? { kind: "limits" } : null;
+      return parts.length === 0 ? { kind: "limits" } : null;
     case "limit":
-      return names.length === 1 ? { kind: "limits" } : null;
+      return parts.length === 1 ? { kind: "limits" } : null;
     case "reclaim":
-      return names.length === 0 ? { kind } : null;
+      return parts.length === 0 ? { kind } : null;
     case "belief":
-      return names.length === 1 ? { kind, label: first } : null;
+      return parts.length === 1 ? { kind, label: first } : null;
     default:
       return null;
   }
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -1,9 +1,9 @@
 /**
  * Keys and values in the state service: one module for the keys, one for the codec of each kind of record.
  *
- * Controllers of an earlier version read and write the same records at the same time: nothing is written that these can't
- * read, and fields that they don't know are lost when they write a record anew (docs/design.md, "Old beside new";
- * test/production holds that version). So stored names and the order of fields stay; test/golden pins them.
+ * Controllers of an earlier version read and write the same records at the same time. So records must remain readable to them,
+ * and fields that they do not have are lost when they rewrite a record (docs/design.md, "Old beside new"; that version is in
+ * test/production). Stored names and the order of fields therefore cannot change; test/golden pins them.
  */
 export * from "./keys.js";
 export * from "./records/codec.js";
--- a/src/storage/records/capacity.ts
+++ b/src/storage/records/capacity.ts
@@ -1,14 +1,14 @@
 /**
- * What a partition has free and what it wants. Its leader writes the record, conditional on its leadership and on the record
- * as it last knew it; the other controllers assign jobs and divide quotas by it.
+ * Free capacity, queues and quota demand of a partition. Its leader writes the record, conditional on its leadership and on the
+ * revision of the record that it last read or wrote. The other controllers assign jobs and divide quotas on the basis of it.
  */
 import * as v from "valibot";
 import { PRIORITIES } from "../../coordination/model.js";
 import { read } from "./codec.js";
 
-/** Two numbers, for plain and accelerated tasks. */
-const StoredPairs = v.array(v.tuple([v.number(), v.number()]));
-const numbers = (count: number): v.NumberSchema<undefined>[] =>
+/** Numbers of tasks without and with accelerators. */
+const StoredQueueCounts = v.array(v.tuple([v.number(), v.number()]));
+const numberSchemas = (count: number): v.NumberSchema<undefined>[] =>
   Array.from({ length: count }, () => v.number());
 const StoredFreeKinds = v.array(
   v.union([
@@ -21,7 +21,7 @@
   z: v.string(),
   s: v.boolean(),
   n: v.number(),
-  // Without counts and reserved machines: written by an earlier version.
+  // Earlier versions write no `r`, and no machine counts in `f`.
   f: StoredFreeKinds,
   r: v.optional(StoredFreeKinds, []),
   y: v.optional(
@@ -40,81 +40,81 @@
 const StoredCapacity = v.object({
   rows: v.array(StoredCapacityRow),
   q: v.tuple([v.number(), v.number()]),
-  // Not known to the version before, which does not mind it.
-  qu: v.optional(v.pipe(StoredPairs, v.length(PRIORITIES.length))),
+  // Ignored by the previous version.
+  qu: v.optional(v.pipe(StoredQueueCounts, v.length(PRIORITIES.length))),
   run: v.array(v.tuple([v.string(), v.number()])),
   out: v.array(v.string()),
   left: v.optional(v.array(v.tuple([v.string(), v.number()]))),
   want: v.array(v.tuple([v.string(), v.number(), v.number(), v.number()])),
-  // See `teamValues`; the version before leaves it out and does not mind it.
+  // See `teamValues`. The previous version neither writes nor reads it.
   team: v.optional(
-    v.array(v.tupleWithRest([v.string(), ...numbers(14)], v.number())),
+    v.array(v.tupleWithRest([v.string(), ...numberSchemas(14)], v.number())),
   ),
   cut: v.optional(v.boolean(), false),
 });
 
-/** Free resources, and how many machines have exactly these. */
+/** Free resources, and the number of machines that have exactly these free. */
 export type FreeKind = [
   cpus: number,
   gpus: number,
   memGb: number,
   machines: number,
 ];
-/** `from`, `to`: the least and the highest priority that it is meant for, as their places in `PRIORITIES`. */
+/** Resources available to jobs within a range of priorities (indexes into `PRIORITIES`) if lower ones are preempted. */
 export type ReclaimableKind = [
   cpus: number,
   gpus: number,
   memGb: number,
   machines: number,
-  from: number,
-  to: number,
+  minPriority: number,
+  maxPriority: number,
 ];
 
-/** What is free on a partition's machines of one type, zone and kind. */
+/** Free resources on a partition's machines of one type in one zone, either spot or not. */
 export interface CapacityRow {
   /** Machine type. */
   type: string;
   zone: string;
   spot: boolean;
   machines: number;
-  /** Free resources of the machines that have any left; equal ones are counted together. */
+  /** Machines with free resources, grouped by the resources that are free. */
   free: FreeKind[];
-  /** The same of the machines that serve short tasks only. */
+  /** The same for machines that are reserved for short tasks. */
   reserved: FreeKind[];
-  /** What is free, or would be once tasks were preempted for such priority; only of machines where that is more. */
+  /** Resources that are free or would be after preemption, only of machines where preemption would free some. */
   reclaimable?: ReclaimableKind[];
 }
 
-/** What a partition could use of a team's quota. */
+/** Additional quota of a team that a partition could use, as earlier versions read it. */
 export interface QuotaWant {
   cpus: number;
   gpus: number;
-  /** Time of day (ms) since which the oldest such job waits. */
+  /** Time of day (ms) since which the oldest of these jobs has waited. */
   since: number;
 }
 
-/** What a partition uses and wants of one team; the pairs are CPUs and accelerators. */
+/** Use and demand of one team in a partition. Pairs are CPUs and accelerators. */
 export interface TeamRow {
-  /** On machines, known to be there. */
+  /** Resources of tasks that are known to be on machines. */
   use: [number, number];
-  /** The most that may be: after a failover more than what is known. */
+  /** Upper bound of the use; during a failover it may exceed `use`. */
   possibleUse: [number, number];
-  /** Beyond the partition's share of the quota: for tasks that have a place at once, or waited for long. */
+  /** Demand beyond the partition's share of the quota, of tasks that could start at once or have waited for long. */
   startable: [number, number];
-  /** Time of day (ms) since which the oldest waits of those that lack CPUs, and of those that lack accelerators; Infinity: there is none. */
+  /** Time of day (ms) since which the oldest task that lacks CPUs, or accelerators, has waited; Infinity if there is none. */
   startableSinceMs: [number, number];
-  /** For tasks whose machine is yet to be rented. */
+  /** The same demand of tasks whose machine has yet to be rented. */
   awaitingMachines: [number, number];
   awaitingMachinesSinceMs: [number, number];
-  /** The share that this is beyond. */
+  /** The partition's share on which the demand is based. */
   baseShare: [number, number];
-  /** Waiting tasks within the partition's share that have a place once others make it, in all. */
+  /** Needs of all waiting tasks for which there is capacity now, after preemption, or on machines that could be rented. */
   waiting: [number, number];
-  /** What of the share is neither used nor enough for anything that waits. This and what follows is absent from earlier versions' rows. */
+  /** Part of the share that is unused and too small for any waiting task. Earlier versions' rows lack this and all below. */
   idle?: [number, number] | undefined;
-  /** What tasks lack that idle shares of other partitions are enough for. */
+  /** Quota that waiting tasks lack and that the idle shares of other partitions would cover. */
   backfill?: [number, number] | undefined;
-  /** For a large job whose first start is overdue: what it lacks, since when (ms) it is ready, its place in `PRIORITIES`. */
+  /** For a large job whose first start is overdue: the quota it lacks, since when (ms) it is ready, its index in `PRIORITIES`. */
   reservation?:
     | { missing: [number, number]; readyAt: number; priority: number }
     | undefined;
@@ -122,21 +122,21 @@
 
 export interface CapacityRecord {
   rows: CapacityRow[];
-  /** Tasks waiting, by whether they need accelerators: these compete for different machines. */
+  /** Numbers of waiting tasks without and with accelerators, which compete for different machines. */
   queue: { plain: number; accelerated: number };
-  /** The same for each priority, with all above it: [plain, accelerated]; absent: an earlier version wrote it. */
+  /** The same for tasks of each priority or higher, as [plain, accelerated]; absent if an earlier version wrote the record. */
   queueByMinPriority?: readonly (readonly [number, number])[];
-  /** Tasks on machines, by job: for display. */
+  /** Number of tasks on machines by job, for display only. */
   running: Map<string, number>;
-  /** Offers that the cloud had nothing left of, lately. */
+  /** Offers of which the cloud has recently had no machine left. */
   soldOut: string[];
-  /** By offer, where it is known: how many more machines the cloud seems to have for the partition. */
+  /** By offer, if known: how many more machines the cloud probably has for the partition. */
   left: Map<string, number>;
-  /** By team: more of its quota that the partition could use. */
+  /** By team. */
   wants: Map<string, QuotaWant>;
-  /** By team; null: an earlier version wrote it. */
+  /** By team; null if an earlier version wrote the record. */
   teams: Map<string, TeamRow> | null;
-  /** Not all teams found room in the record. */
+  /** The record was too small for all teams. */
   isTruncated: boolean;
 }
 
@@ -194,7 +194,7 @@
   ...(record.isTruncated ? { cut: true } : {}),
 });
 
-/** Capacities are written in tenths, rounded down. */
+/** Rounds down to a tenth, the precision of stored capacities. */
 export const tenth = (amount: number): number =>
   Math.floor(amount * 10 + 1e-6) / 10;
 
@@ -234,34 +234,34 @@
   use: [values[0]!, values[1]!],
   possibleUse: [values[2]!, values[3]!],
   startable: [values[4]!, values[5]!],
-  startableSinceMs: readSince(values.slice(4, 6), values[6]!, values[14]),
+  startableSinceMs: readSinceMs(values.slice(4, 6), values[6]!, values[14]),
   awaitingMachines: [values[7]!, values[8]!],
-  awaitingMachinesSinceMs: readSince(
+  awaitingMachinesSinceMs: readSinceMs(
     values.slice(7, 9),
     values[9]!,
     values[15],
   ),
   baseShare: [values[10]!, values[11]!],
   waiting: [values[12]!, values[13]!],
-  ...readBackfill(values.slice(BASIC_VALUES)),
+  ...readOptionalValues(values.slice(REQUIRED_VALUES)),
 });
 
-/** Values of a row that all versions write since it has two times for each want. */
-const BASIC_VALUES = 16;
+/** Number of values before the optional ones, in rows with separate times for CPUs and accelerators. */
+const REQUIRED_VALUES = 16;
 
-/** What follows them, where there is any of it: idle, backfill, reservation. */
-function readBackfill(
+/** Reads the optional values: idle, backfill, reservation. */
+function readOptionalValues(
   values: readonly number[],
 ): Pick<TeamRow, "idle" | "backfill" | "reservation"> {
   const [idleCpus, idleGpus, cpus, gpus, ...reservation] = values;
-  const [lackingCpus, lackingGpus, readyAt, priority] = reservation;
+  const [missingCpus, missingGpus, readyAt, priority] = reservation;
   return {
     ...pairUnlessZero("idle", idleCpus, idleGpus),
     ...pairUnlessZero("backfill", cpus, gpus),
     ...(readyAt
       ? {
           reservation: {
-            missing: [lackingCpus ?? 0, lackingGpus ?? 0],
+            missing: [missingCpus ?? 0, missingGpus ?? 0],
             readyAt,
             priority: priority ?? 0,
           },
@@ -277,10 +277,10 @@
 ): Pick<TeamRow, "idle" | "backfill"> =>
   cpus > 0 || gpus > 0 ? { [name]: [cpus, gpus] } : {};
 
-/** As `readBackfill` reads it; nothing where there is nothing to say. */
-function backfillValues({ idle, backfill, reservation }: TeamRow): number[] {
-  const isSaid = [idle, backfill, reservation].some(Boolean);
-  if (!isSaid) return [];
+/** The values that `readOptionalValues` reads; empty if none is present. */
+function optionalValues({ idle, backfill, reservation }: TeamRow): number[] {
+  const isAnyPresent = [idle, backfill, reservation].some(Boolean);
+  if (!isAnyPresent) return [];
   return [
     ...[idle, backfill].flatMap((amounts) => amounts ?? NO_AMOUNTS),
     ...(reservation ? reservationValues(reservation) : []),
@@ -288,50 +288,50 @@
 }
 
 const reservationValues = ({
-  missing: lacks,
+  missing,
   readyAt,
   priority,
 }: NonNullable<TeamRow["reservation"]>): number[] => [
-  ...lacks,
+  ...missing,
   readyAt,
   priority,
 ];
 
 const NO_AMOUNTS: readonly [number, number] = [0, 0];
 
-/** `gpusSince` is absent from records of an earlier version: `firstSince` then stands for both. */
-const readSince = (
-  want: readonly number[],
-  firstSince: number,
-  gpusSince: number | undefined,
+/** Records of an earlier version lack `gpusSinceMs`: `firstSinceMs` then applies to both. */
+const readSinceMs = (
+  amounts: readonly number[],
+  firstSinceMs: number,
+  gpusSinceMs: number | undefined,
 ): [number, number] => [
-  want[0]! > 0 ? firstSince || Infinity : Infinity,
-  want[1]! > 0 ? (gpusSince ?? firstSince) || Infinity : Infinity,
+  amounts[0]! > 0 ? firstSinceMs || Infinity : Infinity,
+  amounts[1]! > 0 ? (gpusSinceMs ?? firstSinceMs) || Infinity : Infinity,
 ];
 
 /**
- * A team's row as it is written, after the team's name: use, may, now, its time, soon, its time, beyond, waits. JSON knows
- * no Infinity; 0 stands for no time. The times of what lacks accelerators come then: a reader from before takes the first
- * for both. What `backfillValues` says comes last, and a reader from before ignores it.
+ * A team's row as stored after the team's name: use, possible use, startable demand and its time, demand that awaits machines
+ * and its time, base share, waiting. Then the times of the demand for accelerators, which earlier versions do not read: they take
+ * the first time for both. Last the optional values, which earlier versions ignore. JSON has no Infinity, so 0 stands for no time.
  */
 const teamValues = (row: TeamRow): number[] =>
   [
     ...row.use,
     ...row.possibleUse,
     ...row.startable,
-    firstSinceOf(row.startable, row.startableSinceMs),
+    firstSinceMsOf(row.startable, row.startableSinceMs),
     ...row.awaitingMachines,
-    firstSinceOf(row.awaitingMachines, row.awaitingMachinesSinceMs),
+    firstSinceMsOf(row.awaitingMachines, row.awaitingMachinesSinceMs),
     ...row.baseShare,
     ...row.waiting,
     row.startableSinceMs[1],
     row.awaitingMachinesSinceMs[1],
-    ...backfillValues(row),
+    ...optionalValues(row),
   ].map((amount) =>
     Number.isFinite(amount) ? Math.round(amount * 100) / 100 : 0,
   );
 
-const firstSinceOf = (
-  want: readonly [number, number],
-  since: readonly [number, number],
-): number => (want[0] > 0 ? since[0] : since[1]);
+const firstSinceMsOf = (
+  amounts: readonly [number, number],
+  sinceMs: readonly [number, number],
+): number => (amounts[0] > 0 ? sinceMs[0] : sinceMs[1]);
--- a/src/storage/records/codec.ts
+++ b/src/storage/records/codec.ts
@@ -1,10 +1,10 @@
-/** What the codecs of the records share. */
+/** Helpers for the codecs of the records. */
 import * as v from "valibot";
 
-/** Ranges as they are stored: the first and the last member of each. */
+/** Ranges as stored: the first and the last member of each. */
 export const StoredRanges = v.array(v.tuple([v.number(), v.number()]));
 
-/** What a stored value says; null if it is not of that form. */
+/** Parses a stored value; null if it does not match the schema. */
 export function read<Schema extends v.GenericSchema>(
   schema: Schema,
   value: unknown,
@@ -13,6 +13,6 @@
   return parsed.success ? parsed.output : null;
 }
 
-/** Bytes that a value takes at the state service. */
+/** Size of a value in the state service, in bytes. */
 export const bytesOf = (value: object): number =>
   Buffer.byteLength(JSON.stringify(value));
--- a/src/storage/records/completion.ts
+++ b/src/storage/records/completion.ts
@@ -1,31 +1,31 @@
 /**
- * Finished tasks of a job in one partition. The partition's leader writes them, block by block, conditional on its
- * leadership, on the job's live record and on the block's record as it last knew it; they are deleted after the job's end.
+ * Finished tasks of a job in one partition. The partition's leader writes them in blocks, conditional on its leadership, on
+ * the job's live record and on the last known revision of the block's record. They are deleted after the job has ended.
  */
 import * as v from "valibot";
 import { RangeSet } from "../../coordination/jobs/range-set.js";
 import { read, StoredRanges } from "./codec.js";
 
-/** Ranges, or, in records of an earlier version, a bitmap in base64. */
+/** Ranges; in records of an earlier version possibly a bitmap in base64. */
 const StoredCompletion = v.object({
   r: v.optional(StoredRanges),
   b: v.optional(v.string()),
 });
 
 /**
- * Finished tasks of one job and partition are kept as ranges in blocks of this many task numbers: however scattered, a block
- * fits the smallest values. The earlier version kept blocks of 16,384, some as bitmaps, and writes its whole block anew
- * under its number: these numbers begin where its end, and ranges mean the same to it under any number.
+ * Finished tasks of one job and partition are stored as ranges, in blocks of this many task indexes: a block fits the smallest
+ * value size, however scattered its tasks are. An earlier version uses blocks of 16,384, some as bitmaps, and rewrites a whole
+ * block under its number. The numbers of the new blocks start where those end; ranges mean the same under any block number.
  */
 export const COMPLETION_BLOCK_SIZE = 128;
 const FIRST_COMPLETION_BLOCK = 1_000;
-const FORMER_COMPLETION_BLOCK = 16_384;
+const BITMAP_BLOCK_SIZE = 16_384;
 
 /** Number of the block that a task belongs to. */
 export const completionBlockOf = (task: number): number =>
   FIRST_COMPLETION_BLOCK + Math.floor(task / COMPLETION_BLOCK_SIZE);
 
-/** The members of a set that belong to a block. */
+/** The tasks of a set that belong to a block. */
 export const tasksInBlock = (tasks: RangeSet, block: number): RangeSet =>
   tasks.slice(
     (block - FIRST_COMPLETION_BLOCK) * COMPLETION_BLOCK_SIZE,
@@ -36,20 +36,20 @@
   r: tasks.pairs(),
 });
 
-/** `block`: the number in the record's key. */
+/** `block`: the block number in the record's key. */
 export function readCompletion(value: unknown, block: number): RangeSet | null {
   const stored = read(StoredCompletion, value);
   if (!stored) return null;
   if (stored.r) return RangeSet.of(stored.r);
-  const bits = Buffer.from(stored.b ?? "", "base64");
-  return readBitmap(bits, block * FORMER_COMPLETION_BLOCK);
+  const bitmap = Buffer.from(stored.b ?? "", "base64");
+  return readBitmap(bitmap, block * BITMAP_BLOCK_SIZE);
 }
 
-/** Bit 0 of byte 0 stands for the first task. */
-function readBitmap(bits: Buffer, firstTask: number): RangeSet {
+/** Bit 0 of byte 0 is the first task. */
+function readBitmap(bitmap: Buffer, firstTask: number): RangeSet {
   const tasks = RangeSet.empty();
-  const size = Math.min(bits.length * 8, FORMER_COMPLETION_BLOCK);
+  const size = Math.min(bitmap.length * 8, BITMAP_BLOCK_SIZE);
   for (let index = 0; index < size; index++)
-    if (bits[index >> 3]! & (1 << (index & 7))) tasks.add(firstTask + index);
+    if (bitmap[index >> 3]! & (1 << (index & 7))) tasks.add(firstTask + index);
   return tasks;
 }
--- a/src/storage/records/final.ts
+++ b/src/storage/records/final.ts
@@ -1,6 +1,7 @@
 /**
- * How a job ended: kept for ever, and never changed. Written in one transaction with the deletion of the job's live record
- * and conditional on that; or at submission, for a job that depends on a cancelled one, conditional on there being neither.
+ * How a job ended. Final records are kept forever and never changed. A final record is written by the transaction that deletes
+ * the job's live record, conditional on that record; or at submission, if the job depends on a cancelled one, conditional on
+ * there being neither a live nor a final record.
  */
 import * as v from "valibot";
 import type { Write } from "../../protocol/state.js";
@@ -11,16 +12,16 @@
   s: v.picklist(["done", "cancelled"]),
   n: v.number(),
   d: v.number(),
-  // An earlier version leaves it out, and does not mind it.
+  // Earlier versions neither write nor read it.
   h: v.optional(v.tuple([v.string(), v.string(), v.number()])),
 });
 
 export interface FinalRecord {
   status: "done" | "cancelled";
-  /** Tasks of the job, and those of them that were done. */
+  /** Number of tasks of the job, and of those that were done. */
   tasks: number;
   done: number;
-  /** What webhooks tell beside; written only if these are turned on. */
+  /** Further data for webhooks; only written if they are enabled. */
   end?: {
     team: string;
     /** The job's class. */
@@ -48,7 +49,7 @@
     : {}),
 });
 
-/** A job's end in one transaction: its final record in place of the live one, and of its other records those named. */
+/** The writes that end a job: its final record replaces the live one, and the records under `sideKeys` are deleted. */
 export const jobEndWrites = (
   id: string,
   record: FinalRecord,
--- a/src/storage/records/gang.ts
+++ b/src/storage/records/gang.ts
@@ -1,7 +1,7 @@
 /**
- * Attempts of a gang whose parts start together in several partitions: the attempt that is called, and for each partition
- * the last attempt that it is ready for. Leaders write them, conditional on their leadership, on the job's live record and on
- * the call that they follow.
+ * Attempts of a gang whose parts start together in several partitions: the attempt under which the parts start, and for each
+ * partition the attempt that its part is ready to follow. Leaders write them, conditional on their leadership, on the job's live
+ * record and on the record of the attempt that they follow.
  */
 import * as v from "valibot";
 import { read } from "./codec.js";
--- a/src/storage/records/job.ts
+++ b/src/storage/records/job.ts
@@ -1,7 +1,7 @@
 /**
- * A live job. The controller that accepts a job writes its record, conditional on there being neither a live nor a final
- * one; leaders write it anew, conditional on its revision, to move tasks to another partition or to release a job that
- * waited for others. It is deleted by the transaction that writes the job's final record.
+ * The live record of a job. The controller that accepts a job writes it, conditional on there being neither a live nor a final
+ * record. Leaders rewrite it, conditional on its revision, to move tasks to another partition or to release a job that waited
+ * for others. The transaction that writes the job's final record deletes it.
  */
 import * as v from "valibot";
 import {
@@ -12,13 +12,13 @@
 import { RangeSet } from "../../coordination/jobs/range-set.js";
 import { read, StoredRanges } from "./codec.js";
 
-/** Stored names of the kinds of jobs. */
+/** Stored names of the job kinds. */
 const STORED_KINDS = {
   array: "batch",
   gang: "ensemble",
   service: "daemon",
 } as const satisfies Record<JobKind, string>;
-const KINDS = {
+const KINDS_BY_STORED_NAME = {
   batch: "array",
   ensemble: "gang",
   daemon: "service",
@@ -59,15 +59,15 @@
   spec: JobSpec;
   /** Time of day of acceptance, in ms since the epoch. */
   acceptedAt: number;
-  /** Which partition runs which tasks. Empty while the job waits for others: then no controller has anything to start. */
+  /** The tasks of each partition. Empty while the job waits for others, so that no controller starts any of it. */
   assignment: Map<string, RangeSet>;
-  /** Jobs that were not done yet when it was accepted; empty once it was released. */
+  /** Jobs that it depends on and that were not done when it was accepted; empty once it is released. */
   dependsOn: readonly string[];
-  /** Time of day (ms) when the last of them was found done; null: it never waited, or an earlier version wrote this. */
+  /** Time of day (ms) when the last of them was found done; null if it never waited, or an earlier version wrote the record. */
   releasedAt: number | null;
 }
 
-/** A job's description under its stored names. */
+/** A job's description with the stored names of its fields. */
 function storedSpec(spec: JobSpec): v.InferOutput<typeof StoredSpec> {
   const { id, jobClass, team, kind, priority, tasks, cpus, gpus, memGb } = spec;
   const { image, imageGb, machineTypes, ...rest } = spec;
@@ -100,7 +100,7 @@
   return {
     ...rest,
     jobClass,
-    kind: KINDS[shape],
+    kind: KINDS_BY_STORED_NAME[shape],
     priority: urgency,
     machineTypes: types,
   };
@@ -124,7 +124,7 @@
   );
 }
 
-/** Partitions without tasks, and what says nothing, are left out. */
+/** Omits partitions without tasks, and optional fields without a value. */
 export const writeJob = (job: JobRecord): object => ({
   spec: storedSpec(job.spec),
   at: job.acceptedAt,
--- a/src/storage/records/quota.ts
+++ b/src/storage/records/quota.ts
@@ -1,6 +1,6 @@
 /**
- * How the teams' quotas are divided among the partitions. Leaders write these records, conditional on their leadership, on
- * every quota record that the division rests on and, for partitions that have no leader, on that being so still.
+ * The division of the teams' quotas among the partitions. Leaders write these records, conditional on their leadership, on
+ * every quota record that the division is based on and, for partitions without a leader, on there still being none.
  */
 import * as v from "valibot";
 import { read } from "./codec.js";
@@ -18,8 +18,8 @@
   read(StoredQuota, value);
 
 /**
- * The limits that a controller goes by, as their hash. Each controller writes its own record, conditional on its revision and
- * attached to its store lease.
+ * The hash of the limits in a controller's settings. Each controller writes its own record, conditional on the record's revision
+ * and attached to its store lease.
  */
 export const readObservedLimits = (value: unknown): string | null =>
   read(StoredObservedLimits, value)?.limits ?? null;
--- a/src/storage/records/reclaims.ts
+++ b/src/storage/records/reclaims.ts
@@ -1,6 +1,6 @@
 /**
- * What partition leaders preempt, of teams that are beyond their guarantee, for teams that are below theirs. All leaders
- * write the one record, conditional on their leadership and on its revision.
+ * Resources that partition leaders preempt from teams above their guarantee, for teams below theirs. All leaders write the same
+ * record, conditional on their leadership and on its revision.
  */
 import * as v from "valibot";
 import { read } from "./codec.js";
@@ -20,16 +20,16 @@
   ),
 });
 
-/** What one leader has preempted, or is about to, so that a team gets its guarantee. */
+/** Resources that one leader has preempted, or is about to preempt, so that a team gets its guarantee. */
 export interface Reclaim {
-  /** Fencing token of the leader: a reclaim of a former one ends with the machines that it preempted tasks on. */
+  /** Fencing token of the leader. A former leader's reclaim ends with the machines on which it preempted tasks. */
   token: number;
-  /** The team it is for, and how much of its deficit it takes up. */
+  /** The team that gets the resources, and how much of its deficit they cover. */
   team: string;
   coveredDeficit: [cpus: number, gpus: number];
-  /** Of which teams how much is preempted. */
+  /** How much is preempted from which teams. */
   from: [team: string, cpus: number, gpus: number][];
-  /** Time of day, in ms, until which others count it. */
+  /** Time of day, in ms, until which other leaders take the reclaim into account. */
   expiresAt: number;
 }
 
--- a/src/storage/records/registry.ts
+++ b/src/storage/records/registry.ts
@@ -1,22 +1,22 @@
 /**
  * The machines of a partition, in chunks that fit a record. The partition's leader writes them, conditional on its leadership
- * and on each chunk as it last knew it.
+ * and on the last known revision of each chunk.
  */
 import * as v from "valibot";
 import { read } from "./codec.js";
 
-/** Types are written once, machines refer to them by place. */
+/** Each type is stored once; machines refer to it by index. */
 const StoredRegistry = v.object({
   t: v.array(v.string()),
   m: v.array(v.tuple([v.string(), v.number(), v.number()])),
-  // Not known to the version before, which neither minds nor keeps it.
+  // The previous version ignores it, and drops it when it rewrites the record.
   c: v.optional(v.number()),
 });
 
 export interface RegistryEntry {
   /** Marked for return: never used again. */
   isReturning: boolean;
-  /** Machine type; empty if it is not known. */
+  /** Machine type; empty if unknown. */
   type: string;
 }
 
@@ -25,8 +25,8 @@
   /** By machine id. */
   machines: Map<string, RegistryEntry>;
   /**
-   * The record was written by a transaction that is conditional on the record that it replaces, so it lacks no machine that
-   * was added before. The version in production writes records without this condition, and leaves the mark out.
+   * The record was written by a transaction conditional on the record that it replaces, so it contains all machines added before.
+   * The version in production writes records without this condition, and without this field.
    */
   complete: boolean;
 }
--- a/src/storage/store-client.ts
+++ b/src/storage/store-client.ts
@@ -1,6 +1,6 @@
 /**
- * The process's connection to the state service. It keeps this controller's part of the service's limits, and goes through a
- * peer while the service can't be reached from here.
+ * The process's connection to the state service. Keeps requests within this controller's share of the service's rate limits, and
+ * sends them through a peer while the service cannot be reached directly.
  */
 import type { Settings } from "../config/settings.js";
 import {
@@ -14,30 +14,30 @@
 import { HttpClient, parseJson } from "../transport/http-client.js";
 import { RateLimiter } from "../transport/rate-limiter.js";
 
-/** Our own requests must have failed for this long before a peer is asked. */
+/** This controller's own requests must have failed for this long before they are sent through a peer. */
 const UNAVAILABLE_AFTER_MS = 1_200;
-/** While a peer carries the requests, one goes straight to the service so often, to see whether it can be reached again. */
+/** While requests go through a peer, one is sent directly at this interval, to find out whether the service can be reached again. */
 const PROBE_INTERVAL_MS = 1_000;
-/** A request waits for its turn within the limits for at most this long. */
+/** A request waits for the rate limits for at most this long. */
 const MAX_QUEUED_MS = 1_500;
 const MAX_QUEUED_REQUESTS = 500;
 const REQUEST_TIMEOUT_MS = 1_500;
-/** Lists of all live records are long. */
+/** Longer than other requests take, since the list of all live records is large. */
 const LIST_TIMEOUT_MS = 4_000;
 const MAX_CONNECTIONS = 24;
 const MAX_IDLE_CONNECTIONS = 8;
 
 /**
- * Part of a burst that requests of each priority leave to more urgent ones: leases and users take what there is, leaders
- * leave a quarter, capacity records and moves of tasks half.
+ * Share of a burst that requests of each `CallPriority` leave to higher priorities: leases and users' requests leave nothing,
+ * partition leaders a quarter, and background work (capacity records, moves of tasks) half.
  */
 const RESERVED_BURST_SHARES = [0, 0, 0.25, 0.5];
-/** Priority of what is carried for a peer: that of users' requests. */
-const CARRIED_PRIORITY = 1;
+/** Priority of requests sent for a peer: that of users' requests. */
+const PEER_CALL_PRIORITY = 1;
 
-/** A way to the state service through another controller. */
+/** Access to the state service through another controller. */
 interface PeerChannel {
-  /** Label of a peer that reaches the service; null: there is none. */
+  /** Label of a peer that reaches the service; null if there is none. */
   peerWithStore(): string | null;
   call(
     label: string,
@@ -47,14 +47,14 @@
   ): Promise<{ status: number; body: string } | null>;
 }
 
-/** An answer, and when the request was sent; steady time, ms. */
+/** A reply, and the steady time (ms) at which the request was sent. */
 interface TimedReply {
   reply: StateReply;
   sentMs: number;
 }
 
-/** What an answer that came through a peer must have at least: the peer has parsed it. */
-const Reply = v.looseObject({
+/** The minimal check of a reply that came through a peer, which has already parsed it. */
+const PeerReply = v.looseObject({
   is: v.picklist([
     "item",
     "items",
@@ -70,21 +70,21 @@
 });
 
 /**
- * Sends requests within this controller's part of both limits (requests and changes a second). A controller that can't reach
- * the service, while a peer does, asks that peer to carry its requests: the answers mean the same, and what is counted from
- * their sending is counted from here.
+ * Sends requests within this controller's share of both rate limits (requests and writes per second). If this controller cannot
+ * reach the service but a peer can, its requests are sent through that peer. Their replies mean the same, and times that count
+ * from the sending of a request count from its sending here.
  */
 export class StoreClient {
-  private readonly client = new HttpClient(
+  private readonly httpClient = new HttpClient(
     MAX_CONNECTIONS,
     MAX_IDLE_CONNECTIONS,
   );
   private readonly limiter: RateLimiter;
-  /** Since when our own requests have failed (steady time, ms); null: the last one was answered. */
+  /** Since when this controller's own requests have failed (steady time, ms); null if the last one was answered. */
   private failingSinceMs: number | null = null;
-  /** Steady time, ms, after which the next request goes straight to the service. */
+  /** Steady time (ms) after which the next request is sent directly to the service. */
   private nextProbeMs = 0;
-  /** Set once the peer mesh is there. */
+  /** Set once the peer mesh has been created. */
   peers: PeerChannel | null = null;
 
   constructor(private readonly settings: Settings) {
@@ -100,26 +100,28 @@
     );
   }
 
-  /** Whether the service answered our own last request. */
+  /** Whether the service answered this controller's own last request. */
   get isReachable(): boolean {
     return this.failingSinceMs === null;
   }
 
-  /** For a peer: over this controller's own connection only. */
+  /** Sends a request for a peer, over this controller's own connection only. */
   async callForPeer(call: StateCall): Promise<StateReply> {
-    const { reply } = await this.limited(call, CARRIED_PRIORITY, () =>
-      this.callDirectly(call),
+    const { reply } = await this.sendWithinLimits(
+      call,
+      PEER_CALL_PRIORITY,
+      () => this.callDirectly(call),
     );
     return reply;
   }
 
-  /** `priority`: a `CallPriority`. */
+  /** Sends a request directly or through a peer. `priority`: a `CallPriority`. */
   call(call: StateCall, priority: number): Promise<TimedReply> {
-    return this.limited(call, priority, () => this.route(call));
+    return this.sendWithinLimits(call, priority, () => this.route(call));
   }
 
-  /** Sends a request when the limits allow it, or refuses it if that takes too long. */
-  private limited(
+  /** Sends a request when the rate limits allow it, or refuses it if that takes too long. */
+  private sendWithinLimits(
     call: StateCall,
     priority: number,
     send: () => Promise<StateReply>,
@@ -175,7 +177,7 @@
     );
     const parsed =
       answer?.status === 200
-        ? v.safeParse(Reply, parseJson(answer.body))
+        ? v.safeParse(PeerReply, parseJson(answer.body))
         : null;
     return parsed?.success
       ? (parsed.output as unknown as StateReply)
@@ -185,7 +187,7 @@
   private async callDirectly(call: StateCall): Promise<StateReply> {
     const { method, path, body } = stateRequest(call);
     const { host, port } = this.settings.state;
-    const outcome = await this.client.fetch(
+    const outcome = await this.httpClient.fetch(
       host,
       port,
       method,
