--- a/test/coordination/leadership/orphaned-gangs.test.ts
+++ b/test/coordination/leadership/orphaned-gangs.test.ts
@@ -5,49 +5,50 @@
 import { describeWorkload } from "../../simulation/guards.js";
 import { World } from "../../simulation/world.js";
 
-// Parts of gangs with `spread` in the partition of a removed controller go to partitions that are there: docs/incidents/orphaned-gang-parts.md.
+// Parts of gangs with `spread` in the partition of a removed controller are reassigned to other partitions. Without that, no leader would
+// ever start them, and the gangs would wait forever (docs/incidents/orphaned-gang-parts.md).
 
 const CONTROLLERS = 5;
 const GANGS = 10;
 const REMOVED_MS = 20_000;
-/** All controllers have started with the new settings. */
+/** All remaining controllers have been restarted with the new settings. */
 const RESTARTED_MS = 26_000;
-/** The faults of these tests are over. */
-const OVER_MS = 70_000;
+/** Time when the faults of these tests have ended. */
+const FAULTS_END_MS = 70_000;
 const END_MS = 200_000;
 
-/** A day on which gangs with `spread` wait for machines in all partitions, and the last controller is removed for good. */
-function removedController(
+/** Runs a simulation in which gangs with `spread` wait for machines in all partitions and the last controller is removed. */
+function runWithRemovedController(
   seed: number,
-  during: (world: World, gangs: readonly JobSpec[]) => void = () => {},
+  injectFaults: (world: World, gangs: readonly JobSpec[]) => void = () => {},
   {
     production = [],
-    looksForWaiting = true,
-  }: { production?: readonly string[]; looksForWaiting?: boolean } = {},
+    checksWaitingJobs = true,
+  }: { production?: readonly string[]; checksWaitingJobs?: boolean } = {},
 ): { world: World; gangs: JobSpec[]; reassigned: Set<string> } {
   const world = new World(seed, undefined, production, CONTROLLERS);
   world.capacity = 0;
-  const gangs = Array.from({ length: GANGS }, (_, n) => spreadGang(world, n));
+  const gangs = Array.from({ length: GANGS }, (_, i) => spreadGang(world, i));
   for (const gang of gangs) {
     world.specs.set(gang.id, gang);
     world.at(world.rng.real(5_000, 15_000), () =>
       submit(world, gang, world.now),
     );
   }
-  const left = world.names.slice(0, -1);
+  const remaining = world.names.slice(0, -1);
   world.at(REMOVED_MS, () => {
     world.crash(world.names.at(-1)!);
-    world.reconfigure(left, world.settings.teams);
+    world.reconfigure(remaining, world.settings.teams);
   });
-  for (const [n, name] of left.entries())
-    world.at(REMOVED_MS + 1_000 * (n + 1), () => {
+  for (const [index, name] of remaining.entries())
+    world.at(REMOVED_MS + 1_000 * (index + 1), () => {
       world.crash(name);
       world.boot(name);
     });
   world.at(RESTARTED_MS, () => (world.capacity = 12));
-  during(world, gangs);
-  if (looksForWaiting)
-    world.at(OVER_MS, () =>
+  injectFaults(world, gangs);
+  if (checksWaitingJobs)
+    world.at(FAULTS_END_MS, () =>
       world.every(1_000, () => world.checker.nobodyLeft()),
     );
   world.run(END_MS);
@@ -67,12 +68,12 @@
   return { world, gangs, reassigned };
 }
 
-const spreadGang = (world: World, n: number): JobSpec => ({
-  ...randomJob(world, n + 1),
+const spreadGang = (world: World, index: number): JobSpec => ({
+  ...randomJob(world, index + 1),
   kind: "gang",
   jobClass: "gangs",
   priority: "normal",
-  tasks: 2 + (n % 3),
+  tasks: 2 + (index % 3),
   cpus: 2,
   gpus: 0,
   machineTypes: null,
@@ -83,12 +84,12 @@
   deadlineS: null,
 });
 
-type Day = ReturnType<typeof removedController>;
+type RunResult = ReturnType<typeof runWithRemovedController>;
 
-/** Every gang is done that no user cancelled. */
+/** Expects every gang to be done that was not cancelled. */
 function expectDone(
   seed: number,
-  { world, gangs }: Omit<Day, "reassigned">,
+  { world, gangs }: Omit<RunResult, "reassigned">,
 ): void {
   for (const { id } of gangs)
     if (world.checker.told.get(id) !== "cancelled")
@@ -98,26 +99,29 @@
       );
 }
 
-function expectReassignedAndDone(seed: number, day: Day): void {
-  assert.ok(day.reassigned.size > 0, `seed ${seed}: no part was there`);
-  expectDone(seed, day);
+function expectReassignedAndDone(seed: number, result: RunResult): void {
+  assert.ok(
+    result.reassigned.size > 0,
+    `seed ${seed}: no gang had a part in the removed partition`,
+  );
+  expectDone(seed, result);
 }
 
-test("parts of gangs with spread in a removed partition go to others, and all gangs are done", () => {
+test("parts of gangs with spread in a removed partition are reassigned, and all gangs are done", () => {
   for (const seed of [1, 2, 3, 4])
-    expectReassignedAndDone(seed, removedController(seed));
+    expectReassignedAndDone(seed, runWithRemovedController(seed));
 });
 
-test("the same while transactions are answered late or not at all", () => {
+test("parts in a removed partition are reassigned while transactions are answered late or not at all", () => {
   for (const seed of [11, 12, 13, 14])
     expectReassignedAndDone(
       seed,
-      removedController(seed, (world) => {
+      runWithRemovedController(seed, (world) => {
         world.at(RESTARTED_MS, () => {
           world.lateWrites = 0.2;
           world.lostAnswers = 0.3;
         });
-        world.at(OVER_MS - 15_000, () => {
+        world.at(FAULTS_END_MS - 15_000, () => {
           world.lateWrites = 0;
           world.lostAnswers = 0;
         });
@@ -125,7 +129,7 @@
     );
 });
 
-/** A controller ends and starts again. */
+/** Restarts a randomly chosen controller. */
 function restartOne(world: World): void {
   const name = world.rng.pick(world.names);
   world.crash(name);
@@ -135,33 +139,33 @@
   );
 }
 
-test("the same while leaders change", () => {
+test("parts in a removed partition are reassigned while leaders change", () => {
   for (const seed of [21, 22, 23, 24])
     expectReassignedAndDone(
       seed,
-      removedController(seed, (world) => {
+      runWithRemovedController(seed, (world) => {
         for (let atMs = 32_000; atMs < 60_000; atMs += 3_000)
           world.at(atMs, () => restartOne(world));
       }),
     );
 });
 
-test("gangs that are cancelled while their parts are reassigned are gone for good", () => {
+test("gangs that are cancelled while their parts are reassigned stay cancelled", () => {
   for (const seed of [31, 32, 33, 34]) {
-    const day = removedController(seed, (world, gangs) => {
-      for (const { id } of gangs.filter((_, n) => n % 2 === 0))
+    const result = runWithRemovedController(seed, (world, gangs) => {
+      for (const { id } of gangs.filter((_, index) => index % 2 === 0))
         world.at(world.rng.real(36_000, 48_000), () => cancel(world, id));
     });
-    expectReassignedAndDone(seed, day);
-    const ended = day.gangs.filter(
-      ({ id }) => day.world.checker.told.get(id) === "cancelled",
+    expectReassignedAndDone(seed, result);
+    const cancelled = result.gangs.filter(
+      ({ id }) => result.world.checker.told.get(id) === "cancelled",
     );
-    assert.ok(ended.length > 0);
+    assert.ok(cancelled.length > 0);
   }
 });
 
-/** The removed controller is there again, with its zone. */
-function nameAgain(world: World): void {
+/** Adds the removed controller to the settings again, with its zone. */
+function restoreController(world: World): void {
   const names = [...world.names];
   world.at(world.rng.real(38_000, 56_000), () => {
     world.reconfigure(names, world.settings.teams);
@@ -172,22 +176,24 @@
   });
 }
 
-test("the removed controller is named again while its parts are given away: no rule is broken", () => {
+test("the removed controller is added again while its parts are reassigned: no rule is broken", () => {
   let reassigned = 0;
   for (const seed of [41, 42, 43, 44, 45, 46]) {
-    const day = removedController(seed, nameAgain, { looksForWaiting: false });
-    reassigned += day.reassigned.size;
+    const result = runWithRemovedController(seed, restoreController, {
+      checksWaitingJobs: false,
+    });
+    reassigned += result.reassigned.size;
   }
-  assert.ok(reassigned > 0, "parts were given away in none of these days");
+  assert.ok(reassigned > 0, "no part was reassigned in any of these runs");
 });
 
-// A gang that one partition held whole waits for good for a second zone, once the partition has lost one of its two to a controller that is
-// named again.
+// A gang whose tasks are all in one partition waits forever for a second zone if the partition loses one of its two zones to a controller
+// that is added again.
 test("a gang with spread is not left waiting in a partition that has lost a zone to another", () => {
-  removedController(43, nameAgain);
+  runWithRemovedController(43, restoreController);
 });
 
-test("a controller of the version in production beside it breaks no rule", () => {
+test("no rule is broken beside a controller of the version in production", () => {
   for (const seed of [51, 52, 53])
-    removedController(seed, () => {}, { production: ["node-b"] });
+    runWithRemovedController(seed, () => {}, { production: ["node-b"] });
 });
--- a/test/golden/core-trace.ts
+++ b/test/golden/core-trace.ts
@@ -36,50 +36,50 @@
 import { World } from "../simulation/world.js";
 
 /**
- * A recorded run of the core: everything that controllers are told and return on a seeded day of the simulation, in the form in which it
- * crosses the wire, as one hash. Internal names of fields don't enter it, so a rename leaves it as it is and a change of behaviour does not.
- * The present hashes: node target/test-build/test/golden/core-trace.js
+ * Recorded runs of the core: all inputs and effects of the controllers in a seeded run of the simulation, in the form that they have on
+ * the wire, as one hash. The hash does not depend on internal names of fields, so it changes with the behaviour but not with a rename.
+ * To print the current hashes: node target/test-build/test/golden/core-trace.js
  */
-export const TRACE_DAYS: readonly TraceDay[] = [
-  { name: "usual jobs", seed: 20, draw: randomJob, tuning: {}, capacity: 3 },
-  { name: "large gangs", seed: 1, draw: largeJob, tuning: {}, capacity: 1 },
+export const TRACE_RUNS: readonly TraceRun[] = [
+  { name: "usual jobs", seed: 20, drawJob: randomJob, tuning: {}, capacity: 3 },
+  { name: "large gangs", seed: 1, drawJob: largeJob, tuning: {}, capacity: 1 },
   {
     name: "divided limits, ends told",
     seed: 54,
-    draw: randomJob,
+    drawJob: randomJob,
     tuning: { dividedLimits: true, tellEnds: true },
     capacity: 1,
   },
 ];
 
-/** One of the recorded days. */
-export interface TraceDay {
+/** One of the recorded runs. */
+export interface TraceRun {
   name: string;
   seed: number;
-  /** How users draw their jobs. */
-  draw: (world: World, place: number) => JobSpec;
+  /** Draws the job with this index. */
+  drawJob: (world: World, index: number) => JobSpec;
   tuning: Partial<Tuning>;
-  /** Machines that the cloud has of each offer. */
+  /** Number of machines that the cloud has of each offer. */
   capacity: number;
 }
 
-const DAY_MS = 55_000;
-const FAULTS_UNTIL_MS = 50_000;
+const RUN_MS = 55_000;
+const FAULTS_END_MS = 50_000;
 const SILENT_RETURN_S = 20;
 
-/** What a recorded run leaves. */
+/** Result of a recorded run. */
 export interface CoreTrace {
   sha256: string;
-  /** How often what the run is to cover occurred in it. */
+  /** How often each of the operations that the run has to cover occurred. */
   coverage: string;
-  /** Names of the fields in the values that were written to the state service, by kind of key. */
+  /** Paths of the fields in the values that were written to the state service, by kind of key. */
   storedFields: Map<string, Set<string>>;
 }
 
 /** One recorded line: plain values in a fixed order. */
 type Line = readonly unknown[];
 
-/** The wire's words for the kinds of jobs. */
+/** Job kinds by their names on the wire. */
 const WIRE_KINDS: Record<JobSpec["kind"], string> = {
   array: "batch",
   gang: "ensemble",
@@ -109,17 +109,17 @@
   spec.deadlineS,
 ];
 
-const reportLine = (report: Heartbeat): Line => [
-  report.worker,
-  report.address,
-  report.type,
-  report.zone,
-  report.spot,
-  report.incarnation,
-  report.sequence,
-  report.token,
-  report.noticeS,
-  report.tasks.map((task) => [
+const heartbeatLine = (heartbeat: Heartbeat): Line => [
+  heartbeat.worker,
+  heartbeat.address,
+  heartbeat.type,
+  heartbeat.zone,
+  heartbeat.spot,
+  heartbeat.incarnation,
+  heartbeat.sequence,
+  heartbeat.token,
+  heartbeat.noticeS,
+  heartbeat.tasks.map((task) => [
     task.job,
     task.index,
     task.attempt,
@@ -243,7 +243,7 @@
         "report",
         input.reqId,
         input.relayed,
-        reportLine(input.heartbeat),
+        heartbeatLine(input.heartbeat),
       ];
     case "leaderUnreachable":
       return ["not relayed", input.zone];
@@ -259,7 +259,7 @@
       return [
         "inspected",
         input.callId,
-        input.heartbeat && reportLine(input.heartbeat),
+        input.heartbeat && heartbeatLine(input.heartbeat),
       ];
     case "memory":
       return ["memory", input.short];
@@ -318,7 +318,7 @@
   }
 }
 
-/** null: not recorded. */
+/** null if effects of this type are not recorded. */
 function effectLine(effect: Effect): Line | null {
   switch (effect.type) {
     case "answer":
@@ -355,49 +355,49 @@
   }
 }
 
-const ID = /^(req|n|node)-/;
+const DATA_ID = /^(req|n|node)-/;
 
-/** Names of the fields of a value; `*` stands for the names that are data. */
-function fieldPaths(value: unknown, path: string, found: Set<string>): void {
+/** Adds the paths of all fields of a value to `paths`; `*` replaces field names that are data. */
+function fieldPaths(value: unknown, path: string, paths: Set<string>): void {
   if (Array.isArray(value)) {
-    for (const member of value) fieldPaths(member, `${path}[]`, found);
+    for (const member of value) fieldPaths(member, `${path}[]`, paths);
     return;
   }
   if (typeof value !== "object" || value === null) return;
   for (const [field, member] of Object.entries(value)) {
-    const isData = ID.test(field) || DATA_NAMES.has(field);
-    const inner = `${path}.${isData ? "*" : field}`;
-    found.add(inner);
-    fieldPaths(member, inner, found);
+    const isData = DATA_ID.test(field) || DATA_NAMES.has(field);
+    const memberPath = `${path}.${isData ? "*" : field}`;
+    paths.add(memberPath);
+    fieldPaths(member, memberPath, paths);
   }
 }
-/** Teams and groups of the simulation: they are names of fields in some values. */
+/** Teams and partitions of the simulation, which are field names in some values. */
 const DATA_NAMES = new Set(["red", "blue", "east", "mid", "west", "attic"]);
 
-/** Counts what a run is to cover and gathers what it stored. */
+/** Counts the operations that a run has to cover, and collects the fields that it stored. */
 class Coverage {
   private readonly counts = new Map<string, number>();
   readonly storedFields = new Map<string, Set<string>>();
 
-  add(what: string): void {
-    this.counts.set(what, (this.counts.get(what) ?? 0) + 1);
+  count(subject: string): void {
+    this.counts.set(subject, (this.counts.get(subject) ?? 0) + 1);
   }
   input(input: Input): void {
-    if (input.type === "cancel") this.add("cancellations");
+    if (input.type === "cancel") this.count("cancellations");
     if (input.type === "submit" && (input.dependsOn ?? []).length > 0)
-      this.add("submissions that name other jobs");
+      this.count("submissions that name other jobs");
   }
   effect(effect: Effect): void {
     if (effect.type !== "storeCall" || effect.call.op !== "commit") return;
-    this.add("commits");
+    this.count("commits");
     for (const write of effect.call.writes) {
       const kind = write.key.split("/").slice(0, 3).join("/");
       const keyKind = kind.startsWith("lc/past/") ? "lc/past" : kind;
-      this.add(`${write.op === "put" ? "put" : "delete"} ${keyKind}`);
-      if (write.op === "put") this.stored(keyKind, write.value);
+      this.count(`${write.op === "put" ? "put" : "delete"} ${keyKind}`);
+      if (write.op === "put") this.addStoredFields(keyKind, write.value);
     }
   }
-  private stored(keyKind: string, value: unknown): void {
+  private addStoredFields(keyKind: string, value: unknown): void {
     const found = this.storedFields.get(keyKind) ?? new Set<string>();
     this.storedFields.set(keyKind, found);
     fieldPaths(value, "", found);
@@ -414,14 +414,14 @@
   hash.update(`${world.now} ${name} ${JSON.stringify(line)}\n`);
 }
 
-/** Plays one seeded day. */
-export function recordCoreTrace(day: TraceDay): CoreTrace {
-  const world = new World(day.seed, {
+/** Records one seeded run. */
+export function recordCoreTrace(run: TraceRun): CoreTrace {
+  const world = new World(run.seed, {
     ...DEFAULTS,
     silentReturnS: SILENT_RETURN_S,
-    ...day.tuning,
+    ...run.tuning,
   });
-  world.capacity = day.capacity;
+  world.capacity = run.capacity;
   const hash = createHash("sha256");
   const coverage = new Coverage();
   world.onStep = (name, input, effects) => {
@@ -435,15 +435,15 @@
   };
   for (const zone of world.zones)
     world.cloud.add(world.types[0]!, zone, false, 0);
-  submitWorkload(world, FAULTS_UNTIL_MS, day.draw);
-  pipelines(world, 5_000, FAULTS_UNTIL_MS);
-  injectFaults(world, FAULTS_UNTIL_MS);
-  // Beside what the injected faults bring: one failover at a fixed time.
+  submitWorkload(world, FAULTS_END_MS, run.drawJob);
+  pipelines(world, 5_000, FAULTS_END_MS);
+  injectFaults(world, FAULTS_END_MS);
+  // In addition to the injected faults, one failover at a fixed time.
   world.at(30_000, () => world.crash("node-a"));
   world.at(42_000, () => world.nodes.get("node-a") ?? world.boot("node-a"));
-  world.run(DAY_MS);
-  for (const broken of world.checker.broken)
-    coverage.add(`broken rule ${JSON.stringify(broken)}`);
+  world.run(RUN_MS);
+  for (const violation of world.checker.broken)
+    coverage.count(`broken rule ${JSON.stringify(violation)}`);
   return {
     sha256: hash.digest("hex"),
     coverage: coverage.toString(),
@@ -451,14 +451,14 @@
   };
 }
 
-/** Stored fields of several runs, one line for each kind of key. */
+/** The stored fields of several runs, with one line for each kind of key. */
 export function describeStoredFields(traces: readonly CoreTrace[]): string {
   const all = new Map<string, Set<string>>();
   for (const { storedFields } of traces)
     for (const [keyKind, fields] of storedFields) {
-      const known = all.get(keyKind) ?? new Set<string>();
-      for (const field of fields) known.add(field);
-      all.set(keyKind, known);
+      const collected = all.get(keyKind) ?? new Set<string>();
+      for (const field of fields) collected.add(field);
+      all.set(keyKind, collected);
     }
   return [...all]
     .map(([keyKind, fields]) => `${keyKind} ${[...fields].sort().join(" ")}`)
@@ -467,10 +467,10 @@
 }
 
 function main(): void {
-  const traces = TRACE_DAYS.map(recordCoreTrace);
-  for (const [place, trace] of traces.entries())
+  const traces = TRACE_RUNS.map(recordCoreTrace);
+  for (const [index, trace] of traces.entries())
     console.log(
-      `${TRACE_DAYS[place]!.name}: ${trace.sha256}\n${trace.coverage}`,
+      `${TRACE_RUNS[index]!.name}: ${trace.sha256}\n${trace.coverage}`,
     );
   console.log(describeStoredFields(traces));
 }
--- a/test/golden/expect.ts
+++ b/test/golden/expect.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 
-/** Bytes that other programs read: the literal is what they are, whatever the names in the program. */
+/** Expects text that other programs read. The literal is written out, so that no rename in this program can change it. */
 export function expectText(actual: string, literal: string): void {
   assert.equal(actual, literal);
 }
 
-/** The same of a value that is sent or stored as JSON. */
+/** Expects a value that is sent or stored as JSON. */
 export function expectJson(actual: unknown, literal: string): void {
   expectText(JSON.stringify(actual), literal);
 }
 
-/** A value that is written as the literal, and read from it again. */
+/** Expects that a value is written as the literal, and that reading the literal gives the value. */
 export function expectStored<Value>(
   value: Value,
   write: (value: Value) => unknown,
--- a/test/golden/golden.test.ts
+++ b/test/golden/golden.test.ts
@@ -3,7 +3,7 @@
 import {
   describeStoredFields,
   recordCoreTrace,
-  TRACE_DAYS,
+  TRACE_RUNS,
 } from "./core-trace.js";
 import { expectText } from "./expect.js";
 import { recordWebhooksTrace } from "./webhooks-trace.js";
@@ -13,10 +13,10 @@
 import "./settings.js";
 import "./transport.js";
 
-// What other programs, and other versions of this one, read and write. A change of names inside the program leaves all of it as it is.
+// Data that other programs and other versions of this one read and write. Renames inside the program must not change any of it.
 
-test("golden: recorded days of the core", () => {
-  const traces = TRACE_DAYS.map(recordCoreTrace);
+test("golden: recorded runs of the core", () => {
+  const traces = TRACE_RUNS.map(recordCoreTrace);
   expectText(
     traces.map((trace) => trace.sha256).join("\n"),
     `c4a47391d91e822add751fc4f2dffc65b10504094ea858e1101043be25c64a18
@@ -94,7 +94,7 @@
   );
 });
 
-test("golden: a recorded day of hooks", () => {
+test("golden: a recorded run of webhooks", () => {
   const hash = recordWebhooksTrace(21);
   assert.equal(recordWebhooksTrace(21), hash);
   expectText(
--- a/test/golden/metrics.ts
+++ b/test/golden/metrics.ts
@@ -7,7 +7,7 @@
 import { Metrics } from "../../src/metrics/index.js";
 import { expectText } from "./expect.js";
 
-const FIGURES: Statistics = {
+const STATISTICS: Statistics = {
   unfinishedJobs: 1,
   ledPartitions: 2,
   machines: 3,
@@ -37,7 +37,7 @@
   limitInTransfer: [12, 13],
   reclaimed: [14, 15],
 };
-const WEBHOOK_FIGURES: WebhookCore["figures"] = {
+const WEBHOOK_STATISTICS: WebhookCore["figures"] = {
   owned: 1,
   inFlight: 2,
   window: 3,
@@ -46,11 +46,11 @@
   oldestAt: null,
   receivers: { closed: 6, open: 7, "half-open": 8 },
 };
-/** Their values are the process's own. */
-const OF_THE_PROCESS =
+/** Metrics whose values depend on the process. */
+const PROCESS_METRICS =
   /^(linencove_(?:memory_heap_bytes|memory_resident_bytes|cpu_seconds)) .*$/gm;
 
-/** The whole page, byte by byte. */
+/** The whole page of metrics. */
 const METRICS_PAGE = `# HELP linencove_events_total Lines of the log by their text, debug lines included
 # TYPE linencove_events_total counter
 linencove_events_total{event="controller started"} 1
@@ -306,11 +306,11 @@
 
 test("golden: metrics", async () => {
   const metrics = new Metrics(
-    () => FIGURES,
+    () => STATISTICS,
     () => 4_500,
   );
   metrics.watchTeams(() => [TEAM]);
-  metrics.watchWebhooks(() => WEBHOOK_FIGURES);
+  metrics.watchWebhooks(() => WEBHOOK_STATISTICS);
   metrics.logged("controller started");
   metrics.called("state", "commit", "committed", 20, 30);
   metrics.called("cloud", "rent", "noCapacity", 0, 300);
@@ -323,5 +323,5 @@
     "text/plain; version=0.0.4; charset=utf-8",
   );
   const text = await response.text();
-  expectText(text.replaceAll(OF_THE_PROCESS, "$1 *"), METRICS_PAGE);
+  expectText(text.replaceAll(PROCESS_METRICS, "$1 *"), METRICS_PAGE);
 });
--- a/test/golden/protocol.ts
+++ b/test/golden/protocol.ts
@@ -37,7 +37,7 @@
 } from "../../src/protocol/workers.js";
 import { expectJson, expectText } from "./expect.js";
 
-/** A job with a value of its own in every field. */
+/** A job with a different value in each field. */
 export const JOB: JobSpec = {
   id: "req-000412",
   jobClass: "arrays",
@@ -63,12 +63,12 @@
 
 const JOB_BODY =
   '{"id":"req-000412","jobclass":"arrays","crew":"red","shape":"ensemble","urgency":"best_effort","shards":7,"cores":2.5,"accelerators":1,"memoryGb":16,"bundle":"img-3","sizeGb":4,"hulls":["small","big"],"yard":"east","samePlace":true,"spread":false,"loaners":true,"reckonS":120,"stashEveryS":30,"stashS":5,"dueS":900,"awaits":["req-1","req-2","req-1"]}';
-const LEAST_JOB_BODY =
+const MINIMAL_JOB_BODY =
   '{"id":"req-1","jobclass":"arrays","crew":"red","shape":"batch","urgency":"prod","shards":1,"cores":1,"memoryGb":2}';
 
-const REPORT_BODY =
+const HEARTBEAT_BODY =
   '{"berth":"n-17","address":"10.0.0.7:8001","hull":"small","yard":"east","loaners":true,"watch":3,"tally":41,"baton":9,"recallS":12.5,"shards":[{"shard":"req-000412/3","try":2,"status":"exited","cause":"no_room","kept":true},{"shard":"req-000413/0","try":5,"status":"fetching"},{"shard":"req-000413/1","try":5,"status":"waiting"},{"shard":"req-000413/2","try":5,"status":"running"},{"shard":"req-000413/3","try":5,"status":"saving"}]}';
-const REPORT: Heartbeat = {
+const HEARTBEAT: Heartbeat = {
   worker: "n-17",
   address: "10.0.0.7:8001",
   type: "small",
@@ -100,7 +100,7 @@
   ],
 };
 
-/** One order of each kind. */
+/** One command of each kind. */
 export const COMMANDS: readonly Command[] = [
   { op: "start", job: "req-000412", index: 3, attempt: 2 },
   { op: "stop", job: "req-000412", index: 4, attempt: 6, graceS: 1.5 },
@@ -112,7 +112,7 @@
     ok: true,
     value: { dependsOn: ["req-1", "req-2"], spec: JOB },
   });
-  assert.deepEqual(parseJob(LEAST_JOB_BODY), {
+  assert.deepEqual(parseJob(MINIMAL_JOB_BODY), {
     ok: true,
     value: {
       dependsOn: [],
@@ -162,14 +162,17 @@
   );
 });
 
-test("golden: workers' reports, answers and commands", () => {
-  assert.deepEqual(parseHeartbeat(REPORT_BODY), { ok: true, value: REPORT });
-  const least =
+test("golden: workers' heartbeats, replies and commands", () => {
+  assert.deepEqual(parseHeartbeat(HEARTBEAT_BODY), {
+    ok: true,
+    value: HEARTBEAT,
+  });
+  const minimalBody =
     '{"berth":"n-17","address":"10.0.0.7:8001","hull":"small","yard":"east","watch":3,"tally":41}';
-  assert.deepEqual(parseHeartbeat(least), {
+  assert.deepEqual(parseHeartbeat(minimalBody), {
     ok: true,
     value: {
-      ...REPORT,
+      ...HEARTBEAT,
       spot: false,
       token: 0,
       noticeS: null,
@@ -181,11 +184,11 @@
     '{"ok":false,"error":"berth: Invalid key: Expected \\"berth\\" but received undefined"}',
   );
   expectJson(
-    parseHeartbeat(REPORT_BODY.replace("no_room", "lost")),
+    parseHeartbeat(HEARTBEAT_BODY.replace("no_room", "lost")),
     '{"ok":false,"error":"shards.0.cause: Invalid type: Expected (\\"done\\" | \\"stopped\\" | \\"peers\\" | \\"incomplete\\" | \\"error\\" | \\"no_room\\" | \\"busy\\" | \\"no_such\\") but received \\"lost\\""}',
   );
   expectJson(
-    parseHeartbeat(REPORT_BODY.replace("/3", "/999999")),
+    parseHeartbeat(HEARTBEAT_BODY.replace("/3", "/999999")),
     '{"ok":false,"error":"shards: req-000412/999999: no such task number"}',
   );
   expectJson(
@@ -242,7 +245,13 @@
   ]);
   const list =
     '{"berths":[{"id":"n-1","address":"10.0.0.7:8001","hull":"small","yard":"east","loaners":true,"status":"running","ageS":7},{"id":"n-2","hull":"big","yard":"mid","status":"starting"},{"id":"n-3","hull":"big","yard":"mid","status":"failed"}],"truncated":true}';
-  const bare = { address: "", type: "big", zone: "mid", spot: false, ageS: 0 };
+  const minimal = {
+    address: "",
+    type: "big",
+    zone: "mid",
+    spot: false,
+    ageS: 0,
+  };
   assert.deepEqual(parseList(JSON.parse(list)), {
     more: true,
     machines: [
@@ -255,8 +264,8 @@
         state: "running",
         ageS: 7,
       },
-      { ...bare, id: "n-2", state: "starting" },
-      { ...bare, id: "n-3", state: "failed" },
+      { ...minimal, id: "n-2", state: "starting" },
+      { ...minimal, id: "n-3", state: "failed" },
     ],
   });
 });
@@ -276,8 +285,8 @@
     { op: "delete", key: "lc/now/job/req-1" },
   ],
 };
-const NEW_HOLD: StateCall = { op: "newHold", ttlMs: 12_000 };
-const TOUCH: StateCall = { op: "touch", hold: 77 };
+const NEW_LEASE: StateCall = { op: "newHold", ttlMs: 12_000 };
+const RENEW_LEASE: StateCall = { op: "touch", hold: 77 };
 const CHANGES: StateCall = {
   op: "changes",
   prefix: "lc/",
@@ -303,11 +312,11 @@
     '{"method":"POST","path":"/commit","body":"{\\"if\\":[{\\"k\\":\\"lc/now/group/east\\",\\"stamp\\":12},{\\"k\\":\\"lc/now/job/req-2\\",\\"stamp\\":0}],\\"writes\\":[{\\"put\\":\\"lc/now/job/req-2\\",\\"value\\":{\\"a\\":1}},{\\"put\\":\\"lc/now/group/east\\",\\"value\\":[2],\\"tenancy\\":77},{\\"delete\\":\\"lc/now/job/req-1\\"}]}"}',
   );
   expectJson(
-    stateRequest(NEW_HOLD),
+    stateRequest(NEW_LEASE),
     '{"method":"POST","path":"/holds","body":"{\\"ttlMs\\":12000}"}',
   );
   expectJson(
-    stateRequest(TOUCH),
+    stateRequest(RENEW_LEASE),
     '{"method":"POST","path":"/holds/77/touch","body":"{}"}',
   );
   expectJson(
@@ -316,7 +325,7 @@
   );
 });
 
-/** One reply of each kind, with the HTTP answer that it is read from. */
+/** Replies of each kind, with the call, the HTTP status and the body that they are parsed from. */
 const REPLIES: readonly [StateCall, number, string, StateReply][] = [
   [GET, 404, '{"error":"none"}', { is: "item", item: null }],
   [
@@ -349,9 +358,9 @@
   [COMMIT, 503, "{}", { is: "refused", why: "503" }],
   [COMMIT, 500, "{}", { is: "unknown", why: "500" }],
   [COMMIT, 200, "{}", { is: "unknown", why: "malformed answer" }],
-  [NEW_HOLD, 200, '{"tenancy":77}', { is: "hold", hold: 77 }],
-  [TOUCH, 200, "{}", { is: "touched" }],
-  [TOUCH, 404, "{}", { is: "gone" }],
+  [NEW_LEASE, 200, '{"tenancy":77}', { is: "hold", hold: 77 }],
+  [RENEW_LEASE, 200, "{}", { is: "touched" }],
+  [RENEW_LEASE, 404, "{}", { is: "gone" }],
   [CHANGES, 410, "{}", { is: "gone" }],
   [
     CHANGES,
@@ -373,7 +382,7 @@
     assert.deepEqual(stateReply(call, status, JSON.parse(body)), reply);
 });
 
-test("golden: calls and replies as controllers carry them for each other", () => {
+test("golden: calls and replies that are sent through a peer", () => {
   expectJson(
     [GET, LIST, LIST_AFTER],
     '[{"op":"get","key":"lc/now/job/req-1"},{"op":"list","prefix":"lc/now/","after":""},{"op":"list","prefix":"lc/now/","after":"lc/now/job/req-1"}]',
@@ -383,7 +392,7 @@
     '{"op":"commit","conditions":[{"key":"lc/now/group/east","version":12},{"key":"lc/now/job/req-2","version":0}],"writes":[{"op":"put","key":"lc/now/job/req-2","value":{"a":1}},{"op":"put","key":"lc/now/group/east","value":[2],"hold":77},{"op":"delete","key":"lc/now/job/req-1"}]}',
   );
   expectJson(
-    [NEW_HOLD, TOUCH, CHANGES],
+    [NEW_LEASE, RENEW_LEASE, CHANGES],
     '[{"op":"newHold","ttlMs":12000},{"op":"touch","hold":77},{"op":"changes","prefix":"lc/","since":41,"waitMs":5000}]',
   );
   expectJson(
--- a/test/golden/records.ts
+++ b/test/golden/records.ts
@@ -31,8 +31,8 @@
   expectText(records.RECLAIM_KEY, "lc/now/reclaim");
 });
 
-test("golden: keys are read as what they are", () => {
-  const readAs: readonly [string, records.StoreKey | null][] = [
+test("golden: parsing of keys", () => {
+  const expected: readonly [string, records.StoreKey | null][] = [
     ["lc/now/group/east", { kind: "group", partition: "east" }],
     ["lc/now/claim/east", { kind: "claim", partition: "east" }],
     ["lc/now/room/east", { kind: "room", partition: "east" }],
@@ -55,7 +55,7 @@
     ["lc/now/other", null],
     ["lc/hook/now/sub/alerts", null],
   ];
-  for (const [key, parsed] of readAs)
+  for (const [key, parsed] of expected)
     assert.deepEqual(records.parseKey(key), parsed);
 });
 
@@ -118,7 +118,7 @@
   );
 });
 
-test("golden: finished tasks, gangs, machines of a group", () => {
+test("golden: finished tasks, gangs, registry", () => {
   const ranges = RangeSet.of([
     [384, 390],
     [400, 400],
@@ -162,7 +162,7 @@
   );
 });
 
-const ROOM: records.CapacityRecord = {
+const CAPACITY: records.CapacityRecord = {
   rows: [
     {
       type: "small",
@@ -224,14 +224,14 @@
   isTruncated: true,
 };
 
-test("golden: a group's room", () => {
+test("golden: capacity of a partition", () => {
   expectStored(
-    ROOM,
+    CAPACITY,
     records.writeCapacity,
     records.readCapacity,
     '{"rows":[{"t":"small","z":"east","s":true,"n":4,"f":[[6,0,20.5,2]],"r":[[8,0,32,1]],"y":[[8,0,32,1,1,3]]},{"t":"big","z":"mid","s":false,"n":1,"f":[],"r":[]}],"q":[5,2],"qu":[[5,2],[4,1],[3,0],[1,0]],"run":[["req-000412",3]],"out":["small/east/true"],"left":[["big/mid/false",2]],"want":[["red",8,1,1700000000001]],"team":[["red",1,2,3,4,5,6,1700000000002,7,8,1700000000004,9,10,11,12.25,1700000000003,1700000000005],["blue",0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0]],"cut":true}',
   );
-  const { queueByMinPriority: _, ...empty } = ROOM;
+  const { queueByMinPriority: _, ...empty } = CAPACITY;
   expectStored(
     {
       ...empty,
@@ -249,7 +249,7 @@
   );
 });
 
-test("golden: what a group lends and asks for of a limit", () => {
+test("golden: idle share, backfill and reservation of a team in a capacity record", () => {
   const row = {
     use: [1, 0],
     possibleUse: [1, 0],
@@ -262,7 +262,7 @@
   } satisfies records.TeamRow;
   expectStored(
     {
-      ...ROOM,
+      ...CAPACITY,
       rows: [],
       teams: new Map<string, records.TeamRow>([
         ["lends", { ...row, idle: [2.8, 0] }],
@@ -286,16 +286,16 @@
   );
 });
 
-test("golden: group, claim, limits, belief and reclaims", () => {
+test("golden: partition, leadership bid, quota, observed limits and reclaims", () => {
   const partition: records.PartitionRecord = { owner: "node-a", hold: 77 };
   assert.deepEqual(
     records.readPartition(JSON.parse('{"owner":"node-a","hold":77}')),
     partition,
   );
-  const claim: records.LeadershipBidRecord = { by: "node-b", token: 12 };
+  const bid: records.LeadershipBidRecord = { by: "node-b", token: 12 };
   assert.deepEqual(
     records.readLeadershipBid(JSON.parse('{"by":"node-b","token":12}')),
-    claim,
+    bid,
   );
   assert.deepEqual(
     records.readQuota(
@@ -328,7 +328,7 @@
   );
 });
 
-test("golden: keys of hooks", () => {
+test("golden: keys of webhook records", () => {
   expectJson(
     [
       hooks.WEBHOOKS_PREFIX,
@@ -362,29 +362,29 @@
   redrives: 4,
   tests: 5,
 };
-const OWED: readonly hooks.PendingDelivery[] = (
+const PENDING_DELIVERIES: readonly hooks.PendingDelivery[] = (
   ["done", "cancelled", "test"] as const
-).map((outcome, place) => ({
+).map((outcome, index) => ({
   end: {
-    id: `req-${place}`,
+    id: `req-${index}`,
     outcome,
     tasks: 7,
-    done: place,
+    done: index,
     team: "red",
     class: "arrays",
     at: 1_700_000_000_000,
-    since: 1_700_000_000_000 + place,
+    since: 1_700_000_000_000 + index,
   },
-  attempts: place,
+  attempts: index,
 }));
 
-function packed(): hooks.Packer {
+function packedDeliveries(): hooks.Packer {
   const packer = new hooks.Packer(1_000);
-  for (const owed of OWED) assert.ok(packer.add(owed));
+  for (const delivery of PENDING_DELIVERIES) assert.ok(packer.add(delivery));
   return packer;
 }
 
-test("golden: values of hooks", () => {
+test("golden: webhook records", () => {
   expectStored(
     SUBSCRIPTION,
     hooks.writeSubscription,
@@ -397,22 +397,22 @@
     hooks.readSubscription,
     '{"u":"https://example.org/in","t":null,"c":["arrays"],"o":["done","cancelled"],"k":["k2","k1"],"ord":true,"ask":false,"st":"ended","rd":4,"ts":5}',
   );
-  const at: hooks.ProgressRecord = {
+  const progress: hooks.ProgressRecord = {
     seq: 1,
     token: 2,
     cursor: { version: 3, id: "req-0" },
-    window: [...OWED],
+    window: [...PENDING_DELIVERIES],
     spool: { first: 4, taken: 5, next: 6 },
     dead: { first: 7, next: 8 },
     redrives: 9,
     tests: 10,
     listing: { to: 11, after: "lc/past/req-0" },
   };
-  const writeAt = (record: hooks.ProgressRecord): object =>
-    hooks.writeProgress(record, packed());
+  const writeProgress = (record: hooks.ProgressRecord): object =>
+    hooks.writeProgress(record, packedDeliveries());
   expectStored(
-    at,
-    writeAt,
+    progress,
+    writeProgress,
     hooks.readProgress,
     '{"q":1,"tk":2,"c":[3,"req-0"],"nm":["red","arrays"],"w":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]],"sp":[4,5,6],"dd":[7,8],"rd":9,"ts":10,"ls":[11,"lc/past/req-0"]}',
   );
@@ -421,15 +421,15 @@
     '{"q":0,"tk":0,"c":null,"nm":[],"w":[],"sp":[0,0,0],"dd":[0,0],"rd":0,"ts":0}',
   );
   const writeBatch = (batch: hooks.Batch): object =>
-    hooks.writeBatch(packed(), batch.to);
+    hooks.writeBatch(packedDeliveries(), batch.to);
   expectStored(
-    { to: { version: 3, id: "req-0" }, entries: [...OWED] },
+    { to: { version: 3, id: "req-0" }, entries: [...PENDING_DELIVERIES] },
     writeBatch,
     hooks.readBatch,
     '{"to":[3,"req-0"],"nm":["red","arrays"],"e":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]]}',
   );
   expectStored(
-    { to: null, entries: [...OWED] },
+    { to: null, entries: [...PENDING_DELIVERIES] },
     writeBatch,
     hooks.readBatch,
     '{"to":null,"nm":["red","arrays"],"e":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]]}',
@@ -445,7 +445,7 @@
   assert.deepEqual(hooks.readSettledUpTo(JSON.parse('{"3":41}')), { 3: 41 });
 });
 
-test("golden: the end that a final record tells", () => {
+test("golden: job end in a final record", () => {
   const change: Item = {
     key: "lc/past/req-9",
     value: JSON.parse(
--- a/test/golden/settings.ts
+++ b/test/golden/settings.ts
@@ -178,11 +178,11 @@
   },
 };
 
-test("golden: the platform's file", () => {
+test("golden: the platform's settings file", () => {
   assert.deepEqual(parseSettings(PLATFORM_FILE, "platform.toml"), SETTINGS);
 });
 
-test("golden: the operators' file", async () => {
+test("golden: the operators' settings file", async () => {
   assert.deepEqual(await parseOperator(OPERATOR_FILE, "op.txt"), OPERATOR);
   assert.deepEqual(await parseOperator("", "op.txt"), {
     hooks: null,
@@ -210,7 +210,7 @@
   } satisfies Operator);
 });
 
-test("golden: mistakes in the files are named by the files' own fields", async () => {
+test("golden: errors name the settings as they are in the files", async () => {
   const refusal = async (read: () => unknown): Promise<string> => {
     try {
       await read();
@@ -219,19 +219,22 @@
     }
     return "accepted";
   };
-  const platform = PLATFORM_FILE.replace("lease_s = 10", "lease_s = 0");
-  const late = PLATFORM_FILE.replace("cancel_s = 26", "cancel_s = 13");
+  const zeroLeaseFile = PLATFORM_FILE.replace("lease_s = 10", "lease_s = 0");
+  const shortCancelFile = PLATFORM_FILE.replace(
+    "cancel_s = 26",
+    "cancel_s = 13",
+  );
   expectText(
-    await refusal(() => parseSettings(platform, "a.toml")),
+    await refusal(() => parseSettings(zeroLeaseFile, "a.toml")),
     "a.toml: cluster.workers.lease_s: Invalid value: Expected >0 but received 0",
   );
   expectText(
-    await refusal(() => parseSettings(late, "a.toml")),
+    await refusal(() => parseSettings(shortCancelFile, "a.toml")),
     "a.toml: cluster.workers.cancel_s: must exceed lease_s by at least 4 s",
   );
-  const operator = (text: string) => (): unknown => parseOperator(text, "op");
+  const parse = (text: string) => (): unknown => parseOperator(text, "op");
   for (const [text, literal] of OPERATOR_MISTAKES)
-    expectText(await refusal(operator(text)), literal);
+    expectText(await refusal(parse(text)), literal);
 });
 
 const OPERATOR_MISTAKES: readonly [string, string][] = [
--- a/test/golden/transport.ts
+++ b/test/golden/transport.ts
@@ -35,14 +35,14 @@
 import { expectJson, expectText } from "./expect.js";
 import { COMMANDS } from "./protocol.js";
 
-/** Status, headers that count and body of an answer, in one text. */
-async function inOneText(response: Response): Promise<string> {
-  const retry = response.headers.get("retry-after");
+/** Status, relevant headers and body of a response as one text. */
+async function describeResponse(response: Response): Promise<string> {
+  const retryAfter = response.headers.get("retry-after");
   const type = response.headers.get("content-type");
-  return `${response.status} ${type} ${retry ?? "-"} ${await response.text()}`;
+  return `${response.status} ${type} ${retryAfter ?? "-"} ${await response.text()}`;
 }
 
-/** One answer of each kind. */
+/** Answers of each kind, with their HTTP responses. */
 const ANSWERS: readonly [Answer, string][] = [
   [
     {
@@ -100,12 +100,12 @@
 
 test("golden: status and body of each answer", async () => {
   for (const [answer, literal] of ANSWERS)
-    expectText(await inOneText(toHttp(answer)), literal);
+    expectText(await describeResponse(toHttp(answer)), literal);
 });
 
-const LEAST_JOB =
+const MINIMAL_JOB =
   '{"id":"req-1","jobclass":"arrays","crew":"red","shape":"batch","urgency":"prod","shards":1,"cores":1,"memoryGb":2}';
-const LEAST_REPORT =
+const MINIMAL_HEARTBEAT =
   '{"berth":"n-17","address":"10.0.0.7:8001","hull":"small","yard":"east","watch":3,"tally":41}';
 
 test("golden: routes for users, workers and the platform", async () => {
@@ -133,13 +133,13 @@
     path: string,
     body?: string,
   ): Promise<string> =>
-    inOneText(await app.request(path, { method, body: body ?? null }));
+    describeResponse(await app.request(path, { method, body: body ?? null }));
   expectText(
     await ask("GET", "/ready"),
     '200 application/json - {"ready":true}',
   );
   expectText(
-    await ask("POST", "/v1/jobs", LEAST_JOB),
+    await ask("POST", "/v1/jobs", MINIMAL_JOB),
     '404 application/json - {"error":"no such job"}',
   );
   expectText(
@@ -159,7 +159,7 @@
     '404 application/json - {"error":"no such job"}',
   );
   expectText(
-    await ask("POST", "/hello", LEAST_REPORT),
+    await ask("POST", "/hello", MINIMAL_HEARTBEAT),
     '404 application/json - {"error":"no such job"}',
   );
   expectText(
@@ -168,12 +168,12 @@
   );
   answer = { kind: "relay", leader: "node-b" };
   expectText(
-    await ask("POST", "/hello", LEAST_REPORT),
+    await ask("POST", "/hello", MINIMAL_HEARTBEAT),
     "421 application/json - {}",
   );
   relayAnswer = { status: 200, body: '{"baton":1,"orders":[]}' };
   expectText(
-    await ask("POST", "/hello", LEAST_REPORT),
+    await ask("POST", "/hello", MINIMAL_HEARTBEAT),
     '200 application/json - {"baton":1,"orders":[]}',
   );
   expectText(
@@ -211,8 +211,8 @@
   );
 });
 
-/** A server that keeps what it was sent, and answers all with one body. */
-async function recording(
+/** Runs `use` with a server that records all requests and answers them with the same body. */
+async function withRecordingServer(
   answerBody: string,
   use: (
     port: number,
@@ -243,39 +243,42 @@
 }
 
 test("golden: requests to the cloud", async () => {
-  await recording('{"hulls":[],"berths":["n-1"]}', async (port, _, bodies) => {
-    const { settings } = new World(1);
-    const nearby: Settings = {
-      ...settings,
-      cloud: { host: "127.0.0.1", port, rps: 100, listLagS: 1 },
-    };
-    const client = new CloudClient(nearby);
-    const calls: CloudCall[] = [
-      { op: "catalog" },
-      {
-        op: "rent",
-        request: "node-a-1",
-        type: "small",
-        zone: "east",
-        spot: true,
-        count: 3,
-      },
-      { op: "return", machines: ["n-1", "n-2"] },
-      { op: "list", after: "n-1" },
-    ];
-    for (const call of calls) await client.call(call, 1);
-    expectText(
-      bodies.join("\n"),
-      `GET /catalog 
+  await withRecordingServer(
+    '{"hulls":[],"berths":["n-1"]}',
+    async (port, _, bodies) => {
+      const { settings } = new World(1);
+      const localSettings: Settings = {
+        ...settings,
+        cloud: { host: "127.0.0.1", port, rps: 100, listLagS: 1 },
+      };
+      const client = new CloudClient(localSettings);
+      const calls: CloudCall[] = [
+        { op: "catalog" },
+        {
+          op: "rent",
+          request: "node-a-1",
+          type: "small",
+          zone: "east",
+          spot: true,
+          count: 3,
+        },
+        { op: "return", machines: ["n-1", "n-2"] },
+        { op: "list", after: "n-1" },
+      ];
+      for (const call of calls) await client.call(call, 1);
+      expectText(
+        bodies.join("\n"),
+        `GET /catalog 
 POST /hosts {"charter":"node-a-1","hull":"small","yard":"east","loaners":true,"number":3}
 POST /hosts/return {"berths":["n-1","n-2"]}
 GET /hosts?most=500&since=n-1 `,
-    );
-  });
+      );
+    },
+  );
 });
 
 test("golden: requests to workers", async () => {
-  await recording(LEAST_REPORT, async (port, _, bodies) => {
+  await withRecordingServer(MINIMAL_HEARTBEAT, async (port, _, bodies) => {
     const client = new WorkerClient(100);
     const address = `127.0.0.1:${port}`;
     await client.command(address, 9, 3, COMMANDS);
@@ -322,7 +325,7 @@
 });
 
 test("golden: the requests that carry a notification", async () => {
-  await recording("{}", async (port, requests, bodies) => {
+  await withRecordingServer("{}", async (port, requests, bodies) => {
     const sender = new WebhookSender({
       networks: new AllowedNetworks(["127.0.0.1"], true),
       keys: new Map([["k1", KEY]]),
@@ -369,7 +372,7 @@
       "connection content-length content-type host linencove-attempt linencove-repeat user-agent webhook-id webhook-signature webhook-timestamp",
     );
     const { headers } = post!;
-    const fixed = [
+    const fixedHeaders = [
       "user-agent",
       "webhook-id",
       "linencove-attempt",
@@ -377,7 +380,7 @@
       "content-type",
     ];
     expectJson(
-      fixed.map((name) => headers[name]),
+      fixedHeaders.map((name) => headers[name]),
       '["linencove/1","alerts.req-9","2","timeout","application/json"]',
     );
     assert.equal(
@@ -392,7 +395,7 @@
   });
 });
 
-/** Hooks' routes over a store, without a controller around them. */
+/** The webhook routes over a simulated store, without a controller. */
 function webhooksApp(): ReturnType<typeof webhookRoutes> {
   const store = new Store(() => 0);
   const core = new WebhookCore(
@@ -413,24 +416,24 @@
     }
   };
   feed({ type: "permit", storeLease: 1, untilMs: 1e9 });
-  let asked = 0;
+  let lastRequestId = 0;
   return webhookRoutes(
     (request) => {
-      feed({ type: "request", req: ++asked, request });
-      return Promise.resolve(replies.get(asked)!);
+      feed({ type: "request", req: ++lastRequestId, request });
+      return Promise.resolve(replies.get(lastRequestId)!);
     },
     (_, next) => next(),
   );
 }
 
-test("golden: routes of hooks", async () => {
+test("golden: webhook routes", async () => {
   const app = webhooksApp();
   const ask = async (
     method: string,
     path: string,
     body?: string,
   ): Promise<string> =>
-    inOneText(await app.request(path, { method, body: body ?? null }));
+    describeResponse(await app.request(path, { method, body: body ?? null }));
   const added =
     '{"name":"alerts","url":"https://example.org/in","crews":["red"],"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true}';
   expectText(
--- a/test/golden/webhooks-trace.ts
+++ b/test/golden/webhooks-trace.ts
@@ -7,12 +7,12 @@
   faults,
 } from "../webhooks/webhook-world.js";
 
-const DAY_MS = 60_000;
-const REST_MS = 30_000;
+const LOAD_MS = 60_000;
+const SETTLE_MS = 30_000;
 
 /**
- * A recorded day of the sending of hooks: all calls to the state service as they cross the wire, all calls that receivers got, and what
- * users were answered, as one hash.
+ * A recorded run of webhook delivery: all calls to the state service in the form that they have on the wire, all requests that receivers
+ * got, and all replies to users, as one hash.
  */
 export function recordWebhooksTrace(seed: number): string {
   const hash = createHash("sha256");
@@ -28,18 +28,18 @@
   world.add("red-only", { crews: ["red"], ordered: true });
   world.add("asked", { ask: true });
   world.lossy = 0.02;
-  faults(world, DAY_MS);
-  for (let place = 0; place < 150; place++)
-    world.at(place * 400, () =>
+  faults(world, LOAD_MS);
+  for (let index = 0; index < 150; index++)
+    world.at(index * 400, () =>
       world.end(
-        `req-${place}`,
+        `req-${index}`,
         world.rng.pick(["red", "blue"]),
         world.rng.chance(0.8) ? "done" : "cancelled",
       ),
     );
-  world.run(DAY_MS);
+  world.run(LOAD_MS);
   calm(world);
-  world.run(REST_MS);
+  world.run(SETTLE_MS);
   const [node] = world.nodes;
   const requests = [
     { is: "list" },
