--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -59,7 +59,7 @@
 import { StoreWatcher } from "./store/store-watcher.js";
 import { Transactions } from "./transactions.js";
 
-/** A controller that no peer answers reports that it is not ready once it has not reached the store for this long. */
+/** While none of its peers answers, a controller is not ready once it has not reached the store for this long. */
 const ISOLATED_AFTER_MS = 6_000;
 
 /**
@@ -74,7 +74,7 @@
   readonly cache = new StoreCache();
   /** Calls that wait for their replies. */
   readonly calls = new PendingCalls((effect) => this.effects.push(effect));
-  /** The partitions that this controller leads. */
+  /** The leaders of the partitions that this controller leads, by partition. */
   readonly leaders: ReadonlyMap<string, PartitionLeader>;
   readonly leadership: Leadership;
   readonly dependencies: DependencyTracker;
--- a/src/coordination/effects.ts
+++ b/src/coordination/effects.ts
@@ -44,6 +44,7 @@
 /** A call to the cloud platform. */
 export type CloudCall =
   | { op: "catalog" }
+  /** `request`: id of the rental request. */
   | {
       op: "rent";
       request: string;
--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -55,9 +55,9 @@
   /** Duration of the store lease, in ms. */
   readonly leaseTtlMs: number;
   private storeLease: number | null = null;
-  /** When the last renewal that succeeded was sent. */
+  /** When the last successful renewal was sent, in steady time. */
   private renewedMs = -Infinity;
-  /** When the last read that succeeded was sent. */
+  /** When the last successful read was sent, in steady time. */
   private readMs = -Infinity;
   private isRenewing = false;
   private nextRenewalMs = 0;
@@ -192,7 +192,7 @@
     this.maintainStoreLease();
   }
 
-  /** Fencing token of a partition that this controller owns under its current store lease; null if it does not own it. */
+  /** Fencing token of a partition that this controller owns under its current store lease; null if it does not, or is releasing it. */
   tokenOf(partition: string): number | null {
     const record = this.ctx.cache.partitions.get(partition);
     if (
--- a/src/storage/keys.ts
+++ b/src/storage/keys.ts
@@ -41,7 +41,11 @@
 /** Resources that leaders preempt from teams above their guarantee, for teams below theirs. */
 export const RECLAIM_KEY = "lc/now/reclaim";
 
-/** The parts of a key, by kind of record. The kinds have their stored names, except `limits`: quota records. */
+/**
+ * The parts of a key, by kind of record. The kinds have their stored names (`group`: leader of a partition, `claim`: leadership bid,
+ * `room`: capacity, `past`: final record, `fin`: finished tasks, `roster`: registry, `belief`: observed limits), except `limits`, which
+ * stands for all quota records.
+ */
 export interface StoreKeyFields {
   group: { partition: string };
   claim: { partition: string };
--- a/src/storage/records/capacity.ts
+++ b/src/storage/records/capacity.ts
@@ -6,7 +6,7 @@
 import { PRIORITIES } from "../../coordination/model.js";
 import { read } from "./codec.js";
 
-/** Numbers of tasks without and with accelerators. */
+/** For each priority, the numbers of waiting tasks without and with accelerators. */
 const StoredQueueCounts = v.array(v.tuple([v.number(), v.number()]));
 const numberSchemas = (count: number): v.NumberSchema<undefined>[] =>
   Array.from({ length: count }, () => v.number());
@@ -89,7 +89,7 @@
 export interface QuotaWant {
   cpus: number;
   gpus: number;
-  /** Time of day (ms) since which the oldest of these jobs has waited. */
+  /** Time of day (ms) since which the oldest job that would use it has waited. */
   since: number;
 }
 
--- a/test/golden/core-trace.ts
+++ b/test/golden/core-trace.ts
@@ -44,7 +44,7 @@
   { name: "usual jobs", seed: 20, drawJob: randomJob, tuning: {}, capacity: 3 },
   { name: "large gangs", seed: 1, drawJob: largeJob, tuning: {}, capacity: 1 },
   {
-    name: "divided limits, ends told",
+    name: "divided limits, webhooks",
     seed: 54,
     drawJob: randomJob,
     tuning: { dividedLimits: true, tellEnds: true },
--- a/test/golden/records.ts
+++ b/test/golden/records.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { RangeSet } from "../../src/coordination/jobs/range-set.js";
 import type { Item } from "../../src/protocol/state.js";
-import * as hooks from "../../src/webhooks/records.js";
+import * as webhooks from "../../src/webhooks/records.js";
 import { jobEndOf } from "../../src/webhooks/change-feed.js";
 import * as records from "../../src/storage/records.js";
 import { expectJson, expectStored, expectText } from "./expect.js";
@@ -331,26 +331,29 @@
 test("golden: keys of webhook records", () => {
   expectJson(
     [
-      hooks.WEBHOOKS_PREFIX,
-      hooks.WEBHOOKS_LIVE_PREFIX,
-      hooks.SUBSCRIPTIONS_PREFIX,
-      hooks.SETTLED_UP_TO_KEY,
+      webhooks.WEBHOOKS_PREFIX,
+      webhooks.WEBHOOKS_LIVE_PREFIX,
+      webhooks.SUBSCRIPTIONS_PREFIX,
+      webhooks.SETTLED_UP_TO_KEY,
     ],
     '["lc/hook/","lc/hook/now/","lc/hook/now/sub/","lc/hook/now/upto"]',
   );
-  expectText(hooks.subscriptionKey("alerts"), "lc/hook/now/sub/alerts");
-  expectText(hooks.progressKey("alerts"), "lc/hook/now/at/alerts");
-  expectText(hooks.laneOwnerKey(3), "lc/hook/now/own/3");
-  expectText(hooks.presenceKey("node-a"), "lc/hook/now/here/node-a");
-  expectText(hooks.spoolPrefix("alerts"), "lc/hook/spool/alerts/");
-  expectText(hooks.deadPrefix("alerts"), "lc/hook/dead/alerts/");
-  expectText(hooks.spoolKey("alerts", 12), "lc/hook/spool/alerts/0000000012");
-  expectText(hooks.deadKey("alerts", 13), "lc/hook/dead/alerts/0000000013");
-  assert.equal(hooks.batchNumber("lc/hook/spool/alerts/0000000012"), 12);
-  assert.equal(hooks.LANE_COUNT, 16);
+  expectText(webhooks.subscriptionKey("alerts"), "lc/hook/now/sub/alerts");
+  expectText(webhooks.progressKey("alerts"), "lc/hook/now/at/alerts");
+  expectText(webhooks.laneOwnerKey(3), "lc/hook/now/own/3");
+  expectText(webhooks.presenceKey("node-a"), "lc/hook/now/here/node-a");
+  expectText(webhooks.spoolPrefix("alerts"), "lc/hook/spool/alerts/");
+  expectText(webhooks.deadPrefix("alerts"), "lc/hook/dead/alerts/");
+  expectText(
+    webhooks.spoolKey("alerts", 12),
+    "lc/hook/spool/alerts/0000000012",
+  );
+  expectText(webhooks.deadKey("alerts", 13), "lc/hook/dead/alerts/0000000013");
+  assert.equal(webhooks.batchNumber("lc/hook/spool/alerts/0000000012"), 12);
+  assert.equal(webhooks.LANE_COUNT, 16);
 });
 
-const SUBSCRIPTION: hooks.Subscription = {
+const SUBSCRIPTION: webhooks.Subscription = {
   url: "https://example.org/in",
   teams: ["red"],
   classes: null,
@@ -362,7 +365,7 @@
   redrives: 4,
   tests: 5,
 };
-const PENDING_DELIVERIES: readonly hooks.PendingDelivery[] = (
+const PENDING_DELIVERIES: readonly webhooks.PendingDelivery[] = (
   ["done", "cancelled", "test"] as const
 ).map((outcome, index) => ({
   end: {
@@ -378,8 +381,8 @@
   attempts: index,
 }));
 
-function packedDeliveries(): hooks.Packer {
-  const packer = new hooks.Packer(1_000);
+function packedDeliveries(): webhooks.Packer {
+  const packer = new webhooks.Packer(1_000);
   for (const delivery of PENDING_DELIVERIES) assert.ok(packer.add(delivery));
   return packer;
 }
@@ -387,17 +390,17 @@
 test("golden: webhook records", () => {
   expectStored(
     SUBSCRIPTION,
-    hooks.writeSubscription,
-    hooks.readSubscription,
+    webhooks.writeSubscription,
+    webhooks.readSubscription,
     '{"u":"https://example.org/in","t":["red"],"c":null,"o":["done","cancelled"],"k":["k2","k1"],"ord":true,"ask":false,"st":"paused","rd":4,"ts":5}',
   );
   expectStored(
     { ...SUBSCRIPTION, teams: null, classes: ["arrays"], state: "ended" },
-    hooks.writeSubscription,
-    hooks.readSubscription,
+    webhooks.writeSubscription,
+    webhooks.readSubscription,
     '{"u":"https://example.org/in","t":null,"c":["arrays"],"o":["done","cancelled"],"k":["k2","k1"],"ord":true,"ask":false,"st":"ended","rd":4,"ts":5}',
   );
-  const progress: hooks.ProgressRecord = {
+  const progress: webhooks.ProgressRecord = {
     seq: 1,
     token: 2,
     cursor: { version: 3, id: "req-0" },
@@ -408,41 +411,43 @@
     tests: 10,
     listing: { to: 11, after: "lc/past/req-0" },
   };
-  const writeProgress = (record: hooks.ProgressRecord): object =>
-    hooks.writeProgress(record, packedDeliveries());
+  const writeProgress = (record: webhooks.ProgressRecord): object =>
+    webhooks.writeProgress(record, packedDeliveries());
   expectStored(
     progress,
     writeProgress,
-    hooks.readProgress,
+    webhooks.readProgress,
     '{"q":1,"tk":2,"c":[3,"req-0"],"nm":["red","arrays"],"w":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]],"sp":[4,5,6],"dd":[7,8],"rd":9,"ts":10,"ls":[11,"lc/past/req-0"]}',
   );
   expectJson(
-    hooks.newProgress(),
+    webhooks.newProgress(),
     '{"q":0,"tk":0,"c":null,"nm":[],"w":[],"sp":[0,0,0],"dd":[0,0],"rd":0,"ts":0}',
   );
-  const writeBatch = (batch: hooks.Batch): object =>
-    hooks.writeBatch(packedDeliveries(), batch.to);
+  const writeBatch = (batch: webhooks.Batch): object =>
+    webhooks.writeBatch(packedDeliveries(), batch.to);
   expectStored(
     { to: { version: 3, id: "req-0" }, entries: [...PENDING_DELIVERIES] },
     writeBatch,
-    hooks.readBatch,
+    webhooks.readBatch,
     '{"to":[3,"req-0"],"nm":["red","arrays"],"e":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]]}',
   );
   expectStored(
     { to: null, entries: [...PENDING_DELIVERIES] },
     writeBatch,
-    hooks.readBatch,
+    webhooks.readBatch,
     '{"to":null,"nm":["red","arrays"],"e":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]]}',
   );
   assert.deepEqual(
-    hooks.readLaneOwner(JSON.parse('{"owner":"node-a","hold":77}')),
+    webhooks.readLaneOwner(JSON.parse('{"owner":"node-a","hold":77}')),
     {
       owner: "node-a",
       hold: 77,
     },
   );
-  assert.deepEqual(hooks.readPresence(JSON.parse('{"hold":77}')), { hold: 77 });
-  assert.deepEqual(hooks.readSettledUpTo(JSON.parse('{"3":41}')), { 3: 41 });
+  assert.deepEqual(webhooks.readPresence(JSON.parse('{"hold":77}')), {
+    hold: 77,
+  });
+  assert.deepEqual(webhooks.readSettledUpTo(JSON.parse('{"3":41}')), { 3: 41 });
 });
 
 test("golden: job end in a final record", () => {
@@ -453,7 +458,7 @@
     ) as unknown,
     version: 5,
   };
-  const end: hooks.JobEnd = {
+  const end: webhooks.JobEnd = {
     id: "req-9",
     outcome: "cancelled",
     tasks: 7,
--- a/test/golden/transport.ts
+++ b/test/golden/transport.ts
@@ -128,64 +128,64 @@
     fault: (error) => void relayed.push(error.message),
   };
   const app = api(core);
-  const ask = async (
+  const send = async (
     method: string,
     path: string,
     body?: string,
   ): Promise<string> =>
     describeResponse(await app.request(path, { method, body: body ?? null }));
   expectText(
-    await ask("GET", "/ready"),
+    await send("GET", "/ready"),
     '200 application/json - {"ready":true}',
   );
   expectText(
-    await ask("POST", "/v1/jobs", MINIMAL_JOB),
+    await send("POST", "/v1/jobs", MINIMAL_JOB),
     '404 application/json - {"error":"no such job"}',
   );
   expectText(
-    await ask("POST", "/v1/jobs", "{"),
+    await send("POST", "/v1/jobs", "{"),
     '400 application/json - {"error":"body: not JSON"}',
   );
   expectText(
-    await ask("GET", "/v1/jobs/req-1"),
+    await send("GET", "/v1/jobs/req-1"),
     '404 application/json - {"error":"no such job"}',
   );
   expectText(
-    await ask("GET", "/v1/jobs/other"),
+    await send("GET", "/v1/jobs/other"),
     '404 application/json - {"error":"no such job"}',
   );
   expectText(
-    await ask("POST", "/v1/jobs/req-1/withdraw"),
+    await send("POST", "/v1/jobs/req-1/withdraw"),
     '404 application/json - {"error":"no such job"}',
   );
   expectText(
-    await ask("POST", "/hello", MINIMAL_HEARTBEAT),
+    await send("POST", "/hello", MINIMAL_HEARTBEAT),
     '404 application/json - {"error":"no such job"}',
   );
   expectText(
-    await ask("POST", "/hello", "{}"),
+    await send("POST", "/hello", "{}"),
     '400 application/json - {"error":"berth: Invalid key: Expected \\"berth\\" but received undefined"}',
   );
   answer = { kind: "relay", leader: "node-b" };
   expectText(
-    await ask("POST", "/hello", MINIMAL_HEARTBEAT),
+    await send("POST", "/hello", MINIMAL_HEARTBEAT),
     "421 application/json - {}",
   );
   relayAnswer = { status: 200, body: '{"baton":1,"orders":[]}' };
   expectText(
-    await ask("POST", "/hello", MINIMAL_HEARTBEAT),
+    await send("POST", "/hello", MINIMAL_HEARTBEAT),
     '200 application/json - {"baton":1,"orders":[]}',
   );
   expectText(
-    await ask("DELETE", "/v1/jobs"),
+    await send("DELETE", "/v1/jobs"),
     '405 application/json - {"error":"method not allowed"}',
   );
   expectText(
-    await ask("GET", "/hello"),
+    await send("GET", "/hello"),
     '405 application/json - {"error":"method not allowed"}',
   );
   expectText(
-    await ask("GET", "/v2"),
+    await send("GET", "/v2"),
     '404 application/json - {"error":"no such path"}',
   );
   const kinds: Input["type"][] = ["submit", "status", "cancel", "heartbeat"];
@@ -201,12 +201,12 @@
   );
   core.ready = (): boolean => false;
   expectText(
-    await ask("GET", "/ready"),
+    await send("GET", "/ready"),
     '503 application/json - {"ready":false}',
   );
   core.ask = (): Promise<Answer> => Promise.reject(new Error("defect"));
   expectText(
-    await ask("GET", "/v1/jobs/req-1"),
+    await send("GET", "/v1/jobs/req-1"),
     '503 application/json 1 {"error":"unexpected fault"}',
   );
 });
@@ -217,17 +217,17 @@
   use: (
     port: number,
     requests: http.IncomingMessage[],
-    bodies: string[],
+    requestLines: string[],
   ) => Promise<void>,
 ): Promise<void> {
   const requests: http.IncomingMessage[] = [];
-  const bodies: string[] = [];
+  const requestLines: string[] = [];
   const server = http.createServer((request, response) => {
     let body = "";
     request.on("data", (data: Buffer) => (body += data.toString()));
     request.on("end", () => {
       requests.push(request);
-      bodies.push(`${request.method} ${request.url} ${body}`);
+      requestLines.push(`${request.method} ${request.url} ${body}`);
       response.end(answerBody);
     });
   });
@@ -235,7 +235,7 @@
     server.listen(0, "127.0.0.1", () => resolve()),
   );
   try {
-    await use((server.address() as AddressInfo).port, requests, bodies);
+    await use((server.address() as AddressInfo).port, requests, requestLines);
   } finally {
     server.closeAllConnections();
     server.close();
@@ -245,7 +245,7 @@
 test("golden: requests to the cloud", async () => {
   await withRecordingServer(
     '{"hulls":[],"berths":["n-1"]}',
-    async (port, _, bodies) => {
+    async (port, _, requestLines) => {
       const { settings } = new World(1);
       const localSettings: Settings = {
         ...settings,
@@ -267,7 +267,7 @@
       ];
       for (const call of calls) await client.call(call, 1);
       expectText(
-        bodies.join("\n"),
+        requestLines.join("\n"),
         `GET /catalog 
 POST /hosts {"charter":"node-a-1","hull":"small","yard":"east","loaners":true,"number":3}
 POST /hosts/return {"berths":["n-1","n-2"]}
@@ -278,18 +278,21 @@
 });
 
 test("golden: requests to workers", async () => {
-  await withRecordingServer(MINIMAL_HEARTBEAT, async (port, _, bodies) => {
-    const client = new WorkerClient(100);
-    const address = `127.0.0.1:${port}`;
-    await client.command(address, 9, 3, COMMANDS);
-    const report = await client.inspect(address);
-    expectText(
-      bodies.join("\n"),
-      `POST /commands {"baton":9,"watch":3,"orders":[{"verb":"start","shard":"req-000412/3","try":2},{"verb":"kill","shard":"req-000412/4","try":6,"leewayS":1.5},{"verb":"clear","shard":"req-000412/5","try":7}]}
+  await withRecordingServer(
+    MINIMAL_HEARTBEAT,
+    async (port, _, requestLines) => {
+      const client = new WorkerClient(100);
+      const address = `127.0.0.1:${port}`;
+      await client.command(address, 9, 3, COMMANDS);
+      const report = await client.inspect(address);
+      expectText(
+        requestLines.join("\n"),
+        `POST /commands {"baton":9,"watch":3,"orders":[{"verb":"start","shard":"req-000412/3","try":2},{"verb":"kill","shard":"req-000412/4","try":6,"leewayS":1.5},{"verb":"clear","shard":"req-000412/5","try":7}]}
 GET /inspect `,
-    );
-    assert.equal(report?.worker, "n-17");
-  });
+      );
+      assert.equal(report?.worker, "n-17");
+    },
+  );
 });
 
 const END: JobEnd = {
@@ -325,7 +328,7 @@
 });
 
 test("golden: the requests that carry a notification", async () => {
-  await withRecordingServer("{}", async (port, requests, bodies) => {
+  await withRecordingServer("{}", async (port, requests, requestLines) => {
     const sender = new WebhookSender({
       networks: new AllowedNetworks(["127.0.0.1"], true),
       keys: new Map([["k1", KEY]]),
@@ -348,20 +351,23 @@
       redrives: 0,
       tests: 0,
     };
-    const launch: AttemptRequest = {
+    const attemptRequest: AttemptRequest = {
       end: END,
       attempt: 2,
       reason: "timeout",
       ask: false,
       sub,
     };
-    assert.equal((await sender.attempt(1, "alerts", launch)).is, "answered");
     assert.equal(
-      (await sender.attempt(2, "alerts", { ...launch, ask: true })).is,
+      (await sender.attempt(1, "alerts", attemptRequest)).is,
+      "answered",
+    );
+    assert.equal(
+      (await sender.attempt(2, "alerts", { ...attemptRequest, ask: true })).is,
       "had",
     );
     expectText(
-      bodies.join("\n"),
+      requestLines.join("\n"),
       `POST /in {"type":"job.cancelled","timestamp":"2023-11-14T22:13:20.789Z","data":{"id":"req-9","status":"cancelled","crew":"red","jobclass":"arrays","shards":7,"done":3}}
 GET /in `,
     );
@@ -428,7 +434,7 @@
 
 test("golden: webhook routes", async () => {
   const app = webhooksApp();
-  const ask = async (
+  const send = async (
     method: string,
     path: string,
     body?: string,
@@ -437,63 +443,63 @@
   const added =
     '{"name":"alerts","url":"https://example.org/in","crews":["red"],"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true}';
   expectText(
-    await ask("POST", "/v1/hooks", added),
+    await send("POST", "/v1/hooks", added),
     '201 application/json - {"name":"alerts","url":"https://example.org/in","crews":["red"],"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
   );
   expectText(
-    await ask("POST", "/v1/hooks", added),
+    await send("POST", "/v1/hooks", added),
     '409 application/json - {"error":"name: there is such a hook"}',
   );
   expectText(
-    await ask("POST", "/v1/hooks", '{"name":"b"}'),
+    await send("POST", "/v1/hooks", '{"name":"b"}'),
     '400 application/json - {"error":"url: Invalid key: Expected \\"url\\" but received undefined"}',
   );
   expectText(
-    await ask("POST", "/v1/hooks", "{"),
+    await send("POST", "/v1/hooks", "{"),
     '400 application/json - {"error":"body: not JSON"}',
   );
   expectText(
-    await ask("GET", "/v1/hooks"),
+    await send("GET", "/v1/hooks"),
     '200 application/json - {"hooks":[{"name":"alerts","url":"https://example.org/in","crews":["red"],"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}]}',
   );
   expectText(
-    await ask("GET", "/v1/hooks/alerts"),
+    await send("GET", "/v1/hooks/alerts"),
     '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":["red"],"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active","sending":null}',
   );
   expectText(
-    await ask("PATCH", "/v1/hooks/alerts", '{"crews":null}'),
+    await send("PATCH", "/v1/hooks/alerts", '{"crews":null}'),
     '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
   );
   expectText(
-    await ask("POST", "/v1/hooks/alerts/test"),
+    await send("POST", "/v1/hooks/alerts/test"),
     '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
   );
   expectText(
-    await ask("POST", "/v1/hooks/alerts/redrive"),
+    await send("POST", "/v1/hooks/alerts/redrive"),
     '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
   );
   expectText(
-    await ask("POST", "/v1/hooks/alerts/pause"),
+    await send("POST", "/v1/hooks/alerts/pause"),
     '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"paused"}',
   );
   expectText(
-    await ask("POST", "/v1/hooks/alerts/test"),
+    await send("POST", "/v1/hooks/alerts/test"),
     '409 application/json - {"error":"hook is paused: resume it first"}',
   );
   expectText(
-    await ask("POST", "/v1/hooks/alerts/resume"),
+    await send("POST", "/v1/hooks/alerts/resume"),
     '200 application/json - {"name":"alerts","url":"https://example.org/in","crews":null,"jobclasses":["arrays"],"outcomes":["done"],"keys":["k1"],"ordered":true,"ask":true,"state":"active"}',
   );
   expectText(
-    await ask("GET", "/v1/hooks/alerts/dead"),
+    await send("GET", "/v1/hooks/alerts/dead"),
     '200 application/json - {"dead":[],"next":null}',
   );
   expectText(
-    await ask("DELETE", "/v1/hooks/alerts"),
+    await send("DELETE", "/v1/hooks/alerts"),
     '200 application/json - {"name":"alerts","removed":true}',
   );
   expectText(
-    await ask("GET", "/v1/hooks/alerts"),
+    await send("GET", "/v1/hooks/alerts"),
     '404 application/json - {"error":"no such hook"}',
   );
 });
