--- a/test/golden/records.ts
+++ b/test/golden/records.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { RangeSet } from "../../src/coordination/jobs/range-set.js";
 import type { Item } from "../../src/protocol/state.js";
-import * as hooks from "../../src/webhooks/records.js";
+import * as webhooks from "../../src/webhooks/records.js";
 import { jobEndOf } from "../../src/webhooks/change-feed.js";
 import * as records from "../../src/storage/records.js";
 import { expectJson, expectStored, expectText } from "./expect.js";
@@ -31,8 +31,8 @@
   expectText(records.RECLAIM_KEY, "lc/now/reclaim");
 });
 
-test("golden: keys are read as what they are", () => {
-  const readAs: readonly [string, records.StoreKey | null][] = [
+test("golden: parsing of keys", () => {
+  const expected: readonly [string, records.StoreKey | null][] = [
     ["lc/now/group/east", { kind: "group", partition: "east" }],
     ["lc/now/claim/east", { kind: "claim", partition: "east" }],
     ["lc/now/room/east", { kind: "room", partition: "east" }],
@@ -55,7 +55,7 @@
     ["lc/now/other", null],
     ["lc/hook/now/sub/alerts", null],
   ];
-  for (const [key, parsed] of readAs)
+  for (const [key, parsed] of expected)
     assert.deepEqual(records.parseKey(key), parsed);
 });
 
@@ -118,7 +118,7 @@
   );
 });
 
-test("golden: finished tasks, gangs, machines of a group", () => {
+test("golden: finished tasks, gangs, registry", () => {
   const ranges = RangeSet.of([
     [384, 390],
     [400, 400],
@@ -162,7 +162,7 @@
   );
 });
 
-const ROOM: records.CapacityRecord = {
+const CAPACITY: records.CapacityRecord = {
   rows: [
     {
       type: "small",
@@ -224,14 +224,14 @@
   isTruncated: true,
 };
 
-test("golden: a group's room", () => {
+test("golden: capacity of a partition", () => {
   expectStored(
-    ROOM,
+    CAPACITY,
     records.writeCapacity,
     records.readCapacity,
     '{"rows":[{"t":"small","z":"east","s":true,"n":4,"f":[[6,0,20.5,2]],"r":[[8,0,32,1]],"y":[[8,0,32,1,1,3]]},{"t":"big","z":"mid","s":false,"n":1,"f":[],"r":[]}],"q":[5,2],"qu":[[5,2],[4,1],[3,0],[1,0]],"run":[["req-000412",3]],"out":["small/east/true"],"left":[["big/mid/false",2]],"want":[["red",8,1,1700000000001]],"team":[["red",1,2,3,4,5,6,1700000000002,7,8,1700000000004,9,10,11,12.25,1700000000003,1700000000005],["blue",0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0]],"cut":true}',
   );
-  const { queueByMinPriority: _, ...empty } = ROOM;
+  const { queueByMinPriority: _, ...empty } = CAPACITY;
   expectStored(
     {
       ...empty,
@@ -249,7 +249,7 @@
   );
 });
 
-test("golden: what a group lends and asks for of a limit", () => {
+test("golden: idle share, backfill and reservation of a team in a capacity record", () => {
   const row = {
     use: [1, 0],
     possibleUse: [1, 0],
@@ -262,7 +262,7 @@
   } satisfies records.TeamRow;
   expectStored(
     {
-      ...ROOM,
+      ...CAPACITY,
       rows: [],
       teams: new Map<string, records.TeamRow>([
         ["lends", { ...row, idle: [2.8, 0] }],
@@ -286,16 +286,16 @@
   );
 });
 
-test("golden: group, claim, limits, belief and reclaims", () => {
+test("golden: partition, leadership bid, quota, observed limits and reclaims", () => {
   const partition: records.PartitionRecord = { owner: "node-a", hold: 77 };
   assert.deepEqual(
     records.readPartition(JSON.parse('{"owner":"node-a","hold":77}')),
     partition,
   );
-  const claim: records.LeadershipBidRecord = { by: "node-b", token: 12 };
+  const bid: records.LeadershipBidRecord = { by: "node-b", token: 12 };
   assert.deepEqual(
     records.readLeadershipBid(JSON.parse('{"by":"node-b","token":12}')),
-    claim,
+    bid,
   );
   assert.deepEqual(
     records.readQuota(
@@ -328,29 +328,32 @@
   );
 });
 
-test("golden: keys of hooks", () => {
+test("golden: keys of webhook records", () => {
   expectJson(
     [
-      hooks.WEBHOOKS_PREFIX,
-      hooks.WEBHOOKS_LIVE_PREFIX,
-      hooks.SUBSCRIPTIONS_PREFIX,
-      hooks.SETTLED_UP_TO_KEY,
+      webhooks.WEBHOOKS_PREFIX,
+      webhooks.WEBHOOKS_LIVE_PREFIX,
+      webhooks.SUBSCRIPTIONS_PREFIX,
+      webhooks.SETTLED_UP_TO_KEY,
     ],
     '["lc/hook/","lc/hook/now/","lc/hook/now/sub/","lc/hook/now/upto"]',
   );
-  expectText(hooks.subscriptionKey("alerts"), "lc/hook/now/sub/alerts");
-  expectText(hooks.progressKey("alerts"), "lc/hook/now/at/alerts");
-  expectText(hooks.laneOwnerKey(3), "lc/hook/now/own/3");
-  expectText(hooks.presenceKey("node-a"), "lc/hook/now/here/node-a");
-  expectText(hooks.spoolPrefix("alerts"), "lc/hook/spool/alerts/");
-  expectText(hooks.deadPrefix("alerts"), "lc/hook/dead/alerts/");
-  expectText(hooks.spoolKey("alerts", 12), "lc/hook/spool/alerts/0000000012");
-  expectText(hooks.deadKey("alerts", 13), "lc/hook/dead/alerts/0000000013");
-  assert.equal(hooks.batchNumber("lc/hook/spool/alerts/0000000012"), 12);
-  assert.equal(hooks.LANE_COUNT, 16);
+  expectText(webhooks.subscriptionKey("alerts"), "lc/hook/now/sub/alerts");
+  expectText(webhooks.progressKey("alerts"), "lc/hook/now/at/alerts");
+  expectText(webhooks.laneOwnerKey(3), "lc/hook/now/own/3");
+  expectText(webhooks.presenceKey("node-a"), "lc/hook/now/here/node-a");
+  expectText(webhooks.spoolPrefix("alerts"), "lc/hook/spool/alerts/");
+  expectText(webhooks.deadPrefix("alerts"), "lc/hook/dead/alerts/");
+  expectText(
+    webhooks.spoolKey("alerts", 12),
+    "lc/hook/spool/alerts/0000000012",
+  );
+  expectText(webhooks.deadKey("alerts", 13), "lc/hook/dead/alerts/0000000013");
+  assert.equal(webhooks.batchNumber("lc/hook/spool/alerts/0000000012"), 12);
+  assert.equal(webhooks.LANE_COUNT, 16);
 });
 
-const SUBSCRIPTION: hooks.Subscription = {
+const SUBSCRIPTION: webhooks.Subscription = {
   url: "https://example.org/in",
   teams: ["red"],
   classes: null,
@@ -362,90 +365,92 @@
   redrives: 4,
   tests: 5,
 };
-const OWED: readonly hooks.PendingDelivery[] = (
+const PENDING_DELIVERIES: readonly webhooks.PendingDelivery[] = (
   ["done", "cancelled", "test"] as const
-).map((outcome, place) => ({
+).map((outcome, index) => ({
   end: {
-    id: `req-${place}`,
+    id: `req-${index}`,
     outcome,
     tasks: 7,
-    done: place,
+    done: index,
     team: "red",
     class: "arrays",
     at: 1_700_000_000_000,
-    since: 1_700_000_000_000 + place,
+    since: 1_700_000_000_000 + index,
   },
-  attempts: place,
+  attempts: index,
 }));
 
-function packed(): hooks.Packer {
-  const packer = new hooks.Packer(1_000);
-  for (const owed of OWED) assert.ok(packer.add(owed));
+function packedDeliveries(): webhooks.Packer {
+  const packer = new webhooks.Packer(1_000);
+  for (const delivery of PENDING_DELIVERIES) assert.ok(packer.add(delivery));
   return packer;
 }
 
-test("golden: values of hooks", () => {
+test("golden: webhook records", () => {
   expectStored(
     SUBSCRIPTION,
-    hooks.writeSubscription,
-    hooks.readSubscription,
+    webhooks.writeSubscription,
+    webhooks.readSubscription,
     '{"u":"https://example.org/in","t":["red"],"c":null,"o":["done","cancelled"],"k":["k2","k1"],"ord":true,"ask":false,"st":"paused","rd":4,"ts":5}',
   );
   expectStored(
     { ...SUBSCRIPTION, teams: null, classes: ["arrays"], state: "ended" },
-    hooks.writeSubscription,
-    hooks.readSubscription,
+    webhooks.writeSubscription,
+    webhooks.readSubscription,
     '{"u":"https://example.org/in","t":null,"c":["arrays"],"o":["done","cancelled"],"k":["k2","k1"],"ord":true,"ask":false,"st":"ended","rd":4,"ts":5}',
   );
-  const at: hooks.ProgressRecord = {
+  const progress: webhooks.ProgressRecord = {
     seq: 1,
     token: 2,
     cursor: { version: 3, id: "req-0" },
-    window: [...OWED],
+    window: [...PENDING_DELIVERIES],
     spool: { first: 4, taken: 5, next: 6 },
     dead: { first: 7, next: 8 },
     redrives: 9,
     tests: 10,
     listing: { to: 11, after: "lc/past/req-0" },
   };
-  const writeAt = (record: hooks.ProgressRecord): object =>
-    hooks.writeProgress(record, packed());
+  const writeProgress = (record: webhooks.ProgressRecord): object =>
+    webhooks.writeProgress(record, packedDeliveries());
   expectStored(
-    at,
-    writeAt,
-    hooks.readProgress,
+    progress,
+    writeProgress,
+    webhooks.readProgress,
     '{"q":1,"tk":2,"c":[3,"req-0"],"nm":["red","arrays"],"w":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]],"sp":[4,5,6],"dd":[7,8],"rd":9,"ts":10,"ls":[11,"lc/past/req-0"]}',
   );
   expectJson(
-    hooks.newProgress(),
+    webhooks.newProgress(),
     '{"q":0,"tk":0,"c":null,"nm":[],"w":[],"sp":[0,0,0],"dd":[0,0],"rd":0,"ts":0}',
   );
-  const writeBatch = (batch: hooks.Batch): object =>
-    hooks.writeBatch(packed(), batch.to);
+  const writeBatch = (batch: webhooks.Batch): object =>
+    webhooks.writeBatch(packedDeliveries(), batch.to);
   expectStored(
-    { to: { version: 3, id: "req-0" }, entries: [...OWED] },
+    { to: { version: 3, id: "req-0" }, entries: [...PENDING_DELIVERIES] },
     writeBatch,
-    hooks.readBatch,
+    webhooks.readBatch,
     '{"to":[3,"req-0"],"nm":["red","arrays"],"e":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]]}',
   );
   expectStored(
-    { to: null, entries: [...OWED] },
+    { to: null, entries: [...PENDING_DELIVERIES] },
     writeBatch,
-    hooks.readBatch,
+    webhooks.readBatch,
     '{"to":null,"nm":["red","arrays"],"e":[["req-0",0,7,0,0,1,1700000000000,0,0],["req-1",1,7,1,0,1,1700000000000,1,1],["req-2",2,7,2,0,1,1700000000000,2,2]]}',
   );
   assert.deepEqual(
-    hooks.readLaneOwner(JSON.parse('{"owner":"node-a","hold":77}')),
+    webhooks.readLaneOwner(JSON.parse('{"owner":"node-a","hold":77}')),
     {
       owner: "node-a",
       hold: 77,
     },
   );
-  assert.deepEqual(hooks.readPresence(JSON.parse('{"hold":77}')), { hold: 77 });
-  assert.deepEqual(hooks.readSettledUpTo(JSON.parse('{"3":41}')), { 3: 41 });
+  assert.deepEqual(webhooks.readPresence(JSON.parse('{"hold":77}')), {
+    hold: 77,
+  });
+  assert.deepEqual(webhooks.readSettledUpTo(JSON.parse('{"3":41}')), { 3: 41 });
 });
 
-test("golden: the end that a final record tells", () => {
+test("golden: job end in a final record", () => {
   const change: Item = {
     key: "lc/past/req-9",
     value: JSON.parse(
@@ -453,7 +458,7 @@
     ) as unknown,
     version: 5,
   };
-  const end: hooks.JobEnd = {
+  const end: webhooks.JobEnd = {
     id: "req-9",
     outcome: "cancelled",
     tasks: 7,
