--- a/src/coordination/jobs/expected-wait.ts
+++ b/src/coordination/jobs/expected-wait.ts
@@ -7,46 +7,49 @@
 import {
   fastestRentableType,
   type CapablePartition,
-  placesOnAllMachines,
+  slotsOnAllMachines,
   type UndividedJobSlots,
   backlogAhead,
 } from "./partition-capacity.js";
 
-/** From the request until preempted work has saved its progress and is gone, in seconds. */
+/** Time from a preemption request until the preempted tasks have saved their checkpoints and exited. */
 const PREEMPTION_DELAY_S = 12;
-/** Allowed for beside the boot time of a rented machine, in seconds. */
+/** Added to the boot time of a rented machine. */
 const RENTAL_OVERHEAD_S = 5;
-/** For jobs without an estimate, in seconds a task. */
+/** Assumed run time of a task without an estimate. */
 const DEFAULT_ESTIMATE_S = 120;
-/** There is room for the job, but what waits there does not fit yet and may be keeping it: a little worse than room for all. */
-const CONTENDED_ROOM_WAIT_S = 1;
+/** Expected wait where the free slots suffice for the job, but not also for the backlog ahead, which may be about to take them. */
+const CONTENDED_SLOTS_WAIT_S = 1;
 
-/** How long a task would wait in a partition without room, in seconds: for a machine to boot, or for its turn. */
+/**
+ * Expected wait of a task in a partition without a free slot: until a rented machine has booted, with one second more for each
+ * queued task; or, if none can be rented, until the tasks ahead have run.
+ */
 export function expectedWaitS(
   spec: JobSpec,
   zones: readonly string[],
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
-  waiting: number,
+  queuedTasks: number,
 ): number {
   const rentable = fastestRentableType(spec, zones, capacity, catalog);
-  if (rentable) return rentable.bootS + RENTAL_OVERHEAD_S + waiting;
-  const workS = (waiting + 1) * (spec.estimateS || DEFAULT_ESTIMATE_S);
-  return workS / placesOnAllMachines(spec, capacity, catalog);
+  if (rentable) return rentable.bootS + RENTAL_OVERHEAD_S + queuedTasks;
+  const workS = (queuedTasks + 1) * (spec.estimateS || DEFAULT_ESTIMATE_S);
+  return workS / slotsOnAllMachines(spec, capacity, catalog);
 }
 
-/** How long an undivided job would wait in a partition, in seconds: not at all, for machines to boot, or for others to finish. */
-export function expectedWholeWaitS(
+/** Expected wait of an undivided job in a partition: none, for preemption, for machines to boot, or for other tasks to end. */
+export function expectedUndividedWaitS(
   spec: JobSpec,
   { zones }: CapablePartition,
-  places: UndividedJobSlots,
+  slots: UndividedJobSlots,
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
 ): number {
-  const needed = spec.tasks + backlogAhead(spec, capacity);
-  if (places.free >= needed) return 0;
-  if (places.free >= spec.tasks) return CONTENDED_ROOM_WAIT_S;
-  if (places.afterPreemption >= needed) return PREEMPTION_DELAY_S;
+  const neededSlots = spec.tasks + backlogAhead(spec, capacity);
+  if (slots.free >= neededSlots) return 0;
+  if (slots.free >= spec.tasks) return CONTENDED_SLOTS_WAIT_S;
+  if (slots.afterPreemption >= neededSlots) return PREEMPTION_DELAY_S;
   const bootTimesS = catalog
     .filter(
       (type) =>
@@ -55,8 +58,8 @@
     )
     .map(({ bootS }) => bootS);
   const rentalS = Math.min(...bootTimesS) + RENTAL_OVERHEAD_S;
-  const lacking = needed - places.afterRental;
-  if (lacking <= 0) return rentalS;
-  const workS = lacking * (spec.estimateS || DEFAULT_ESTIMATE_S);
-  return rentalS + workS / placesOnAllMachines(spec, capacity, catalog);
+  const missingSlots = neededSlots - slots.afterRental;
+  if (missingSlots <= 0) return rentalS;
+  const workS = missingSlots * (spec.estimateS || DEFAULT_ESTIMATE_S);
+  return rentalS + workS / slotsOnAllMachines(spec, capacity, catalog);
 }
--- a/src/coordination/jobs/job-assigner.ts
+++ b/src/coordination/jobs/job-assigner.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns the tasks of a job to partitions by the capacity of this moment. Owns no state: pending assignments are
- * kept by the partition's leader if it is on this controller, else by the context.
+ * Assigns the tasks of a job to partitions by their current capacity. Owns no state: pending assignments are kept by the
+ * partition's leader if it runs on this controller, otherwise by the context.
  */
 import type { CapacityRecord } from "../../storage/records.js";
 import type { Context } from "../context.js";
@@ -24,8 +24,8 @@
   ) {}
 
   /**
-   * Assigns a job's tasks to the capable partitions and notes them there as pending; null: the catalog is not known yet
-   * or no partition can run the job.
+   * Assigns a job's tasks to the partitions that can run them and notes them there as pending. Returns null if the catalog is
+   * not known yet or no partition can run the job.
    */
   assign(spec: JobSpec): JobAssignment | null {
     const { catalog, partitions, tuning } = this.ctx;
@@ -45,7 +45,7 @@
     return assignment;
   }
 
-  /** What the partitions last wrote; for those led here, what they would write now. */
+  /** Each partition's latest capacity record and pending assignments; of partitions led here, the leader's own recent count. */
   private latestCapacities(): {
     capacities: Map<string, CapacityRecord>;
     pending: Map<string, readonly PendingAssignment[]>;
--- a/src/coordination/jobs/job-partitioner.ts
+++ b/src/coordination/jobs/job-partitioner.ts
@@ -1,11 +1,11 @@
 /**
- * Divides a job's tasks among partitions by the capacity that each last wrote (Pigeon's suggestion, section 2.2). Owns no
- * state.
+ * Divides a job's tasks among partitions by the latest capacity record of each, as section 2.2 of the Pigeon paper suggests.
+ * Owns no state.
  */
 import type { CapacityRecord } from "../../storage/records.js";
 import type { JobSpec, MachineType } from "../model.js";
 import { maxTasksPerZone, startsWhole } from "../scheduling/placement.js";
-import { expectedWaitS, expectedWholeWaitS } from "./expected-wait.js";
+import { expectedWaitS, expectedUndividedWaitS } from "./expected-wait.js";
 import {
   backlogKindOf,
   type CapablePartition,
@@ -19,24 +19,27 @@
 const FNV_OFFSET_BASIS = 2166136261;
 const FNV_PRIME = 16777619;
 
-/** What is known of the partitions when a job is divided. */
+/** Inputs for dividing a job that are the same for all partitions. */
 interface CapacityView {
   readonly capacities: ReadonlyMap<string, CapacityRecord>;
   readonly catalog: readonly MachineType[];
-  readonly isShort: boolean;
+  readonly usesReserved: boolean;
   readonly pending: ReadonlyMap<string, readonly PendingAssignment[]>;
 }
 
 interface WeightedPartition extends CapablePartition {
-  /** Tasks that fit at once. */
-  room: number;
-  /** How fast it may come to the rest: the inverse of the expected wait in seconds. */
-  speed: number;
-  /** Tasks that its zones may hold at most. */
-  limit: number;
+  /** Tasks of the job that can start at once. */
+  freeSlots: number;
+  /** Inverse of the expected wait in seconds of tasks that find no free slot. */
+  startRate: number;
+  /** Most tasks of the job that its zones may hold. */
+  maxTasks: number;
 }
 
-/** A fixed shuffle by job id (FNV-1a): equal partitions take turns without a source of chance in the core. */
+/**
+ * Maps an id to an index below `count` by its FNV-1a hash. It spreads work over equal candidates without a random source,
+ * since the core is deterministic.
+ */
 export function hashToIndex(id: string, count: number): number {
   let hash = FNV_OFFSET_BASIS;
   for (const character of id)
@@ -44,7 +47,7 @@
   return hash % count;
 }
 
-/** An assignment with these tasks of one partition given to another. */
+/** Returns a copy of an assignment in which these tasks have moved from one partition to another. */
 export function reassignTasks(
   assignment: ReadonlyMap<string, RangeSet>,
   from: string,
@@ -65,198 +68,217 @@
 }
 
 /**
- * Divides a job's tasks among the partitions that can run it. All its tasks go somewhere: those without room wait where
- * they are expected to start first.
+ * Divides a job's tasks among the partitions that can run it. Every task is assigned: tasks without a free slot go where they
+ * are expected to start first.
  */
 export function partitionJob(
   spec: JobSpec,
   capable: readonly CapablePartition[],
   capacities: ReadonlyMap<string, CapacityRecord>,
   catalog: readonly MachineType[],
-  isShort: boolean,
+  usesReserved: boolean,
   pending: ReadonlyMap<string, readonly PendingAssignment[]>,
 ): Map<string, RangeSet> {
-  const view: CapacityView = { capacities, catalog, isShort, pending };
+  const view: CapacityView = { capacities, catalog, usesReserved, pending };
   const start = hashToIndex(spec.id, capable.length);
   const weighted = [...capable.slice(start), ...capable.slice(0, start)].map(
     (partition) => weighPartition(spec, partition, view),
   );
-  if (startsWhole(spec)) return assignWhole(spec, weighted, view);
+  if (startsWhole(spec)) return assignUndivided(spec, weighted, view);
   const distribution = new TaskDistribution(spec.tasks, weighted);
-  distribution.fillRoom();
-  distribution.fillRoundingRest();
+  distribution.fillFreeSlots();
+  distribution.fillRemainingSlots();
   distribution.divideByExpectedWait();
-  distribution.divideRest();
+  distribution.assignRest();
   return distribution.assignment();
 }
 
 function weighPartition(
   spec: JobSpec,
   partition: CapablePartition,
-  { capacities, catalog, isShort, pending }: CapacityView,
+  { capacities, catalog, usesReserved, pending }: CapacityView,
 ): WeightedPartition {
   const capacity = capacities.get(partition.partition);
-  const assigned = pending.get(partition.partition) ?? [];
-  let waiting = backlogAhead(spec, capacity);
-  for (const other of assigned)
+  const pendingAssignments = pending.get(partition.partition) ?? [];
+  let queuedTasks = backlogAhead(spec, capacity);
+  for (const other of pendingAssignments)
     if (backlogKindOf(other.spec) === backlogKindOf(spec))
-      waiting += other.tasks;
+      queuedTasks += other.tasks;
   const waitS = expectedWaitS(
     spec,
     partition.zones,
     capacity,
     catalog,
-    waiting,
+    queuedTasks,
   );
   return {
     ...partition,
-    room: availableSlots(spec, capacity, catalog, isShort, assigned),
-    speed: 1 / waitS,
-    limit: maxTasksPerZone(spec) * partition.zones.length,
+    freeSlots: availableSlots(
+      spec,
+      capacity,
+      catalog,
+      usesReserved,
+      pendingAssignments,
+    ),
+    startRate: 1 / waitS,
+    maxTasks: maxTasksPerZone(spec) * partition.zones.length,
   };
 }
 
 /**
- * Assigns an undivided job to the roomiest partition that can hold it; if none can, to the one that is expected to be
- * able to first. A gang with `spread` that no partition has zones enough for goes to as few partitions as it can.
+ * Assigns an undivided job to the partition where it is expected to start first. A gang with `spread` that needs more zones
+ * than any partition has is divided among as few of them as possible, in this order.
  */
-function assignWhole(
+function assignUndivided(
   spec: JobSpec,
   weighted: readonly WeightedPartition[],
   view: CapacityView,
 ): Map<string, RangeSet> {
-  const ranked = rankForWhole(spec, weighted, view);
+  const ranked = rankForUndivided(spec, weighted, view);
   const assignment = new Map<string, RangeSet>();
   let next = 0;
-  for (const { partition, limit } of ranked) {
-    const tasks = Math.min(limit, spec.tasks - next);
+  for (const { partition, maxTasks } of ranked) {
+    const tasks = Math.min(maxTasks, spec.tasks - next);
     if (tasks > 0) assignment.set(partition, rangeFrom(next, tasks));
     next += tasks;
   }
   const isComplete = next >= spec.tasks && !spec.samePlace;
   const [first] = ranked;
-  // It has zones enough nowhere, or asks for one and for two at once: it waits where it may find them one day.
+  // All partitions together have too few zones, or the job requires one zone (`samePlace`) and two (`spread`) at once: it
+  // waits in one partition until the zones allow it.
   if (!isComplete && first)
     return new Map([[first.partition, RangeSet.upTo(spec.tasks)]]);
   return assignment;
 }
 
-/** Partitions with zones enough for an undivided job, or all if none has: those where it starts first come first. */
-function rankForWhole(
+/**
+ * Partitions with enough zones for an undivided job, or all if none has enough. Sorted by expected wait, then by free slots,
+ * most first.
+ */
+function rankForUndivided(
   spec: JobSpec,
   weighted: readonly WeightedPartition[],
-  { capacities, catalog, isShort, pending }: CapacityView,
+  { capacities, catalog, usesReserved, pending }: CapacityView,
 ): WeightedPartition[] {
-  const sufficient = weighted.filter(({ limit }) => limit >= spec.tasks);
+  const sufficient = weighted.filter(({ maxTasks }) => maxTasks >= spec.tasks);
   const rated = (sufficient.length > 0 ? sufficient : weighted).map(
     (candidate) => {
       const capacity = capacities.get(candidate.partition);
-      const places = slotsForUndividedJob(
+      const slots = slotsForUndividedJob(
         spec,
         candidate.zones,
         capacity,
         catalog,
-        isShort,
+        usesReserved,
         pending.get(candidate.partition),
       );
-      const waitS = expectedWholeWaitS(
+      const waitS = expectedUndividedWaitS(
         spec,
         candidate,
-        places,
+        slots,
         capacity,
         catalog,
       );
-      return { candidate, now: places.free, waitS };
+      return { candidate, freeSlots: slots.free, waitS };
     },
   );
   rated.sort(
-    (first, second) => first.waitS - second.waitS || second.now - first.now,
+    (first, second) =>
+      first.waitS - second.waitS || second.freeSlots - first.freeSlots,
   );
   return rated.map(({ candidate }) => candidate);
 }
 
-/** The division of a job's tasks among partitions, phase by phase; each phase divides what the ones before left. */
+/** Divides a job's tasks among partitions in phases; each phase divides the tasks that the earlier ones left unassigned. */
 class TaskDistribution {
-  private readonly counts = new Map<WeightedPartition, number>();
-  private left: number;
+  private readonly taskCounts = new Map<WeightedPartition, number>();
+  private unassigned: number;
 
   constructor(
     private readonly tasks: number,
     private readonly partitions: readonly WeightedPartition[],
   ) {
-    this.left = tasks;
+    this.unassigned = tasks;
   }
 
-  /** Into the room there is, in proportion to it. */
-  fillRoom(): void {
-    const room = this.partitions.reduce(
-      (sum, partition) => sum + usableRoom(partition),
+  /** Assigns tasks to free slots, in proportion to each partition's number of them. */
+  fillFreeSlots(): void {
+    const totalSlots = this.partitions.reduce(
+      (sum, partition) => sum + usableSlots(partition),
       0,
     );
-    if (room <= 0) return;
-    const share = Math.min(1, this.tasks / room);
+    if (totalSlots <= 0) return;
+    const share = Math.min(1, this.tasks / totalSlots);
     for (const partition of this.partitions)
-      this.give(
+      this.assign(
         partition,
-        Math.min(this.left, Math.floor(usableRoom(partition) * share)),
+        Math.min(this.unassigned, Math.floor(usableSlots(partition) * share)),
       );
   }
 
-  /** What rounding down left of the room: one task each, to those with the most room left. */
-  fillRoundingRest(): void {
+  /** Fills slots that stayed free because shares were rounded down: one task each, to the partitions with the most of them. */
+  fillRemainingSlots(): void {
     for (
       let round = 0;
-      this.left > 0 && round < this.partitions.length;
+      this.unassigned > 0 && round < this.partitions.length;
       round++
     ) {
-      const partition = this.best((candidate) =>
+      const partition = this.highestScored((candidate) =>
         this.isFull(candidate)
           ? -1
-          : usableRoom(candidate) - this.given(candidate),
+          : usableSlots(candidate) - this.assignedTo(candidate),
       );
-      const room = Math.max(0, usableRoom(partition) - this.given(partition));
-      this.give(partition, Math.min(1, this.left, room));
+      const freeSlots = Math.max(
+        0,
+        usableSlots(partition) - this.assignedTo(partition),
+      );
+      this.assign(partition, Math.min(1, this.unassigned, freeSlots));
     }
   }
 
-  /** Without room: in inverse proportion to the expected wait. */
+  /** Assigns tasks without a free slot, in inverse proportion to the expected wait. */
   divideByExpectedWait(): void {
-    const open = this.partitions.filter((partition) => !this.isFull(partition));
-    const totalSpeed =
-      open.reduce((sum, partition) => sum + partition.speed, 0) || 1;
-    const rest = this.left;
-    for (const partition of open) {
-      const share = Math.floor((rest * partition.speed) / totalSpeed);
-      const allowed = partition.limit - this.given(partition);
-      this.give(partition, Math.min(this.left, share, allowed));
+    const notFull = this.partitions.filter(
+      (partition) => !this.isFull(partition),
+    );
+    const totalStartRate =
+      notFull.reduce((sum, partition) => sum + partition.startRate, 0) || 1;
+    const rest = this.unassigned;
+    for (const partition of notFull) {
+      const share = Math.floor((rest * partition.startRate) / totalStartRate);
+      const allowed = partition.maxTasks - this.assignedTo(partition);
+      this.assign(partition, Math.min(this.unassigned, share, allowed));
     }
   }
 
-  /** What is left after rounding and limits: to whichever comes to it first, beyond its limit if all are full. */
-  divideRest(): void {
-    while (this.left > 0) {
-      const partition = this.best((candidate) =>
+  /** Assigns what rounding and zone limits left over to the partition expected to start it first, beyond its limit if all are full. */
+  assignRest(): void {
+    while (this.unassigned > 0) {
+      const partition = this.highestScored((candidate) =>
         this.isFull(candidate)
           ? -1
-          : candidate.speed / (1 + this.given(candidate)),
+          : candidate.startRate / (1 + this.assignedTo(candidate)),
+      );
+      const batch = Math.max(
+        1,
+        Math.floor(this.unassigned / this.partitions.length),
       );
-      const batch = Math.max(1, Math.floor(this.left / this.partitions.length));
-      const allowed = partition.limit - this.given(partition);
-      this.give(
+      const allowed = partition.maxTasks - this.assignedTo(partition);
+      this.assign(
         partition,
         this.isFull(partition)
-          ? this.left
-          : Math.min(this.left, batch, allowed),
+          ? this.unassigned
+          : Math.min(this.unassigned, batch, allowed),
       );
     }
   }
 
-  /** Consecutive tasks for each partition. */
+  /** The assignment as ranges of consecutive tasks. */
   assignment(): Map<string, RangeSet> {
     const assignment = new Map<string, RangeSet>();
     let next = 0;
     for (const partition of this.partitions) {
-      const tasks = this.given(partition);
+      const tasks = this.assignedTo(partition);
       if (tasks > 0)
         assignment.set(partition.partition, rangeFrom(next, tasks));
       next += tasks;
@@ -264,21 +286,21 @@
     return assignment;
   }
 
-  private given(partition: WeightedPartition): number {
-    return this.counts.get(partition) ?? 0;
+  private assignedTo(partition: WeightedPartition): number {
+    return this.taskCounts.get(partition) ?? 0;
   }
 
-  private give(partition: WeightedPartition, tasks: number): void {
-    this.counts.set(partition, this.given(partition) + tasks);
-    this.left -= tasks;
+  private assign(partition: WeightedPartition, tasks: number): void {
+    this.taskCounts.set(partition, this.assignedTo(partition) + tasks);
+    this.unassigned -= tasks;
   }
 
   private isFull(partition: WeightedPartition): boolean {
-    return this.given(partition) >= partition.limit;
+    return this.assignedTo(partition) >= partition.maxTasks;
   }
 
-  /** The first partition of those with the highest score. */
-  private best(
+  /** The partition with the highest score; of equal ones, the first. */
+  private highestScored(
     score: (partition: WeightedPartition) => number,
   ): WeightedPartition {
     return this.partitions.reduce((best, candidate) =>
@@ -287,9 +309,9 @@
   }
 }
 
-/** Tasks that fit at once, within the limit of its zones. */
-const usableRoom = ({ room, limit }: WeightedPartition): number =>
-  Math.min(room, limit);
+/** Free slots within the limit of the partition's zones. */
+const usableSlots = ({ freeSlots, maxTasks }: WeightedPartition): number =>
+  Math.min(freeSlots, maxTasks);
 
 const rangeFrom = (first: number, tasks: number): RangeSet =>
   RangeSet.of([[first, first + tasks - 1]]);
--- a/src/coordination/jobs/partition-capacity.ts
+++ b/src/coordination/jobs/partition-capacity.ts
@@ -1,6 +1,6 @@
 /**
- * What a partition's capacity record says about one job: places that are free now, once lower priorities are preempted
- * and once machines are rented. Owns no state.
+ * Computes from a partition's capacity record how many slots it has for one job: free now, after preempting lower priorities
+ * and after renting machines. A slot is capacity for one task of the job. Owns no state.
  */
 import type { CapacityRecord, CapacityRow } from "../../storage/records.js";
 import type { PartitionMap } from "../leadership/partition-map.js";
@@ -13,13 +13,13 @@
   offerKey,
 } from "../scheduling/placement.js";
 
-/** A partition without machines counts as so many places: expected waits stay finite. */
-const MIN_PLACES = 0.1;
+/** A partition without machines counts as having this many slots, so that expected waits stay finite. */
+const MIN_SLOTS = 0.1;
 
 /** A partition that may run a job. */
 export interface CapablePartition {
   partition: string;
-  /** Zones of the partition where some allowed type is offered. */
+  /** Zones of the partition where a machine type that can run the job is offered. */
   zones: string[];
 }
 
@@ -43,22 +43,22 @@
     .filter(({ zones: capable }) => capable.length > 0);
 }
 
-/** Tasks of a job that fit into a partition's free capacity. */
-function placesFor(
+/** Tasks of a job that fit into a partition's free capacity; `usesReserved` includes machines reserved for short tasks. */
+function freeSlotsFor(
   spec: JobSpec,
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
-  isShort: boolean,
+  usesReserved: boolean,
 ): number {
   if (!capacity) return 0;
-  let places = 0;
+  let slots = 0;
   for (const row of capacity.rows) {
     if (!mayUseRow(spec, row, catalog)) continue;
-    const kinds = isShort ? [...row.free, ...row.reserved] : row.free;
+    const kinds = usesReserved ? [...row.free, ...row.reserved] : row.free;
     for (const [cpus, gpus, memGb, machines] of kinds)
-      places += machines * fitCount(spec, { cpus, gpus, memGb });
+      slots += machines * fitCount(spec, { cpus, gpus, memGb });
   }
-  return places;
+  return slots;
 }
 
 /** Whether a job's tasks may run on the machines of a row. */
@@ -73,62 +73,73 @@
 }
 
 /**
- * Tasks of a job that a partition can run, beside what is free, once work of lower priority is preempted: a few seconds
- * after it asks. Without it another team's many small tasks on all machines of a partition sent all high-priority work
- * to the others, where it waited for minutes (docs/incidents/claimdesk-ops-visitors.md).
+ * Slots beyond the free ones that preempting lower priorities would provide, within a few seconds of the request. Without
+ * them, many small tasks of one team on all machines of a partition sent the high-priority work of other teams to other
+ * partitions, where it waited for minutes (docs/incidents/claimdesk-ops-visitors.md).
  */
-function reclaimablePlacesFor(
+function reclaimableSlotsFor(
   spec: JobSpec,
   rows: readonly CapacityRow[],
   catalog: readonly MachineType[],
 ): number {
   const priority = PRIORITIES.indexOf(spec.priority);
-  let places = 0;
+  let slots = 0;
   for (const row of rows) {
     if (!row.reclaimable?.length || !mayUseRow(spec, row, catalog)) continue;
-    for (const [cpus, gpus, memGb, machines, from, to] of row.reclaimable)
-      if (priority >= from && priority <= to)
-        places += machines * fitCount(spec, { cpus, gpus, memGb });
+    for (const [
+      cpus,
+      gpus,
+      memGb,
+      machines,
+      minPriority,
+      maxPriority,
+    ] of row.reclaimable)
+      if (priority >= minPriority && priority <= maxPriority)
+        slots += machines * fitCount(spec, { cpus, gpus, memGb });
   }
-  return places;
+  return slots;
 }
 
-/** Tasks that wait in a partition and come before a job or beside it: lower priorities do not keep it waiting. */
+/**
+ * Tasks in a partition's backlog of the job's kind that have at least the job's priority, since lower ones do not delay it;
+ * all tasks of that backlog if the record does not count them by priority.
+ */
 export function backlogAhead(
   spec: JobSpec,
   capacity: CapacityRecord | undefined,
 ): number {
   const kind = backlogKindOf(spec);
-  const from =
+  const queue =
     capacity?.queueByMinPriority?.[PRIORITIES.indexOf(spec.priority)];
-  return from ? from[kind === "plain" ? 0 : 1] : (capacity?.queue[kind] ?? 0);
+  return queue ? queue[kind === "plain" ? 0 : 1] : (capacity?.queue[kind] ?? 0);
 }
 
-/** Tasks that were assigned to a partition and that its capacity record may not show yet. */
+/** Tasks that were assigned to a partition and may be missing from its capacity record. */
 export interface PendingAssignment {
   spec: JobSpec;
   tasks: number;
 }
 
-/** Which backlog of a partition a job's tasks are in: those that need accelerators wait for other machines. */
+/** The backlog that a job's tasks wait in: tasks with accelerators need other machines than those without. */
 export const backlogKindOf = (spec: JobSpec): "plain" | "accelerated" =>
   spec.gpus > 0 ? "accelerated" : "plain";
 
-/** Tasks of a job that a partition can start at once, less what was assigned to it since it wrote its record. */
+/** Free slots for a job in a partition, less the tasks assigned to it since it wrote its record. */
 export function availableSlots(
   spec: JobSpec,
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
-  isShort: boolean,
+  usesReserved: boolean,
   pending: readonly PendingAssignment[] = [],
 ): number {
   return Math.max(
     0,
-    placesFor(spec, capacity, catalog, isShort) - pendingTasksOf(spec, pending),
+    freeSlotsFor(spec, capacity, catalog, usesReserved) -
+      pendingTasksOf(spec, pending),
   );
 }
 
-/** Tasks of a job that a partition can start: now, once lower priorities are preempted, and once machines are rented too. */
+/** Slots of a partition for a job that is not divided among partitions; each number includes the ones before it. */
 export interface UndividedJobSlots {
   free: number;
   afterPreemption: number;
@@ -136,15 +147,15 @@
 }
 
 /**
- * Places for a job that is not divided, less what was assigned to the partition since it wrote its record. With
- * `samePlace` one zone must hold all tasks, so the best zone counts and zones are not added up.
+ * Slots for a job that is not divided, less the tasks assigned to the partition since it wrote its record. With
+ * `samePlace` one zone must hold all tasks, so the zone with the most slots counts instead of the sum over the zones.
  */
 export function slotsForUndividedJob(
   spec: JobSpec,
   zones: readonly string[],
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
-  isShort: boolean,
+  usesReserved: boolean,
   pending: readonly PendingAssignment[] = [],
 ): UndividedJobSlots {
   const best: UndividedJobSlots = {
@@ -158,51 +169,51 @@
     afterRental: 0,
   };
   for (const zone of zones) {
-    const inZone = placesInZone(spec, zone, capacity, catalog, isShort);
-    for (const when of ["free", "afterPreemption", "afterRental"] as const) {
-      sum[when] += inZone[when];
-      best[when] = Math.max(best[when], inZone[when]);
+    const inZone = slotsInZone(spec, zone, capacity, catalog, usesReserved);
+    for (const stage of ["free", "afterPreemption", "afterRental"] as const) {
+      sum[stage] += inZone[stage];
+      best[stage] = Math.max(best[stage], inZone[stage]);
     }
   }
-  const places = spec.samePlace ? best : sum;
-  const taken = pendingTasksOf(spec, pending);
+  const total = spec.samePlace ? best : sum;
+  const pendingTasks = pendingTasksOf(spec, pending);
   return {
-    free: Math.max(0, places.free - taken),
-    afterPreemption: Math.max(0, places.afterPreemption - taken),
-    afterRental: Math.max(0, places.afterRental - taken),
+    free: Math.max(0, total.free - pendingTasks),
+    afterPreemption: Math.max(0, total.afterPreemption - pendingTasks),
+    afterRental: Math.max(0, total.afterRental - pendingTasks),
   };
 }
 
-function placesInZone(
+function slotsInZone(
   spec: JobSpec,
   zone: string,
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
-  isShort: boolean,
+  usesReserved: boolean,
 ): UndividedJobSlots {
   const rows = capacity?.rows.filter((row) => row.zone === zone) ?? [];
-  const now = capacity
-    ? placesFor(spec, { ...capacity, rows }, catalog, isShort)
+  const free = capacity
+    ? freeSlotsFor(spec, { ...capacity, rows }, catalog, usesReserved)
     : 0;
-  const yields = now + reclaimablePlacesFor(spec, rows, catalog);
+  const afterPreemption = free + reclaimableSlotsFor(spec, rows, catalog);
   const soldOut = new Set(capacity?.soldOut);
-  let soon = yields;
+  let afterRental = afterPreemption;
   for (const { type, spot } of suitableOffers(spec, zone, catalog)) {
     const key = offerKey(type.name, zone, spot);
     const machines =
       capacity?.left.get(key) ?? (soldOut.has(key) ? 0 : Infinity);
-    if (machines > 0) soon += machines * fitCount(spec, type);
+    if (machines > 0) afterRental += machines * fitCount(spec, type);
   }
-  return { free: now, afterPreemption: yields, afterRental: soon };
+  return { free, afterPreemption, afterRental };
 }
 
-/** A machine type at its ordinary or its spot price. */
+/** A machine type offered at its on-demand or its spot price. */
 interface SuitableOffer {
   type: MachineType;
   spot: boolean;
 }
 
-/** Offers of a zone that a job's tasks may run on. */
+/** Offers of a zone whose machines can run a job's tasks. */
 function* suitableOffers(
   spec: JobSpec,
   zone: string,
@@ -215,7 +226,7 @@
   }
 }
 
-/** What was assigned to a partition since it wrote its record, in tasks of this job's size. */
+/** Tasks assigned to a partition since it wrote its record, converted by CPUs into tasks of this job's size. */
 function pendingTasksOf(
   spec: JobSpec,
   pending: readonly PendingAssignment[],
@@ -230,7 +241,7 @@
   return tasks;
 }
 
-/** Of the machine types that a partition may rent for a job and did not find sold out lately, the one that boots first. */
+/** The machine type with the shortest boot time among those that a partition may rent for a job and has not recently found sold out. */
 export function fastestRentableType(
   spec: JobSpec,
   zones: readonly string[],
@@ -252,17 +263,17 @@
   return best;
 }
 
-/** Places for a job's tasks on all machines of a partition, whatever runs there now. */
-export function placesOnAllMachines(
+/** Slots for a job on all machines of a partition, as if nothing else ran on them. */
+export function slotsOnAllMachines(
   spec: JobSpec,
   capacity: CapacityRecord | undefined,
   catalog: readonly MachineType[],
 ): number {
-  let places = 0;
+  let slots = 0;
   for (const row of capacity?.rows ?? []) {
     const type = catalog.find(({ name }) => name === row.type);
     if (type && mayUseRow(spec, row, catalog))
-      places += row.machines * fitCount(spec, type);
+      slots += row.machines * fitCount(spec, type);
   }
-  return Math.max(MIN_PLACES, places);
+  return Math.max(MIN_SLOTS, slots);
 }
--- a/src/coordination/jobs/pending-assignments.ts
+++ b/src/coordination/jobs/pending-assignments.ts
@@ -1,14 +1,15 @@
-/** Tasks assigned to partitions since these last wrote their capacity records: other assignments take them into account. */
+/** Tasks assigned to partitions since they last wrote their capacity records; later assignments take them into account. */
 import type { JobSpec } from "../model.js";
 import type { PendingAssignment } from "./partition-capacity.js";
 
 /**
- * Latest jobs assigned to a partition since it wrote its capacity that are remembered; the oldest is forgotten. Each was a commit, so
- * there are as many a second as the state service takes changes, however many machines there are; each assignment reads them all.
+ * Assignments kept for each partition; the oldest is dropped first. Each assignment is one commit, so their rate is bounded by
+ * the state service's rate of changes, whatever the number of machines. The bound also limits the work of an assignment, which
+ * reads all of them.
  */
 const MAX_PENDING_ASSIGNMENTS = 1_000;
 
-/** Remembers assignments by partition, the latest of each. */
+/** Keeps the latest assignments to each partition. */
 export class PendingAssignments {
   private readonly assignments = new Map<string, PendingAssignment[]>();
 
@@ -17,7 +18,7 @@
     return this.assignments;
   }
 
-  /** Tasks of a job were assigned to the partition. */
+  /** Records that tasks of a job were assigned to the partition. */
   note(partition: string, spec: JobSpec, tasks: number): void {
     let pending = this.assignments.get(partition);
     if (!pending) this.assignments.set(partition, (pending = []));
@@ -25,7 +26,7 @@
     if (pending.length > MAX_PENDING_ASSIGNMENTS) pending.shift();
   }
 
-  /** The partition has written its capacity record. */
+  /** Drops a partition's assignments once it has written its capacity record. */
   forget(partition: string): void {
     this.assignments.delete(partition);
   }
