--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -18,61 +18,62 @@
 import type { RangeSet } from "./range-set.js";
 import { hashToIndex } from "./job-partitioner.js";
 
-/** Controllers take turns at a job: each acts this much later than the one before. */
+/** Delay between the turns of the controllers to release or end the same job. */
 const TURN_INTERVAL_MS = 1_000;
-/** Time until a failed commit, or the lookup of an unknown job, is tried again. */
+/** Delay before a commit, or the lookup of an unknown dependency, is repeated. */
 const RETRY_MS = 500;
-/** Commits in flight at once: a job with many dependents must not fill the queue that users' writes stand in as well. */
+/** Maximum number of commits in flight: a job with many dependents must not fill the queue that it shares with users' writes. */
 const MAX_COMMITS_IN_FLIGHT = 8;
-/** A waiting job is checked this often, and whenever one of its dependencies changes. */
+/** Waiting jobs are checked this often, and whenever one of their dependencies changes. */
 const CHECK_INTERVAL_MS = 200;
-/** A dependent's end takes two writes of a transaction: its final record, and the deletion of its live one. */
-const WRITES_PER_END = 2;
+/** Writes that end a waiting job: its final record is put and its live record deleted. */
+const JOB_END_WRITES = 2;
 const MS_PER_S = 1_000;
 
 /** What the dependency tracker needs of the controller. */
 export interface DependencyPorts {
-  /** Assigns a job to partitions by the capacity of this moment; null: that can't be said now. */
+  /** Assigns a job's tasks to partitions by their current capacity; null if that is not possible now. */
   assign(spec: JobSpec): Map<string, RangeSet> | null;
-  /** Reads a job's final record; what is found comes to `onFinalRecord`. */
+  /** Reads a job's final record; if there is one, `onFinalRecord` is called with it. */
   lookUpFinalRecord(id: string): void;
 }
 
 interface WaitingJob {
   view: JobView;
-  /** Dependencies that its record names. */
+  /** All dependencies listed in its record. */
   dependsOn: readonly string[];
   /** Dependencies that are not known to be done. */
   unfinished: Set<string>;
-  /** A direct or indirect dependency is cancelled: so is this job, whatever its record says yet. */
+  /** A direct or indirect dependency is cancelled, so this job is too, even if its record does not say so yet. */
   cancelledByDependency: boolean;
-  /** Since when it is to be released or ended. */
+  /** Time since which it can be released or ended. */
   dueSinceMs: number;
-  /** A commit about it is in flight. */
+  /** A commit that releases or ends it is in flight. */
   isCommitting: boolean;
-  /** After a commit: not before this time again. */
+  /** Earliest time of the next commit. */
   retryAtMs: number;
 }
 
 /**
- * Waiting jobs and their dependencies. The record of a waiting job has an empty assignment, so that no partition leader has
- * tasks of it; what follows from the records of its dependencies is derived alike on every controller:
+ * Waiting jobs and their dependencies. The record of a waiting job has an empty assignment, so no partition leader has tasks
+ * of it. Every controller derives the same state of the job from the records of its dependencies:
  *
- * - All are done: one commit, conditional on the job's record, writes the assignment of that moment. Invariant (too_early):
- *   "done" is read from the store, never from what a partition leader believes.
- * - One is cancelled: the job is cancelled. Both facts are final, so it is reported at once, and the record that says so
- *   follows. Invariant (orphaned, went_back): no controller reports a job as waiting unless it knows of every direct and
- *   indirect dependency that it is alive or done.
+ * - All are done: one commit, conditional on the job's record, writes an assignment by the current capacity. Invariant
+ *   (too_early): "done" is read from the store, never from a partition leader's state that may not be written yet.
+ * - One is cancelled: the job is cancelled. Both are final, so it is reported as cancelled at once, and its final record is
+ *   written afterwards. Invariant (orphaned, went_back): a controller reports a job as waiting only if it knows that each
+ *   direct and indirect dependency is alive or done.
  *
- * Controllers take turns at writing: the condition makes doubles harmless, and a job never depends on one controller.
+ * Controllers take turns at writing, so that no job depends on a single controller; the condition makes repeated writes
+ * harmless.
  */
 export class DependencyTracker {
-  private readonly entries = new Map<string, WaitingJob>();
-  /** By job: the waiting jobs that name it. */
+  private readonly waitingJobs = new Map<string, WaitingJob>();
+  /** By job: the waiting jobs that directly depend on it. */
   private readonly dependents = new Map<string, Set<string>>();
-  /** Dependencies that are neither alive nor known to be over, with the time when they may be looked up again, in ms. */
-  private readonly unknown = new Map<string, number>();
-  private checkedMs = -Infinity;
+  /** Dependencies that are neither alive nor known to have ended, with the time of their next lookup, in ms. */
+  private readonly unknownDependencies = new Map<string, number>();
+  private lastCheckMs = -Infinity;
   private commitsInFlight = 0;
 
   constructor(
@@ -82,29 +83,29 @@
 
   // ---- records -------------------------------------------------------------------------------------------
 
-  /** A job's record was read. */
+  /** Handles a live record of a job that was read. */
   onJob(view: JobView): void {
-    const known = this.entries.get(view.id);
+    const waiting = this.waitingJobs.get(view.id);
     if (view.dependsOn.length === 0) {
-      if (known) this.remove(known);
-      // Those that need it may have been read before it.
+      if (waiting) this.remove(waiting);
+      // Its dependents may have been read before it.
       else if (this.dependents.has(view.id)) this.recomputePriority(view.id);
       return;
     }
-    if (!known) this.addWaiting(view);
+    if (!waiting) this.addWaiting(view);
   }
 
-  /** A job's record is gone: it is over, and its final record says how it ended. */
+  /** Handles the deletion of a job's live record: the job has ended, and its final record says how. */
   onJobRemoved(id: string): void {
-    const waiting = this.entries.get(id);
+    const waiting = this.waitingJobs.get(id);
     if (waiting) this.remove(waiting);
     if (this.dependents.has(id) && !this.ctx.cache.finalRecords.has(id))
-      this.unknown.set(id, 0);
+      this.unknownDependencies.set(id, 0);
   }
 
-  /** How a job ended, once and for all. */
+  /** Handles a job's final record, which never changes. */
   onFinalRecord(id: string, finalRecord: FinalRecord): void {
-    this.unknown.delete(id);
+    this.unknownDependencies.delete(id);
     for (const dependent of this.dependentsOf(id)) {
       if (finalRecord.status === "cancelled")
         this.cancelWithDependency(dependent);
@@ -113,7 +114,7 @@
         dependent.unfinished.size === 0
       )
         dependent.dueSinceMs = this.ctx.nowMs;
-      this.checkedMs = -Infinity;
+      this.lastCheckMs = -Infinity;
     }
   }
 
@@ -127,7 +128,7 @@
       isCommitting: false,
       retryAtMs: 0,
     };
-    this.entries.set(view.id, waiting);
+    this.waitingJobs.set(view.id, waiting);
     for (const dependency of waiting.dependsOn)
       this.addDependency(waiting, dependency);
     this.recomputePriority(view.id);
@@ -138,28 +139,28 @@
   private addDependency(waiting: WaitingJob, dependency: string): void {
     const dependents = this.dependents.get(dependency) ?? new Set();
     this.dependents.set(dependency, dependents.add(waiting.view.id));
-    this.unknown.delete(dependency);
+    this.unknownDependencies.delete(dependency);
     const finalRecord = this.ctx.cache.finalRecords.get(dependency);
     if (finalRecord) this.onFinalRecord(dependency, finalRecord);
     else if (this.isCancelledByDependency(dependency))
       this.cancelWithDependency(waiting);
     else if (!this.ctx.cache.jobs.has(dependency))
-      this.unknown.set(dependency, 0);
+      this.unknownDependencies.set(dependency, 0);
   }
 
-  /** The waiting jobs that name a job, as they are now. */
+  /** A snapshot of the waiting jobs that directly depend on a job. */
   private dependentsOf(id: string): WaitingJob[] {
     const dependents: WaitingJob[] = [];
-    for (const name of this.dependents.get(id) ?? []) {
-      const dependent = this.entries.get(name);
+    for (const dependentId of this.dependents.get(id) ?? []) {
+      const dependent = this.waitingJobs.get(dependentId);
       if (dependent) dependents.push(dependent);
     }
     return dependents;
   }
 
   /**
-   * No recursion, here and in `unresolvedDependency`: users may build chains of thousands of jobs, and a stack that
-   * overflows ends the process.
+   * Marks a waiting job and all its direct and indirect dependents as cancelled. No recursion, here and in
+   * `unresolvedDependency`: users may build chains of thousands of jobs, and a stack overflow would end the process.
    */
   private cancelWithDependency(first: WaitingJob): void {
     const stack = [first];
@@ -175,13 +176,13 @@
   }
 
   private remove(waiting: WaitingJob): void {
-    this.entries.delete(waiting.view.id);
+    this.waitingJobs.delete(waiting.view.id);
     for (const dependency of waiting.dependsOn) {
       const dependents = this.dependents.get(dependency);
       dependents?.delete(waiting.view.id);
       if (dependents?.size === 0) {
         this.dependents.delete(dependency);
-        this.unknown.delete(dependency);
+        this.unknownDependencies.delete(dependency);
       }
       this.recomputePriority(dependency);
     }
@@ -191,22 +192,22 @@
 
   /** Whether a direct or indirect dependency of an unfinished job is cancelled. */
   isCancelledByDependency(id: string): boolean {
-    return this.entries.get(id)?.cancelledByDependency === true;
+    return this.waitingJobs.get(id)?.cancelledByDependency === true;
   }
-  /** Dependencies that a job is known to wait for; empty if it may start. */
+  /** Direct dependencies of a job that are not known to be done; empty if it may start. */
   unfinishedDependencies(id: string): readonly string[] {
-    return [...(this.entries.get(id)?.unfinished ?? [])];
+    return [...(this.waitingJobs.get(id)?.unfinished ?? [])];
   }
-  /** A direct or indirect dependency of which it is not known what became; null: all are known. */
+  /** A direct or indirect dependency, or the job itself, whose state is unknown; null if there is none. */
   unresolvedDependency(id: string): string | null {
-    if (this.unknown.size === 0) return null;
+    if (this.unknownDependencies.size === 0) return null;
     const visited = new Set<string>();
     const stack = [id];
     for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
       if (visited.has(next)) continue;
       visited.add(next);
-      if (this.unknown.has(next)) return next;
-      stack.push(...(this.entries.get(next)?.unfinished ?? []));
+      if (this.unknownDependencies.has(next)) return next;
+      stack.push(...(this.waitingJobs.get(next)?.unfinished ?? []));
     }
     return null;
   }
@@ -214,16 +215,17 @@
   // ---- priority and deadline -----------------------------------------------------------------------------
 
   /**
-   * A job inherits the highest priority of its dependents, and is due early enough that they can still meet their
-   * deadlines. Kept up to date as jobs come and go: only jobs that a change reaches are visited.
+   * Recomputes the priority and due time of a job and, if they changed, of its dependencies. A job inherits the highest
+   * priority of its dependents, and is due early enough that they can still meet their deadlines. Called whenever the
+   * dependents of a job change, and visits only the jobs that the change affects.
    */
   private recomputePriority(first: string): void {
     const stack = [first];
     for (let id = stack.pop(); id !== undefined; id = stack.pop())
       if (this.recomputePriorityOf(id))
-        stack.push(...(this.entries.get(id)?.unfinished ?? []));
+        stack.push(...(this.waitingJobs.get(id)?.unfinished ?? []));
   }
-  /** Whether anything changed. */
+  /** Returns whether the job's priority or due time changed. */
   private recomputePriorityOf(id: string): boolean {
     const view = this.ctx.cache.jobs.get(id);
     if (!view) return false;
@@ -249,28 +251,28 @@
   /** Looks up unknown dependencies, releases jobs whose dependencies are done and ends those that are cancelled. */
   processWaitingJobs(): void {
     if (
-      this.entries.size === 0 ||
-      this.ctx.nowMs - this.checkedMs < CHECK_INTERVAL_MS
+      this.waitingJobs.size === 0 ||
+      this.ctx.nowMs - this.lastCheckMs < CHECK_INTERVAL_MS
     )
       return;
-    this.checkedMs = this.ctx.nowMs;
-    this.lookUpUnknown();
-    this.end(this.releaseDue());
+    this.lastCheckMs = this.ctx.nowMs;
+    this.lookUpUnknownDependencies();
+    this.finalizeCancelled(this.releaseDue());
   }
 
-  private lookUpUnknown(): void {
-    for (const [id, notBeforeMs] of this.unknown) {
-      if (this.ctx.nowMs < notBeforeMs) continue;
-      this.unknown.set(id, this.ctx.nowMs + RETRY_MS);
+  private lookUpUnknownDependencies(): void {
+    for (const [id, nextLookUpMs] of this.unknownDependencies) {
+      if (this.ctx.nowMs < nextLookUpMs) continue;
+      this.unknownDependencies.set(id, this.ctx.nowMs + RETRY_MS);
       this.ports.lookUpFinalRecord(id);
     }
   }
 
-  /** Releases the jobs whose dependencies are done; those to be ended are returned. */
+  /** Releases the jobs whose dependencies are done, and returns those to be ended as cancelled. */
   private releaseDue(): WaitingJob[] {
     const cancelled: WaitingJob[] = [];
     const controllers = this.actingControllers();
-    for (const waiting of this.entries.values()) {
+    for (const waiting of this.waitingJobs.values()) {
       if (!this.isDue(waiting, controllers)) continue;
       if (waiting.cancelledByDependency) cancelled.push(waiting);
       else if (this.commitsInFlight < MAX_COMMITS_IN_FLIGHT)
@@ -300,16 +302,16 @@
     );
   }
 
-  /** Controllers take turns, beginning with one that the job's id decides. */
+  /** Whether this controller's turn has come; the hash of the job's id selects the controller that is first. */
   private isOwnTurn(
     waiting: WaitingJob,
     controllers: readonly string[],
   ): boolean {
     const count = controllers.length;
-    const first = hashToIndex(waiting.view.id, count);
-    const self = controllers.indexOf(this.ctx.settings.label);
-    const rank = (self - first + count) % count;
-    return this.ctx.nowMs - waiting.dueSinceMs >= rank * TURN_INTERVAL_MS;
+    const firstIndex = hashToIndex(waiting.view.id, count);
+    const ownIndex = controllers.indexOf(this.ctx.settings.label);
+    const turn = (ownIndex - firstIndex + count) % count;
+    return this.ctx.nowMs - waiting.dueSinceMs >= turn * TURN_INTERVAL_MS;
   }
 
   private release(waiting: WaitingJob): void {
@@ -339,21 +341,21 @@
     );
   }
 
-  /** Writes the final records of jobs with a cancelled dependency: as many at once as a transaction takes. */
-  private end(cancelled: readonly WaitingJob[]): void {
+  /** Writes the final records of jobs with a cancelled dependency, as many per transaction as it can hold. */
+  private finalizeCancelled(cancelled: readonly WaitingJob[]): void {
     const batchSize = Math.max(
       1,
-      Math.floor(this.ctx.settings.state.txnOps / WRITES_PER_END),
+      Math.floor(this.ctx.settings.state.txnOps / JOB_END_WRITES),
     );
     for (
       let start = 0;
       start < cancelled.length && this.commitsInFlight < MAX_COMMITS_IN_FLIGHT;
       start += batchSize
     )
-      this.endBatch(cancelled.slice(start, start + batchSize));
+      this.finalizeBatch(cancelled.slice(start, start + batchSize));
   }
 
-  private endBatch(batch: readonly WaitingJob[]): void {
+  private finalizeBatch(batch: readonly WaitingJob[]): void {
     const writes = batch.flatMap(({ view }) =>
       jobEndWrites(view.id, finalRecordOf(this.ctx, view.spec, "cancelled", 0)),
     );
@@ -378,7 +380,7 @@
       version: view.revision,
     }));
     this.ctx.commit(conditions, writes, priority, (outcome) => {
-      // The record itself says what became of it; until it does, or after a refusal, the same is tried again.
+      // The outcome is read from the job's record. Until that shows it, or if the commit failed, the commit is repeated.
       for (const waiting of jobs) {
         waiting.isCommitting = false;
         waiting.retryAtMs = this.ctx.nowMs + RETRY_MS;
@@ -386,7 +388,7 @@
       this.commitsInFlight--;
       if (outcome !== "ok") return;
       onCommitted();
-      this.checkedMs = -Infinity;
+      this.lastCheckMs = -Infinity;
       this.processWaitingJobs();
     });
   }
--- a/src/coordination/jobs/ended-job-cleanup.ts
+++ b/src/coordination/jobs/ended-job-cleanup.ts
@@ -1,14 +1,14 @@
-/** Deletes completion records of jobs that are over: those that did not fit the transaction that ended the job. */
+/** Deletes progress records of ended jobs: those that did not fit in the transaction that ended the job. */
 import type { Clock, Configuration, StoreView } from "../context.js";
 import { CallPriority } from "../effects.js";
 import type { PartitionState } from "../scheduling/partition-state.js";
 
-/** Between two sweeps. */
-const SWEEP_INTERVAL_MS = 5_000;
+/** Interval between two cleanups. */
+const CLEANUP_INTERVAL_MS = 5_000;
 
-/** Sweeps under the fencing token of the controller's home partition, while it leads that. */
+/** Deletes under the fencing token of the controller's home partition, while the controller leads that partition. */
 export class EndedJobCleanup {
-  private lastSweepMs = 0;
+  private lastCleanupMs = 0;
 
   constructor(
     private readonly ctx: Clock & Configuration & StoreView,
@@ -19,21 +19,21 @@
     private readonly leadership: { mayAct(): boolean },
   ) {}
 
-  /** Sweeps if it is time. */
+  /** Runs a cleanup if one is due. */
   tick(): void {
-    if (this.ctx.nowMs - this.lastSweepMs <= SWEEP_INTERVAL_MS) return;
-    this.lastSweepMs = this.ctx.nowMs;
-    this.sweep();
+    if (this.ctx.nowMs - this.lastCleanupMs <= CLEANUP_INTERVAL_MS) return;
+    this.lastCleanupMs = this.ctx.nowMs;
+    this.cleanUp();
   }
 
-  /** As many records as one transaction holds. */
-  private sweep(): void {
+  /** Deletes as many records as one transaction can hold. */
+  private cleanUp(): void {
     const { cache, settings } = this.ctx;
     const homeLeader = this.leaders.get(settings.label);
     if (!homeLeader || !this.leadership.mayAct()) return;
     const keys = cache
-      .leftovers()
-      .flatMap((jobId) => cache.sideKeys(jobId))
+      .endedJobsWithProgress()
+      .flatMap((jobId) => cache.progressKeys(jobId))
       .slice(0, settings.state.txnOps);
     if (keys.length === 0) return;
     homeLeader.state.commit(
--- a/src/coordination/jobs/job-admission.ts
+++ b/src/coordination/jobs/job-admission.ts
@@ -25,24 +25,24 @@
 import { RangeSet } from "./range-set.js";
 import type { RequestReplies } from "./request-replies.js";
 
-/** A cache read within this time shows every cancellation that was answered `cancel_s` ago. */
+/** A cache that was read within this time shows every cancellation that was answered at least `cancel_s` ago. */
 const FRESH_CACHE_MS = 3_000;
 /**
- * Memory of one live job. Measured with 12,000 waiting jobs and 2,400 machines: 3.3 KiB for a live job, and as much again
- * while all of them are read after a start; names at their longest, another 3.
+ * Memory of one live job. Measured with 12,000 waiting jobs and 2,400 machines: 3.3 KiB, and as much again while all jobs are
+ * read after a start. Names of the maximum length take another 3 KiB.
  */
 const JOB_KIB = 6;
-/** Of the memory, what live jobs may take: the process itself and its libraries take half. */
+/** Part of the memory that live jobs may take: the process itself and its libraries take half. */
 const JOBS_MEMORY_SHARE = 0.35;
-/** The same of the heap: the rest is for machines, tasks and what a step needs for a moment. */
+/** Part of the heap that live jobs may take: the rest is for machines, tasks and the temporary data of a step. */
 const JOBS_HEAP_SHARE = 0.5;
 const KIB_PER_MIB = 1024;
-/** Lack of memory does not pass quickly: a user is told to wait this long. */
+/** Retry delay sent to users while memory is short, which does not pass quickly. */
 const OVERLOAD_RETRY_S = 10;
-/** While the machine types are not known: as soon as the catalog is read. */
+/** Retry delay sent to users until the catalog of machine types has been read. */
 const CATALOG_RETRY_S = 1;
 
-/** Why a job is not admitted. */
+/** An answer that says why a job is not admitted. */
 type Rejection = Extract<
   Answer,
   { kind: "cannotRun" | "recordTooLarge" | "retryLater" }
@@ -72,7 +72,7 @@
 
 export class JobAdmission {
   private readonly maxJobs: number;
-  /** Of what is left of memory the next step may need all: nothing new is accepted. */
+  /** The next step may need all the remaining memory, so new jobs are rejected. */
   private isMemoryShort = false;
 
   constructor(
@@ -112,7 +112,7 @@
       this.reasonItCannotRun(spec) ??
       this.reasonItCannotBeStored(spec, dependsOn) ??
       this.reasonItIsOverloaded();
-    // Whatever the catalog says today: a job that was accepted once is answered from its record.
+    // A job that was accepted once is answered from its record, even if the catalog or the limits have changed since.
     if (rejection)
       return status.answerIfAccepted(request, spec.id, () =>
         replies.answer(request, rejection),
@@ -129,7 +129,7 @@
 
   // ---- checks --------------------------------------------------------------------------------------------
 
-  /** Why a job can never run, or that it can't be said yet; null if it can run. */
+  /** Why a job can never run, or that this is not known yet; null if it can run. */
   private reasonItCannotRun(spec: JobSpec): Rejection | null {
     const { catalog, partitions, settings } = this.ctx;
     const team = settings.teams.get(spec.team);
@@ -147,7 +147,7 @@
     return null;
   }
 
-  /** A job's record must fit a value of the store, while it waits and once it is assigned to partitions. */
+  /** Rejects a job whose record would not fit a value of the store, either while it waits or once it is assigned to partitions. */
   private reasonItCannotBeStored(
     spec: JobSpec,
     dependsOn: readonly string[],
@@ -182,7 +182,7 @@
     };
   }
 
-  /** Every controller holds all live jobs: more than fit are not accepted, on any of them. */
+  /** Rejects a job that would not fit in memory: every controller holds all live jobs. */
   private reasonItIsOverloaded(): Rejection | null {
     if (this.ctx.cache.jobs.size >= this.maxJobs)
       return retryLater("too many unfinished jobs", OVERLOAD_RETRY_S);
@@ -194,20 +194,22 @@
   // ---- dependencies --------------------------------------------------------------------------------------
 
   /**
-   * A job that the cache shows was accepted. Only dependencies that it does not show take a fresh read, and a
-   * cancellation that the cache may be too old for.
+   * Resolves dependencies from the cache if it shows all of them and is recent enough to show their cancellations, otherwise
+   * after a read of the store. A job that the cache shows was accepted, however old the cache is.
    */
   private resolveFromFreshCache(submission: Submission): void {
     const { leadership, watcher } = this.ports;
-    const areShown = submission.unresolved.every((id) => this.isShown(id));
-    if (areShown && leadership.readAgeMs < FRESH_CACHE_MS)
+    const areResolvable = submission.unresolved.every((id) =>
+      this.isResolvableFromCache(id),
+    );
+    if (areResolvable && leadership.readAgeMs < FRESH_CACHE_MS)
       return this.resolveDependencies(submission);
     watcher.afterRead(submission.request, submission.spec.id, () =>
       this.resolveDependencies(submission),
     );
   }
 
-  private isShown(id: string): boolean {
+  private isResolvableFromCache(id: string): boolean {
     const { cache } = this.ctx;
     return (
       cache.finalRecords.has(id) ||
@@ -217,8 +219,8 @@
   }
 
   /**
-   * Resolves dependencies one by one, each by a read that was sent after the request: whoever names a job has been told
-   * before that it was accepted.
+   * Resolves dependencies one by one. One that the cache does not show is looked up by a read sent after the request arrived:
+   * the user was told before the request that the job was accepted, so the read shows it.
    */
   private resolveDependencies(submission: Submission): void {
     const { request, spec, unresolved } = submission;
@@ -279,7 +281,7 @@
 
   // ---- commits -------------------------------------------------------------------------------------------
 
-  /** Accepting is one commit, with the assignment in it; the leaders learn of the job from the record. */
+  /** Accepts a job by one commit that contains its assignment; partition leaders learn of the job from its record. */
   private accept(
     request: number,
     spec: JobSpec,
@@ -325,10 +327,10 @@
         tasks.size,
       ]),
     });
-    this.ports.watcher.watchSoon();
+    this.ports.watcher.watchNow();
   }
 
-  /** A job that needs a cancelled one is accepted all the same, and cancelled with it. */
+  /** Accepts a job with a cancelled dependency, and records it as cancelled at once. */
   private acceptCancelled(request: number, spec: JobSpec): void {
     const finalRecord = finalRecordOf(this.ctx, spec, "cancelled", 0);
     this.commitNew(
@@ -347,7 +349,7 @@
     );
   }
 
-  /** Commits the first record of a job, on condition that it has none. */
+  /** Commits the first record of a job, on condition that it has none yet. */
   private commitNew(
     request: number,
     id: string,
@@ -369,8 +371,8 @@
 
 const cannotRun = (error: string): Rejection => ({ kind: "cannotRun", error });
 
-const retryLater = (why: string, afterS: number): Rejection => ({
+const retryLater = (reason: string, afterS: number): Rejection => ({
   kind: "retryLater",
   afterS,
-  reason: why,
+  reason,
 });
--- a/src/coordination/jobs/job-cancellation.ts
+++ b/src/coordination/jobs/job-cancellation.ts
@@ -6,11 +6,11 @@
 import { CallPriority } from "../effects.js";
 import type { JobView } from "../store/job-view.js";
 import type { StoreWatcher } from "../store/store-watcher.js";
-import { finalRecordOf, sideKeysToDelete } from "./job-completion.js";
+import { finalRecordOf, progressKeysToDelete } from "./job-completion.js";
 import type { JobStatus } from "./job-status.js";
 import type { RequestReplies } from "./request-replies.js";
 
-/** A job's record may change between the read and the commit: the cancellation is tried again this often. */
+/** Maximum number of retries when a job's record changes between the read and the commit. */
 const MAX_CANCEL_RETRIES = 4;
 
 /** What cancellation needs of the controller. */
@@ -26,7 +26,7 @@
     private readonly ports: JobCancellationPorts,
   ) {}
 
-  /** Cancels a job, or answers how it ended before. The cache must be read after the request came. */
+  /** Cancels a job, or answers how it has ended. The cache must have been read after the request arrived. */
   cancel(request: number, id: string, retries = MAX_CANCEL_RETRIES): void {
     const job = this.ports.status.liveJob(id);
     if (job) this.commitCancellation(request, job, retries);
@@ -52,17 +52,17 @@
   ): void {
     const { replies, status, watcher } = this.ports;
     const id = job.id;
-    const finished = this.ctx.cache.allFinished(id).size;
+    const finishedTasks = this.ctx.cache.allFinished(id).size;
     const finalRecord = finalRecordOf(
       this.ctx,
       job.spec,
       "cancelled",
-      finished,
+      finishedTasks,
     );
-    // Invariant (went_back): cancelled and done are conditional on the same record, so only one of them happens.
+    // Invariant (went_back): cancelling and completing a job are conditional on the same record, so only one of them happens.
     this.ctx.commit(
       [{ key: jobKey(id), version: job.revision }],
-      jobEndWrites(id, finalRecord, sideKeysToDelete(this.ctx, id)),
+      jobEndWrites(id, finalRecord, progressKeysToDelete(this.ctx, id)),
       CallPriority.UserRequest,
       (outcome) => {
         if (outcome === "ok") {
--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -1,6 +1,6 @@
 /**
- * Records what is finished of jobs: ranges of tasks by partition, and the end of a job. Owns no state: progress is kept
- * in each `JobRun`.
+ * Writes the progress of jobs to the store: ranges of finished tasks by partition, and the end of a job. Owns no state:
+ * progress is kept in each `JobRun`.
  */
 import {
   jobEndWrites,
@@ -17,27 +17,27 @@
 import type { JobSpec } from "../model.js";
 import type { JobRun } from "../machines/worker-state.js";
 
-/** What a partition has finished of a job is written at most this often, until its tasks are complete. */
+/** A partition's finished tasks of a job are written at most this often, until all of them are finished. */
 const COMPLETION_WRITE_INTERVAL_MS = 1_500;
-/** A commit that failed is tried again after this time. */
+/** Delay before a failed commit is repeated. */
 const RETRY_MS = 300;
-/** A job's end puts the final record and deletes the live one. */
+/** Writes that every end of a job takes: its final record is put and its live record deleted. */
 const JOB_END_WRITES = 2;
 
 /**
- * A job's final record. Invariant (hooks, nothing lost): it is all that hooks are sent from, so what they need of the job is
- * written in the very transaction that ends it, whichever way that is.
+ * Builds a job's final record. Invariant (hooks, nothing lost): webhooks are sent from final records alone, so whatever they
+ * need to know of the job is written in the same transaction that ends it, in whichever way it ends.
  */
 export function finalRecordOf(
   ctx: Context,
   spec: JobSpec,
   status: FinalRecord["status"],
-  done: number,
+  doneTasks: number,
 ): FinalRecord {
   return {
     status,
     tasks: spec.tasks,
-    done,
+    done: doneTasks,
     ...(ctx.tuning.tellEnds
       ? {
           end: {
@@ -50,17 +50,17 @@
   };
 }
 
-/** Records beside a job's own that go in the transaction which ends it: as many as fit beside the job's two writes. */
-export function sideKeysToDelete(ctx: Context, id: string): string[] {
-  const room = ctx.settings.state.txnOps - JOB_END_WRITES;
-  return ctx.cache.sideKeys(id).slice(0, room);
+/** Keys of a job's progress records that the transaction ending it deletes: as many as fit beside its other two writes. */
+export function progressKeysToDelete(ctx: Context, id: string): string[] {
+  const remainingWrites = ctx.settings.state.txnOps - JOB_END_WRITES;
+  return ctx.cache.progressKeys(id).slice(0, remainingWrites);
 }
 
-/** Writes what a partition has finished: ranges of tasks, and the ends of jobs. */
+/** Writes a partition's finished tasks, and the ends of jobs. */
 export class JobCompletion {
   constructor(
     private readonly ctx: Context,
-    private readonly partition: PartitionState,
+    private readonly partitionState: PartitionState,
   ) {}
 
   completeTask(job: JobRun, index: number): void {
@@ -71,29 +71,29 @@
     this.writeProgress(job);
   }
 
-  /** Writes what is finished: the job's end if nothing is left, else this partition's ranges. */
+  /** Writes the job's end if all its tasks are finished, otherwise this partition's ranges of finished tasks. */
   writeProgress(job: JobRun): void {
     if (job.isOver || job.finished.isEmpty || job.view.spec.kind === "service")
       return;
-    const all = this.ctx.cache.allFinished(job.id);
-    all.addAll(job.finished);
-    job.isComplete = all.size >= job.view.spec.tasks;
+    const allFinished = this.ctx.cache.allFinished(job.id);
+    allFinished.addAll(job.finished);
+    job.isComplete = allFinished.size >= job.view.spec.tasks;
     if (job.isComplete) this.finalize(job);
     else if (job.writtenFinished.size < job.finished.size)
       this.writeCompletions(job);
   }
 
-  /** Invariant (rules not_done, went_back): the end is one conditional commit, reported only after it. */
+  /** Invariant (rules not_done, went_back): the end of a job is one conditional commit, and is reported only after it. */
   private finalize(job: JobRun): void {
     if (job.isFinalizing || job.pendingTransfer) return;
     job.isFinalizing = true;
     const id = job.id;
-    this.partition.commit(
+    this.partitionState.commit(
       [{ key: jobKey(id), version: job.view.revision }],
       jobEndWrites(
         id,
         finalRecordOf(this.ctx, job.view.spec, "done", job.view.spec.tasks),
-        sideKeysToDelete(this.ctx, id),
+        progressKeysToDelete(this.ctx, id),
       ),
       CallPriority.Leader,
       (outcome) => {
@@ -105,8 +105,8 @@
 
   private writeCompletions(job: JobRun): void {
     if (job.isWritingFinished) return;
-    // Ranges are batched: with 5 changes a second, a write for each finished task kept users
-    // waiting. What completes this partition's tasks goes at once, for another partition may be waiting for it to end the job.
+    // Ranges are batched: with 5 changes a second, a write for each finished task delayed users' requests. The write that
+    // completes this partition's tasks is sent at once, since another partition may need it to end the job.
     const isTooSoon =
       this.ctx.nowMs - job.lastFinishedWriteMs < COMPLETION_WRITE_INTERVAL_MS;
     if (isTooSoon && this.hasUnfinishedTasks(job)) return;
@@ -115,22 +115,23 @@
     const first = unwritten.first();
     if (first === undefined) return;
     const block = completionBlockOf(first);
-    const covered = tasksInBlock(job.finished, block);
-    const key = completionKey(job.id, this.partition.partition, block);
+    const finishedInBlock = tasksInBlock(job.finished, block);
+    const key = completionKey(job.id, this.partitionState.partition, block);
     job.isWritingFinished = true;
     job.lastFinishedWriteMs = this.ctx.nowMs;
-    this.partition.commit(
-      // Without the job's record the ranges would be left behind by a job that is over. Invariant (a task that is done stays
-      // done): a commit without an answer that is carried out after a later one would take what that added off the record.
+    this.partitionState.commit(
+      // The first condition keeps ranges from being written after the job has ended, which would leave them behind. Invariant
+      // (a task that is done stays done): without the second, an indeterminate transaction that is carried out after a later
+      // one would remove the tasks that the later one added to the record.
       [
         { key: jobKey(job.id), version: job.view.revision },
         { key, version: this.ctx.cache.latestRevisionOf(key) },
       ],
-      [{ op: "put", key, value: writeCompletion(covered) }],
+      [{ op: "put", key, value: writeCompletion(finishedInBlock) }],
       CallPriority.Leader,
       (outcome) => {
         job.isWritingFinished = false;
-        if (outcome === "ok") job.writtenFinished.addAll(covered);
+        if (outcome === "ok") job.writtenFinished.addAll(finishedInBlock);
         else this.backOff(job);
       },
     );
@@ -149,7 +150,7 @@
     );
   }
 
-  /** What was not written, or not answered, is written again. */
+  /** Repeats a write that failed or whose outcome is unknown. */
   tick(job: JobRun): void {
     if (
       this.ctx.nowMs >= job.backoffUntilMs &&
--- a/src/coordination/jobs/job-status.ts
+++ b/src/coordination/jobs/job-status.ts
@@ -1,6 +1,6 @@
 /**
- * Answers what became of a job. Owns the reads of final records that the cache does not hold; every answer rests on
- * the store's records.
+ * Answers status queries about jobs. Owns the lookups of final records that the cache does not hold; every answer is based
+ * on the store's records.
  */
 import type { FinalRecord } from "../../storage/records.js";
 import type { Context } from "../context.js";
@@ -36,42 +36,42 @@
     );
   }
 
-  /** Looks up the final record of a job; what is found goes to the cache and the dependency tracker. */
+  /** Looks up the final record of a job and passes it, if there is one, to the cache and the dependency tracker. */
   lookUpFinalRecord(id: string): void {
     this.finalStatusReader.lookUp(id, () => {});
   }
 
-  /** Takes note that a job is over. */
+  /** Passes a job's final record to the cache and the dependency tracker. */
   onFinalRecord(id: string, finalRecord: FinalRecord): void {
-    this.ctx.cache.keepFinalRecord(id, finalRecord);
+    this.ctx.cache.cacheFinalRecord(id, finalRecord);
     this.ports.dependencies.onFinalRecord(id, finalRecord);
   }
 
-  /** The job if it is alive as far as the cache shows. */
+  /** The job if the cache shows it as alive. */
   liveJob(id: string): JobView | undefined {
     const { cache } = this.ctx;
     return cache.finalRecords.has(id) ? undefined : cache.jobs.get(id);
   }
 
   /**
-   * Calls `next` with the final record of a job that is not alive, null if there is none; a final record never changes.
-   * If the store cannot say, the request is to be repeated later.
+   * Calls `next` with the final record of a job that is not alive, or with null if it has none. A cached one is used at any
+   * age, since final records never change. If the lookup fails, the user is asked to retry.
    */
   withFinalRecord(
     request: number,
     id: string,
     next: (finalRecord: FinalRecord | null) => void,
   ): void {
-    const known = this.ctx.cache.finalRecords.get(id);
-    if (known) return next(known);
-    this.finalStatusReader.lookUp(id, (finalRecord, failed) =>
-      failed === null
+    const cached = this.ctx.cache.finalRecords.get(id);
+    if (cached) return next(cached);
+    this.finalStatusReader.lookUp(id, (finalRecord, failure) =>
+      failure === null
         ? next(finalRecord)
-        : this.ports.replies.retryLater(request, failed),
+        : this.ports.replies.retryLater(request, failure),
     );
   }
 
-  /** Calls `next` once the final record of a dependency that was unresolved is known. */
+  /** Calls `next` once the final record of an unresolved dependency is known. */
   withResolvedDependency(
     request: number,
     dependency: string,
@@ -84,24 +84,24 @@
     );
   }
 
-  /** Answers from a read of the store that was sent after the request came. */
+  /** Answers with the job's status after a read of the store that is sent after the request arrived. */
   answerAfterRead(request: number, id: string): void {
     this.ports.watcher.afterRead(request, id, () =>
       this.answer(request, id, 200),
     );
   }
 
-  /** After a read of the store: answers with the job's status if it was ever accepted, else calls `unknown`. */
-  answerIfAccepted(request: number, id: string, unknown: () => void): void {
+  /** After a read of the store, answers with the job's status if it was ever accepted, otherwise calls `onUnknown`. */
+  answerIfAccepted(request: number, id: string, onUnknown: () => void): void {
     this.ports.watcher.afterRead(request, id, () => {
       if (this.ctx.cache.jobs.has(id)) return this.answer(request, id, 200);
       this.withFinalRecord(request, id, (finalRecord) =>
-        finalRecord ? this.answer(request, id, 200) : unknown(),
+        finalRecord ? this.answer(request, id, 200) : onUnknown(),
       );
     });
   }
 
-  /** Answers with the status that the cache shows, reading only what it does not hold. */
+  /** Answers with the status that the cache shows; reads from the store only final records that the cache does not hold. */
   answer(request: number, id: string, status: 200 | 201): void {
     if (this.liveJob(id)) return this.answerLive(request, id, status);
     this.withFinalRecord(request, id, (finalRecord) =>
@@ -123,7 +123,7 @@
 
   private answerLive(request: number, id: string, status: 200 | 201): void {
     const { dependencies, replies } = this.ports;
-    // Invariant (orphaned, went_back): another controller may know already that one of these is cancelled.
+    // Invariant (orphaned, went_back): another controller may already know that an unresolved dependency is cancelled.
     const unresolved = dependencies.unresolvedDependency(id);
     if (unresolved !== null)
       return this.withResolvedDependency(request, unresolved, () =>
@@ -154,7 +154,7 @@
     };
   }
 
-  /** Running tasks of a job in all partitions: those led here count their own, the others as they last wrote. */
+  /** Running tasks of a job in all partitions: counted in those led here, taken from the capacity records of the others. */
   private runningTasksOf(id: string): number {
     let running = 0;
     for (const partition of this.ctx.partitions.names)
--- a/src/coordination/jobs/range-set.ts
+++ b/src/coordination/jobs/range-set.ts
@@ -1,12 +1,12 @@
 /**
- * A compact set of task indices. Owns its ranges; a set handed out by `clone`, `take` or `slice` shares nothing with the
- * one it came from.
+ * A compact set of task indices. Owns its ranges; a set returned by `clone`, `take` or `slice` shares nothing with the
+ * original.
  */
 
-/** Lowest and highest index of a range, both in it. */
+/** Lowest and highest index of a range, both included. */
 type Range = [first: number, last: number];
 
-/** A set of task indices, kept as sorted, disjoint, closed ranges: small however large the job is. */
+/** A set of task indices, kept as sorted, disjoint, closed ranges, so that it stays small for large jobs. */
 export class RangeSet {
   private constructor(private readonly ranges: Range[]) {}
 
@@ -55,7 +55,7 @@
     this.addRange(index, index);
   }
 
-  /** Adds the indices from `first` to `last`; ranges that touch them become one. */
+  /** Adds the indices from `first` to `last`, merging ranges that overlap or adjoin them. */
   addRange(first: number, last: number): void {
     const start = this.positionOf(first - 1);
     let end = start;
@@ -99,7 +99,7 @@
     for (const [first, last] of other.ranges) this.removeRange(first, last);
   }
 
-  /** The smallest index; undefined if the set is empty. */
+  /** The smallest index, or undefined if the set is empty. */
   first(): number | undefined {
     return this.ranges[0]?.[0];
   }
@@ -107,12 +107,12 @@
   /** The `count` smallest indices, as a new set. */
   take(count: number): RangeSet {
     const taken = RangeSet.empty();
-    let left = count;
+    let remaining = count;
     for (const [first, last] of this.ranges) {
-      if (left <= 0) break;
-      const end = Math.min(last, first + left - 1);
+      if (remaining <= 0) break;
+      const end = Math.min(last, first + remaining - 1);
       taken.ranges.push([first, end]);
-      left -= end - first + 1;
+      remaining -= end - first + 1;
     }
     return taken;
   }
@@ -128,7 +128,7 @@
     return sliced;
   }
 
-  /** Ascending, over the indices that are in the set when the iteration begins. */
+  /** Iterates in ascending order over the indices that are in the set when the iteration begins. */
   *[Symbol.iterator](): Generator<number> {
     for (const [first, last] of this.pairs())
       for (let index = first; index <= last; index++) yield index;
--- a/src/coordination/jobs/request-replies.ts
+++ b/src/coordination/jobs/request-replies.ts
@@ -1,5 +1,5 @@
 /**
- * How the handlers of users' requests reply. Owns no state: the controller provides the functions.
+ * Replies to users' requests, implemented by the controller. Owns no state.
  */
 import type { Answer } from "../effects.js";
 
@@ -7,5 +7,5 @@
   /** Answers a request; each request is answered once. */
   answer(request: number, answer: Answer): void;
   /** Tells the user to repeat the request, after `afterS` seconds (one by default). */
-  retryLater(request: number, why: string, afterS?: number): void;
+  retryLater(request: number, reason: string, afterS?: number): void;
 }
--- a/src/coordination/store/store-cache.ts
+++ b/src/coordination/store/store-cache.ts
@@ -123,12 +123,12 @@
   }
 
   /** Keys of the records that a job has beside its own: they are deleted when it is over. */
-  sideKeys(id: string): string[] {
+  progressKeys(id: string): string[] {
     return this.progress.keysOf(id);
   }
 
   /** Jobs that are over but left such records behind. */
-  leftovers(): string[] {
+  endedJobsWithProgress(): string[] {
     return [...this.progress.jobIds()].filter((id) => !this.jobs.has(id));
   }
 
@@ -152,7 +152,7 @@
   }
 
   /** Keeps a final record, and forgets the one that was kept longest ago if there are too many. */
-  keepFinalRecord(id: string, record: FinalRecord): void {
+  cacheFinalRecord(id: string, record: FinalRecord): void {
     this.finalRecords.delete(id);
     this.finalRecords.set(id, record);
     if (this.finalRecords.size > MAX_FINAL_RECORDS)
@@ -207,7 +207,7 @@
   private putFinal(key: string, id: string, value: unknown): StoreEvent[] {
     const record = readFinal(value);
     if (!record) return [{ kind: "unreadable", key }];
-    this.keepFinalRecord(id, record);
+    this.cacheFinalRecord(id, record);
     return [{ kind: "final", id, record }];
   }
 
--- a/src/coordination/store/store-watcher.ts
+++ b/src/coordination/store/store-watcher.ts
@@ -108,7 +108,7 @@
   }
 
   /** Has the next commit seen at once: an open watch shows it, and if none is open, one is opened. */
-  watchSoon(): void {
+  watchNow(): void {
     if (this.isWatching) return;
     this.nextWatchMs = this.ctx.nowMs;
     this.watch();
