--- a/src/coordination/jobs/job-admission.ts
+++ b/src/coordination/jobs/job-admission.ts
@@ -50,7 +50,7 @@
 
 /** A submission whose dependencies are being resolved. */
 interface Submission {
-  readonly request: number;
+  readonly reqId: number;
   readonly spec: JobSpec;
   /** Dependencies that are still to be resolved. */
   readonly unresolved: readonly string[];
@@ -100,26 +100,25 @@
   }
 
   /** Handles a submission. It is idempotent: a job that was accepted once is answered with its status. */
-  submit(request: number, spec: JobSpec, dependsOn: readonly string[]): void {
+  submit(reqId: number, spec: JobSpec, dependsOn: readonly string[]): void {
     const { cache } = this.ctx;
     const { replies, status } = this.ports;
     if (cache.finalRecords.has(spec.id))
-      return status.answer(request, spec.id, 200);
-    if (cache.jobs.has(spec.id))
-      return status.answerAfterRead(request, spec.id);
-    if (!cache.ready) return replies.retryLater(request, "not ready yet");
+      return status.answer(reqId, spec.id, 200);
+    if (cache.jobs.has(spec.id)) return status.answerAfterRead(reqId, spec.id);
+    if (!cache.ready) return replies.retryLater(reqId, "not ready yet");
     const rejection =
       this.reasonItCannotRun(spec) ??
       this.reasonItCannotBeStored(spec, dependsOn) ??
       this.reasonItIsOverloaded();
     // A job that was accepted once is answered from its record, even if the catalog or the limits have changed since.
     if (rejection)
-      return status.answerIfAccepted(request, spec.id, () =>
-        replies.answer(request, rejection),
+      return status.answerIfAccepted(reqId, spec.id, () =>
+        replies.answer(reqId, rejection),
       );
-    if (dependsOn.length === 0) return this.accept(request, spec, []);
+    if (dependsOn.length === 0) return this.accept(reqId, spec, []);
     this.resolveFromFreshCache({
-      request,
+      reqId,
       spec,
       unresolved: dependsOn,
       alive: [],
@@ -204,7 +203,7 @@
     );
     if (areResolvable && leadership.readAgeMs < FRESH_CACHE_MS)
       return this.resolveDependencies(submission);
-    watcher.afterRead(submission.request, submission.spec.id, () =>
+    watcher.afterRead(submission.reqId, submission.spec.id, () =>
       this.resolveDependencies(submission),
     );
   }
@@ -223,11 +222,11 @@
    * the user was told before the request that the job was accepted, so the read shows it.
    */
   private resolveDependencies(submission: Submission): void {
-    const { request, spec, unresolved } = submission;
+    const { reqId, spec, unresolved } = submission;
     const { status } = this.ports;
     const { cache } = this.ctx;
     if (cache.finalRecords.has(spec.id) || cache.jobs.has(spec.id))
-      return status.answer(request, spec.id, 200);
+      return status.answer(reqId, spec.id, 200);
     const [dependency] = unresolved;
     if (dependency === undefined) return this.acceptResolved(submission);
     if (status.liveJob(dependency))
@@ -239,7 +238,7 @@
     const { dependencies, status } = this.ports;
     const indirect = dependencies.unresolvedDependency(dependency);
     if (indirect !== null)
-      return status.withResolvedDependency(submission.request, indirect, () =>
+      return status.withResolvedDependency(submission.reqId, indirect, () =>
         this.resolveDependencies(submission),
       );
     this.resolveDependencies({
@@ -254,12 +253,12 @@
 
   private resolveEnded(submission: Submission, dependency: string): void {
     const { replies, status } = this.ports;
-    const { request, spec } = submission;
-    status.withFinalRecord(request, dependency, (finalRecord) => {
+    const { reqId, spec } = submission;
+    status.withFinalRecord(reqId, dependency, (finalRecord) => {
       if (!finalRecord)
-        return status.answerIfAccepted(request, spec.id, () =>
+        return status.answerIfAccepted(reqId, spec.id, () =>
           replies.answer(
-            request,
+            reqId,
             cannotRun(`awaits: ${dependency} was never accepted`),
           ),
         );
@@ -274,16 +273,16 @@
   }
 
   private acceptResolved(submission: Submission): void {
-    const { request, spec, alive, hasCancelledDependency } = submission;
-    if (hasCancelledDependency) this.acceptCancelled(request, spec);
-    else this.accept(request, spec, alive);
+    const { reqId, spec, alive, hasCancelledDependency } = submission;
+    if (hasCancelledDependency) this.acceptCancelled(reqId, spec);
+    else this.accept(reqId, spec, alive);
   }
 
   // ---- commits -------------------------------------------------------------------------------------------
 
   /** Accepts a job by one commit that contains its assignment; partition leaders learn of the job from its record. */
   private accept(
-    request: number,
+    reqId: number,
     spec: JobSpec,
     dependsOn: readonly string[],
   ): void {
@@ -293,7 +292,7 @@
         ? new Map<string, RangeSet>()
         : assigner.assign(spec);
     if (!assignment)
-      return replies.retryLater(request, "machine types are not known yet");
+      return replies.retryLater(reqId, "machine types are not known yet");
     const record: JobRecord = {
       spec,
       acceptedAt: this.ctx.wallMs,
@@ -302,16 +301,16 @@
       releasedAt: null,
     };
     this.commitNew(
-      request,
+      reqId,
       spec.id,
       { op: "put", key: jobKey(spec.id), value: writeJob(record) },
-      () => this.onAccepted(request, record),
+      () => this.onAccepted(reqId, record),
     );
   }
 
-  private onAccepted(request: number, record: JobRecord): void {
+  private onAccepted(reqId: number, record: JobRecord): void {
     const { spec, dependsOn, assignment } = record;
-    this.ports.replies.answer(request, {
+    this.ports.replies.answer(reqId, {
       kind: "job",
       status: 201,
       id: spec.id,
@@ -331,15 +330,15 @@
   }
 
   /** Accepts a job with a cancelled dependency, and records it as cancelled at once. */
-  private acceptCancelled(request: number, spec: JobSpec): void {
+  private acceptCancelled(reqId: number, spec: JobSpec): void {
     const finalRecord = finalRecordOf(this.ctx, spec, "cancelled", 0);
     this.commitNew(
-      request,
+      reqId,
       spec.id,
       { op: "put", key: finalKey(spec.id), value: writeFinal(finalRecord) },
       () => {
         this.ports.status.onFinalRecord(spec.id, finalRecord);
-        this.ports.replies.answer(request, {
+        this.ports.replies.answer(reqId, {
           kind: "job",
           status: 201,
           id: spec.id,
@@ -351,7 +350,7 @@
 
   /** Commits the first record of a job, on condition that it has none yet. */
   private commitNew(
-    request: number,
+    reqId: number,
     id: string,
     write: Write,
     onCommitted: () => void,
@@ -363,8 +362,8 @@
     }));
     this.ctx.commit(absent, [write], CallPriority.UserRequest, (outcome) => {
       if (outcome === "ok") onCommitted();
-      else if (outcome === "conflict") status.answerAfterRead(request, id);
-      else replies.retryLater(request, "state service does not answer");
+      else if (outcome === "conflict") status.answerAfterRead(reqId, id);
+      else replies.retryLater(reqId, "state service does not answer");
     });
   }
 }
--- a/src/coordination/jobs/job-cancellation.ts
+++ b/src/coordination/jobs/job-cancellation.ts
@@ -27,17 +27,17 @@
   ) {}
 
   /** Cancels a job, or answers how it has ended. The cache must have been read after the request arrived. */
-  cancel(request: number, id: string, retries = MAX_CANCEL_RETRIES): void {
+  cancel(reqId: number, id: string, retries = MAX_CANCEL_RETRIES): void {
     const job = this.ports.status.liveJob(id);
-    if (job) this.commitCancellation(request, job, retries);
-    else this.answerEnded(request, id);
+    if (job) this.commitCancellation(reqId, job, retries);
+    else this.answerEnded(reqId, id);
   }
 
-  private answerEnded(request: number, id: string): void {
+  private answerEnded(reqId: number, id: string): void {
     const { replies, status } = this.ports;
-    status.withFinalRecord(request, id, (finalRecord) =>
+    status.withFinalRecord(reqId, id, (finalRecord) =>
       replies.answer(
-        request,
+        reqId,
         finalRecord
           ? { kind: "job", status: 200, id, state: finalRecord.status }
           : { kind: "unknownJob" },
@@ -46,7 +46,7 @@
   }
 
   private commitCancellation(
-    request: number,
+    reqId: number,
     job: JobView,
     retries: number,
   ): void {
@@ -67,17 +67,17 @@
       (outcome) => {
         if (outcome === "ok") {
           status.onFinalRecord(id, finalRecord);
-          replies.answer(request, {
+          replies.answer(reqId, {
             kind: "job",
             status: 200,
             id,
             state: "cancelled",
           });
         } else if (outcome === "conflict" && retries > 0)
-          watcher.afterRead(request, id, () =>
-            this.cancel(request, id, retries - 1),
+          watcher.afterRead(reqId, id, () =>
+            this.cancel(reqId, id, retries - 1),
           );
-        else replies.retryLater(request, "state service does not answer");
+        else replies.retryLater(reqId, "state service does not answer");
       },
     );
   }
--- a/src/coordination/jobs/job-status.ts
+++ b/src/coordination/jobs/job-status.ts
@@ -58,7 +58,7 @@
    * age, since final records never change. If the lookup fails, the user is asked to retry.
    */
   withFinalRecord(
-    request: number,
+    reqId: number,
     id: string,
     next: (finalRecord: FinalRecord | null) => void,
   ): void {
@@ -67,46 +67,44 @@
     this.finalStatusReader.lookUp(id, (finalRecord, failure) =>
       failure === null
         ? next(finalRecord)
-        : this.ports.replies.retryLater(request, failure),
+        : this.ports.replies.retryLater(reqId, failure),
     );
   }
 
   /** Calls `next` once the final record of an unresolved dependency is known. */
   withResolvedDependency(
-    request: number,
+    reqId: number,
     dependency: string,
     next: () => void,
   ): void {
-    this.withFinalRecord(request, dependency, (finalRecord) =>
+    this.withFinalRecord(reqId, dependency, (finalRecord) =>
       finalRecord
         ? next()
-        : this.ports.replies.retryLater(request, "not known yet"),
+        : this.ports.replies.retryLater(reqId, "not known yet"),
     );
   }
 
   /** Answers with the job's status after a read of the store that is sent after the request arrived. */
-  answerAfterRead(request: number, id: string): void {
-    this.ports.watcher.afterRead(request, id, () =>
-      this.answer(request, id, 200),
-    );
+  answerAfterRead(reqId: number, id: string): void {
+    this.ports.watcher.afterRead(reqId, id, () => this.answer(reqId, id, 200));
   }
 
   /** After a read of the store, answers with the job's status if it was ever accepted, otherwise calls `onUnknown`. */
-  answerIfAccepted(request: number, id: string, onUnknown: () => void): void {
-    this.ports.watcher.afterRead(request, id, () => {
-      if (this.ctx.cache.jobs.has(id)) return this.answer(request, id, 200);
-      this.withFinalRecord(request, id, (finalRecord) =>
-        finalRecord ? this.answer(request, id, 200) : onUnknown(),
+  answerIfAccepted(reqId: number, id: string, onUnknown: () => void): void {
+    this.ports.watcher.afterRead(reqId, id, () => {
+      if (this.ctx.cache.jobs.has(id)) return this.answer(reqId, id, 200);
+      this.withFinalRecord(reqId, id, (finalRecord) =>
+        finalRecord ? this.answer(reqId, id, 200) : onUnknown(),
       );
     });
   }
 
   /** Answers with the status that the cache shows; reads from the store only final records that the cache does not hold. */
-  answer(request: number, id: string, status: 200 | 201): void {
-    if (this.liveJob(id)) return this.answerLive(request, id, status);
-    this.withFinalRecord(request, id, (finalRecord) =>
+  answer(reqId: number, id: string, status: 200 | 201): void {
+    if (this.liveJob(id)) return this.answerLive(reqId, id, status);
+    this.withFinalRecord(reqId, id, (finalRecord) =>
       this.ports.replies.answer(
-        request,
+        reqId,
         finalRecord
           ? {
               kind: "job",
@@ -121,16 +119,16 @@
     );
   }
 
-  private answerLive(request: number, id: string, status: 200 | 201): void {
+  private answerLive(reqId: number, id: string, status: 200 | 201): void {
     const { dependencies, replies } = this.ports;
     // Invariant (orphaned, went_back): another controller may already know that an unresolved dependency is cancelled.
     const unresolved = dependencies.unresolvedDependency(id);
     if (unresolved !== null)
-      return this.withResolvedDependency(request, unresolved, () =>
-        this.answer(request, id, status),
+      return this.withResolvedDependency(reqId, unresolved, () =>
+        this.answer(reqId, id, status),
       );
     if (dependencies.isCancelledByDependency(id))
-      return replies.answer(request, {
+      return replies.answer(reqId, {
         kind: "job",
         status,
         id,
@@ -138,7 +136,7 @@
         done: 0,
         running: 0,
       });
-    replies.answer(request, this.liveAnswer(id, status));
+    replies.answer(reqId, this.liveAnswer(id, status));
   }
 
   private liveAnswer(id: string, status: 200 | 201): Answer {
--- a/src/coordination/jobs/request-replies.ts
+++ b/src/coordination/jobs/request-replies.ts
@@ -5,7 +5,7 @@
 
 export interface RequestReplies {
   /** Answers a request; each request is answered once. */
-  answer(request: number, answer: Answer): void;
+  answer(reqId: number, answer: Answer): void;
   /** Tells the user to repeat the request, after `afterS` seconds (one by default). */
-  retryLater(request: number, reason: string, afterS?: number): void;
+  retryLater(reqId: number, reason: string, afterS?: number): void;
 }
--- a/src/coordination/store/final-status-reader.ts
+++ b/src/coordination/store/final-status-reader.ts
@@ -1,6 +1,5 @@
 /**
- * Reads final records that the store cache does not keep. It owns the reads that are in flight and the questions that wait
- * for one.
+ * Reads final records that the store cache does not hold. Owns the reads in flight and the queries that wait for one.
  */
 import type { StateReply } from "../../protocol/state.js";
 import {
@@ -13,20 +12,20 @@
 import type { CallStore } from "./call-store.js";
 import { FairQueue } from "./fair-queue.js";
 
-/** Reads in flight at once. */
-const MAX_READS = 12;
-/** Questions that wait for a read: users also ask for jobs that nobody submitted. */
-const MAX_WAITING = 300;
+/** Maximum number of reads in flight. */
+const MAX_READS_IN_FLIGHT = 12;
+/** Maximum number of queries that wait for a read. Users may also ask about any number of jobs that were never submitted. */
+const MAX_WAITING_QUERIES = 300;
 
-/** Both null: the job has no final record. `failure`: why that can't be known now. */
+/** Receives the final record, or the reason why the lookup failed. Both are null if the job has no final record. */
 type OnFinalStatus = (
   finalRecord: FinalRecord | null,
   failure: string | null,
 ) => void;
 
-interface PendingQuestion {
+interface PendingQuery {
   readonly id: string;
-  /** When it was asked; steady time, ms. */
+  /** When the query was made; steady time, ms. */
   readonly askedMs: number;
   readonly done: OnFinalStatus;
 }
@@ -36,10 +35,12 @@
   readonly failure: string | null;
 }
 
-/** One read serves all that asked for the same job before it was sent. */
+/** Looks up final records; one read serves all queries about the same job that were made before it was sent. */
 export class FinalStatusReader {
-  private readonly readsInFlight = new Map<string, PendingQuestion[]>();
-  private readonly waiting = new FairQueue<PendingQuestion>(MAX_WAITING);
+  private readonly readsInFlight = new Map<string, PendingQuery[]>();
+  private readonly waitingQueries = new FairQueue<PendingQuery>(
+    MAX_WAITING_QUERIES,
+  );
 
   constructor(
     private readonly ctx: Context,
@@ -47,69 +48,73 @@
     private readonly onFound: (id: string, finalRecord: FinalRecord) => void,
   ) {}
 
-  /** Reads the final record of a job, and answers with it or with the reason why it can't be known now. */
+  /** Looks up the final record of a job and calls `done` with the result, or with a failure if there are too many queries. */
   lookUp(id: string, done: OnFinalStatus): void {
-    const question = { id, askedMs: this.ctx.nowMs, done };
-    if (this.start(question)) return;
-    const refused = this.waiting.add(question, this.ctx.nowMs);
+    const query = { id, askedMs: this.ctx.nowMs, done };
+    if (this.joinOrStartRead(query)) return;
+    const refused = this.waitingQueries.add(query, this.ctx.nowMs);
     refused?.done(null, "too many questions");
   }
 
-  /** Questions refused so far. */
+  /** Queries refused so far. */
   get refusedCount(): number {
-    return this.waiting.refusedCount;
+    return this.waitingQueries.refusedCount;
   }
 
-  /** Since when (steady time, ms) the job that has been refused longest is refused; null: there is none. */
+  /** Time (steady, ms) since which the job refused longest has been refused; null if no job is. */
   get longestRefusedSinceMs(): number | null {
-    return this.waiting.longestRefusedSinceMs(this.ctx.nowMs);
+    return this.waitingQueries.longestRefusedSinceMs(this.ctx.nowMs);
   }
 
-  /** Joins the read of this job that is in flight, or begins one; false: there are as many as there may be. */
-  private start(question: PendingQuestion): boolean {
-    const others = this.readsInFlight.get(question.id);
-    // The read may have been sent before this question came; `sentMs` tells when it is answered.
-    if (others) others.push(question);
-    else if (this.readsInFlight.size < MAX_READS)
-      this.read(question.id, [question]);
+  /** Joins the read of this job that is in flight, or starts one; returns false if too many are in flight. */
+  private joinOrStartRead(query: PendingQuery): boolean {
+    const sameJobQueries = this.readsInFlight.get(query.id);
+    // That read may have been sent before this query was made; `onReply` then reads again.
+    if (sameJobQueries) sameJobQueries.push(query);
+    else if (this.readsInFlight.size < MAX_READS_IN_FLIGHT)
+      this.read(query.id, [query]);
     else return false;
     return true;
   }
 
-  private read(id: string, questions: PendingQuestion[]): void {
-    this.readsInFlight.set(id, questions);
+  private read(id: string, queries: PendingQuery[]): void {
+    this.readsInFlight.set(id, queries);
     this.callStore(
       { op: "get", key: finalKey(id) },
       CallPriority.UserRequest,
       (reply, sentMs) => {
         this.readsInFlight.delete(id);
-        this.onReply(id, questions, readResult(reply), sentMs);
-        this.startWaiting();
+        this.onReply(id, queries, readResult(reply), sentMs);
+        this.startWaitingQueries();
       },
     );
   }
 
   private onReply(
     id: string,
-    questions: readonly PendingQuestion[],
+    queries: readonly PendingQuery[],
     { finalRecord, failure }: ReadResult,
     sentMs: number,
   ): void {
-    // Invariant (forgotten): that a job is not there is told only by a read that was sent after the question.
-    const served = questions.filter((question) => question.askedMs <= sentMs);
-    const late = questions.filter((question) => question.askedMs > sentMs);
+    // Invariant (forgotten): only a read that was sent after the query may report that a job does not exist.
+    const served = queries.filter((query) => query.askedMs <= sentMs);
+    const late = queries.filter((query) => query.askedMs > sentMs);
     if (finalRecord) this.onFound(id, finalRecord);
-    if (failure === null) this.waiting.answered(id);
-    for (const question of served) {
-      if (failure !== null) this.waiting.refuse(question, this.ctx.nowMs);
-      question.done(finalRecord, failure);
+    if (failure === null) this.waitingQueries.answered(id);
+    for (const query of served) {
+      if (failure !== null) this.waitingQueries.refuse(query, this.ctx.nowMs);
+      query.done(finalRecord, failure);
     }
     if (late.length > 0) this.read(id, late);
   }
 
-  private startWaiting(): void {
-    while (this.readsInFlight.size < MAX_READS && this.waiting.size > 0)
-      for (const question of this.waiting.take(1)) this.start(question);
+  private startWaitingQueries(): void {
+    while (
+      this.readsInFlight.size < MAX_READS_IN_FLIGHT &&
+      this.waitingQueries.size > 0
+    )
+      for (const query of this.waitingQueries.take(1))
+        this.joinOrStartRead(query);
   }
 }
 
--- a/src/coordination/store/indeterminate-transactions.ts
+++ b/src/coordination/store/indeterminate-transactions.ts
@@ -1,34 +1,34 @@
 /**
- * Transactions whose outcome is unknown, remembered to log it when one of them turns out to have been applied. Nothing is
- * decided by it.
+ * Remembers transactions whose outcome is unknown, so that it is logged when one of them turns out to have been applied. No
+ * decision depends on it.
  */
 import type { Change, Write } from "../../protocol/state.js";
 
 /**
- * Keys whose last transaction without an answer is remembered; beyond it the oldest is forgotten, and its log line is missing.
- * Counted by changes a second, of which the settings allow each controller a few: machines ride many to a record. Each keeps
- * the whole value that was put.
+ * Maximum number of keys whose last indeterminate put is remembered; beyond it the oldest is forgotten and never logged. Their
+ * number depends on the changes per second, of which the settings allow each controller a few, and not on the number of
+ * machines, since one record holds many machines. Each entry keeps the whole value that was put.
  */
-const MAX_KEYS = 100;
+const MAX_REMEMBERED_KEYS = 100;
 
 interface IndeterminatePut {
   /** The value that was put, as JSON. */
   readonly valueJson: string;
-  /** When its answer was given up; steady time, ms. */
+  /** When the wait for an answer was given up; steady time, ms. */
   readonly givenUpMs: number;
 }
 
-/** A transaction that was applied although its answer was given up. */
+/** A transaction that was applied although the wait for its answer was given up. */
 export interface AppliedTransaction {
   key: string;
-  /** Time since the answer was given up, ms. */
+  /** Time from then until its change was read, ms. */
   afterMs: number;
 }
 
 export class IndeterminateTransactions {
   private readonly putsByKey = new Map<string, IndeterminatePut>();
 
-  /** Remembers the writes of a transaction whose answer was given up now; `nowMs`: steady time. */
+  /** Remembers the puts of a transaction without an answer; `nowMs` is the steady time at which the wait was given up. */
   note(writes: readonly Write[], nowMs: number): void {
     for (const write of writes) {
       if (write.op !== "put") continue;
@@ -38,11 +38,14 @@
         givenUpMs: nowMs,
       });
     }
-    while (this.putsByKey.size > MAX_KEYS)
+    while (this.putsByKey.size > MAX_REMEMBERED_KEYS)
       this.putsByKey.delete(this.putsByKey.keys().next().value!);
   }
 
-  /** Which of them these changes show. A newer value of the same key says nothing more of the transaction: it is forgotten. */
+  /**
+   * Returns the remembered transactions that these changes show to have been applied. Every remembered put of a changed key is
+   * forgotten: a different value does not show whether it was applied.
+   */
   takeApplied(changes: readonly Change[], nowMs: number): AppliedTransaction[] {
     const found: AppliedTransaction[] = [];
     if (this.putsByKey.size === 0) return found;
--- a/src/coordination/store/job-progress-cache.ts
+++ b/src/coordination/store/job-progress-cache.ts
@@ -1,6 +1,6 @@
 /**
- * The cached records that a job has beside its own: finished tasks by partition, and the attempts of a gang. They are kept
- * until the last of a job's records is deleted, whether or not the job is still alive.
+ * The cached progress records of jobs: finished tasks by partition, and the attempts of gangs. A job's progress is kept until
+ * the last of its progress records is deleted, whether or not the job is still alive.
  */
 import { RangeSet } from "../jobs/range-set.js";
 import { type GangView, NO_GANG } from "../scheduling/spread-gangs.js";
@@ -13,37 +13,37 @@
   private readonly gangs = new Map<string, CachedGang>();
   /** Finished tasks by job and partition. */
   private readonly completions = new Map<string, Map<string, RangeSet>>();
-  /** Finished tasks by job, counted over all partitions. */
+  /** Number of finished tasks in all partitions, by job. */
   private readonly completionCounts = new Map<string, number>();
-  /** Keys of these records by job. */
+  /** Keys of the progress records by job. */
   private readonly keysByJob = new Map<string, Set<string>>();
 
-  /** Finished tasks of a job by partition, as far as they are written. */
-  finished(id: string): ReadonlyMap<string, RangeSet> {
+  /** Finished tasks of a job by partition, as written to the store. */
+  finishedByPartition(id: string): ReadonlyMap<string, RangeSet> {
     return this.completions.get(id) ?? new Map<string, RangeSet>();
   }
 
-  /** Tasks of a job that are written as finished, in all partitions. */
+  /** Number of tasks of a job that are written as finished, in all partitions. */
   finishedCount(id: string): number {
     return this.completionCounts.get(id) ?? 0;
   }
 
-  /** The attempts of a gang, as far as they are written. */
+  /** The attempts of a gang, as written to the store. */
   gang(id: string): GangView {
     return this.gangs.get(id) ?? NO_GANG;
   }
 
-  /** Keys of the records of a job. */
+  /** Keys of the progress records of a job. */
   keysOf(id: string): string[] {
     return [...(this.keysByJob.get(id) ?? [])];
   }
 
-  /** Jobs that have such records. */
+  /** Ids of the jobs that have progress records. */
   jobIds(): IterableIterator<string> {
     return this.keysByJob.keys();
   }
 
-  /** Adds a block of finished tasks: a task that is written as finished once stays so. */
+  /** Adds a block of finished tasks. A task that was once written as finished stays finished. */
   addFinished(
     key: string,
     id: string,
@@ -58,13 +58,13 @@
     const finished = byPartition.get(partition) ?? RangeSet.empty();
     const sizeBefore = finished.size;
     finished.addAll(tasks);
-    const added = finished.size - sizeBefore;
-    this.completionCounts.set(id, this.finishedCount(id) + added);
+    const addedCount = finished.size - sizeBefore;
+    this.completionCounts.set(id, this.finishedCount(id) + addedCount);
     byPartition.set(partition, finished);
     this.noteKey(id, key);
   }
 
-  /** The attempt under which a gang starts, and the store revision that says so. */
+  /** Sets the attempt under which a gang starts, and the store revision of its record. */
   setAttempt(key: string, id: string, attempt: number, revision: number): void {
     const gang = this.gangOrNew(id);
     gang.attempt = attempt;
@@ -72,13 +72,18 @@
     this.noteKey(id, key);
   }
 
-  /** A partition is ready to start its part of a gang under this attempt. */
-  setReady(key: string, id: string, partition: string, attempt: number): void {
-    this.gangOrNew(id).readyAfterAttempt.set(partition, attempt);
+  /** Records that a partition is ready to start its part of a gang under the attempt that follows `afterAttempt`. */
+  setReady(
+    key: string,
+    id: string,
+    partition: string,
+    afterAttempt: number,
+  ): void {
+    this.gangOrNew(id).readyAfterAttempt.set(partition, afterAttempt);
     this.noteKey(id, key);
   }
 
-  /** A record was deleted: what the records of the job said is forgotten with the last of them. */
+  /** Handles the deletion of a progress record. A job's progress is dropped with its last record. */
   remove(key: string, id: string): void {
     const keys = this.keysByJob.get(id);
     keys?.delete(key);
--- a/src/coordination/store/job-view.ts
+++ b/src/coordination/store/job-view.ts
@@ -3,25 +3,25 @@
 import type { EffectivePriority, JobSpec } from "../model.js";
 import type { RangeSet } from "../jobs/range-set.js";
 
-/** One object for the life of a job: the cache updates it in place. */
+/** There is one object for each live job, which the cache updates in place. */
 export interface JobView extends EffectivePriority {
   id: string;
   spec: JobSpec;
-  /** Which partition runs which tasks; empty while the job waits for others. */
+  /** Tasks by the partition that runs them; empty while the job waits for dependencies. */
   assignment: Map<string, RangeSet>;
-  /** Jobs that it waits for, as its record names them; empty once it may start. */
+  /** Dependencies listed in its record; empty once it may start. */
   dependsOn: readonly string[];
-  /** Time of day (ms) when the last of them was found done; null: it never waited, or it still waits. */
+  /** Time of day (ms) at which its dependencies were found done; null if it never had any or still waits for them. */
   releasedAt: number | null;
   /** Store revision of the last change of its record. */
   revision: number;
 }
 
-/** A job's own deadline as time of day (ms); Infinity: it has none. */
+/** A job's own deadline as time of day (ms); Infinity if it has none. */
 export const ownDueAt = (spec: JobSpec, acceptedAt: number): number =>
   spec.deadlineS === null ? Infinity : acceptedAt + spec.deadlineS * 1000;
 
-/** The view of a job whose record is seen for the first time. */
+/** Creates the view of a job whose record is read for the first time. */
 export function newJobView(
   id: string,
   record: JobRecord,
@@ -39,7 +39,7 @@
   };
 }
 
-/** Takes over what a newer record of the same job says; the description of a job never changes. */
+/** Updates a view from a newer record of the same job; the spec of a job never changes. */
 export function updateJobView(
   job: JobView,
   record: JobRecord,
@@ -47,7 +47,7 @@
 ): void {
   job.assignment = record.assignment;
   job.dependsOn = record.dependsOn;
-  // An earlier version that moves tasks leaves the time of release out.
+  // An earlier version of the software omits `releasedAt` when it moves tasks.
   job.releasedAt = record.releasedAt ?? job.releasedAt;
   job.readyAt = job.releasedAt ?? job.acceptedAt;
   job.revision = revision;
--- a/src/coordination/store/store-cache.ts
+++ b/src/coordination/store/store-cache.ts
@@ -1,6 +1,6 @@
 /**
  * The controller's replica of the live records in the state service, and of recent final records. It is kept up to date by
- * one watch and by reads (see `StoreWatcher`), and reports each change that it takes in as a `StoreEvent`.
+ * one watch and by reads (see `StoreWatcher`), and reports each change that it applies as a `StoreEvent`.
  */
 import type { Change, Item } from "../../protocol/state.js";
 import {
@@ -32,10 +32,10 @@
 import { type JobView, newJobView, updateJobView } from "./job-view.js";
 import type { StoreEvent } from "./store-events.js";
 
-/** About 150 bytes each: a question about any of these costs no read. */
+/** Maximum number of cached final records, of about 150 bytes each. Queries about these jobs need no read. */
 const MAX_FINAL_RECORDS = 20_000;
 
-/** Final records never change, and are neither dropped nor compared by revision. */
+/** Kinds of live records. Final records never change, so they are neither dropped nor compared by revision. */
 type LiveKeyKind = Exclude<StoreKeyKind, "past">;
 
 interface RecordChange<Kind extends LiveKeyKind> {
@@ -46,11 +46,11 @@
   revision: number;
 }
 
-/** How the cache takes in the records of one kind. */
+/** Applies changes of records of one kind to the cache. */
 interface RecordHandler<Kind extends LiveKeyKind> {
-  /** The record was written; null: its value can't be read, and nothing was changed. */
+  /** Applies a record that was written. Returns null, and changes nothing, if its value can't be parsed. */
   put(change: RecordChange<Kind>, value: unknown): StoreEvent[] | null;
-  /** The record was deleted. */
+  /** Applies the deletion of a record. */
   drop(change: RecordChange<Kind>): StoreEvent[];
 }
 type RecordHandlers = {
@@ -58,15 +58,15 @@
 };
 
 /**
- * Live records as of `revision`. Invariant: the cache never shows a record older than one it has shown before; an answer
- * that arrives late changes nothing.
+ * Live records as of `revision`. Invariant: the cache never shows a record older than one it has shown before; a reply that
+ * arrives after newer ones changes nothing.
  */
 export class StoreCache {
-  /** Store revision up to which all changes are taken in. */
+  /** Store revision up to which all changes are applied. */
   revision = 0;
   /** Whether all live records have been read once. */
   ready = false;
-  /** Who leads each partition; `version` is the record's store revision. */
+  /** The leader of each partition; `version` is the record's store revision. */
   readonly partitions = new Map<
     string,
     PartitionRecord & { version: number }
@@ -81,30 +81,30 @@
   readonly capacities = new Map<string, CapacityRecord>();
   /** Machine registries by partition and chunk. */
   readonly registries = new Map<string, Map<number, RegistryRecord>>();
-  /** Counts changes of `quotaRecords`. */
+  /** Incremented with each change of `quotaRecords`. */
   quotaRecordsSequence = 0;
   /** The partitions' shares of the teams' quotas, by key. */
   readonly quotaRecords = new Map<string, QuotaRecord>();
-  /** Which limits the live controllers go by, as their hash; by controller label. */
+  /** Hash of the limits that each live controller applies, by controller label. */
   readonly observedLimits = new Map<string, string>();
-  /** What partition leaders stop for teams below their guarantee, by partition. */
+  /** What partition leaders preempt for teams below their guarantee, by partition. */
   reclaims: ReadonlyMap<string, readonly Reclaim[]> = new Map();
-  /** By partition: the revision of the last change of its leader, the end of a leadership included. */
+  /** Revision of the last change of each partition's leader, including the deletion of its record. */
   readonly leaderChangedRevision = new Map<string, number>();
-  /** Final records never change, so they may be kept; only the most recent ones are. */
+  /** The most recently read final records by job id. They never change, so they can't become stale. */
   readonly finalRecords = new Map<string, FinalRecord>();
   private readonly progress = new JobProgressCache();
   /** Revision of the last change of each live key. */
   private readonly revisions = new Map<string, number>();
-  /** By key: the revision of this controller's own last commit, as long as the cache has not reached it. */
+  /** By key: the revision of this controller's own last commit, until the cache reaches it. */
   private readonly ownCommits = new Map<string, number>();
 
-  /** Finished tasks of a job by partition, as far as they are written. */
+  /** Finished tasks of a job by partition, as written to the store. */
   finishedByPartition(id: string): ReadonlyMap<string, RangeSet> {
-    return this.progress.finished(id);
+    return this.progress.finishedByPartition(id);
   }
 
-  /** Tasks of a job that are written as finished, in all partitions. */
+  /** Number of tasks of a job that are written as finished, in all partitions. */
   finishedCount(id: string): number {
     return this.progress.finishedCount(id);
   }
@@ -117,22 +117,22 @@
     return all;
   }
 
-  /** The attempts of a gang, as far as they are written. */
+  /** The attempts of a gang, as written to the store. */
   gang(id: string): GangView {
     return this.progress.gang(id);
   }
 
-  /** Keys of the records that a job has beside its own: they are deleted when it is over. */
+  /** Keys of a job's progress records, which are deleted when it has ended. */
   progressKeys(id: string): string[] {
     return this.progress.keysOf(id);
   }
 
-  /** Jobs that are over but left such records behind. */
+  /** Ids of jobs that have ended but still have progress records. */
   endedJobsWithProgress(): string[] {
     return [...this.progress.jobIds()].filter((id) => !this.jobs.has(id));
   }
 
-  /** Revision of a key's last change, as far as seen; 0: it does not exist. */
+  /** Revision of a key's last change that the cache has applied; 0 if the key does not exist. */
   observedRevisionOf(key: string): number {
     return this.revisions.get(key) ?? 0;
   }
@@ -143,15 +143,15 @@
   }
 
   /**
-   * The revision that a transaction is to be conditional on if it follows from what this controller knows: that of its own
-   * last commit, if the cache has not reached that yet. So an indeterminate transaction that is carried out late, after
-   * newer ones of the same controller, changes nothing.
+   * The revision of a key on which to condition a transaction that builds on all this controller knows: that of its own last
+   * commit if the cache has not reached it yet, otherwise that of the last change applied. An indeterminate transaction that is
+   * carried out after newer ones of the same controller then fails its condition and changes nothing.
    */
   latestRevisionOf(key: string): number {
     return this.ownCommits.get(key) ?? this.observedRevisionOf(key);
   }
 
-  /** Keeps a final record, and forgets the one that was kept longest ago if there are too many. */
+  /** Caches a final record, and drops the one that was cached longest ago if there are too many. */
   cacheFinalRecord(id: string, record: FinalRecord): void {
     this.finalRecords.delete(id);
     this.finalRecords.set(id, record);
@@ -159,14 +159,15 @@
       this.finalRecords.delete(this.finalRecords.keys().next().value!);
   }
 
-  /** Takes in a list of all live records: a record that is absent from it was deleted. */
+  /** Applies a list of all live records; a record that is missing from it was deleted. */
   reload(items: readonly Item[], revision: number): StoreEvent[] {
     const events: StoreEvent[] = [];
     const present = new Set(items.map((item) => item.key));
     for (const [key, keyRevision] of this.revisions)
       if (!present.has(key) && keyRevision <= revision)
         events.push(...this.drop(key, revision));
-    // Partitions first, jobs last: a leader that starts on its partition's record then finds all its jobs as known ones.
+    // A list contains partition records before job records. Events are handled only after all of it is in the cache, so a
+    // leader that starts on its partition's record finds all its jobs there.
     for (const item of items)
       events.push(...this.put(item.key, item.value, item.version));
     this.advanceTo(revision);
@@ -174,7 +175,7 @@
     return events;
   }
 
-  /** Takes in the changes up to a revision. */
+  /** Applies the changes up to a revision. */
   apply(changes: readonly Change[], revision: number): StoreEvent[] {
     const events: StoreEvent[] = [];
     for (const change of changes) {
@@ -196,7 +197,7 @@
     const parsed = parseKey(key);
     if (!parsed) return [];
     if (parsed.kind === "past") return this.putFinal(key, parsed.id, value);
-    if (this.isKnown(key, revision)) return [];
+    if (this.isAlreadyApplied(key, revision)) return [];
     this.revisions.set(key, revision);
     const events = this.handle(parsed, (handler, narrowed) =>
       handler.put({ key, parsed: narrowed, revision }, value),
@@ -211,8 +212,8 @@
     return [{ kind: "final", id, record }];
   }
 
-  /** Whether the cache has passed a change already: two reads may overlap. */
-  private isKnown(key: string, revision: number): boolean {
+  /** Whether the cache already shows a change or a later one; the results of two reads may overlap. */
+  private isAlreadyApplied(key: string, revision: number): boolean {
     return (
       revision <= this.observedRevisionOf(key) ||
       (revision <= this.revision && this.ready)
@@ -365,10 +366,10 @@
   ): StoreEvent[] | null {
     const record = readJob(value);
     if (!record) return null;
-    const known = this.jobs.get(id);
-    if (known) updateJobView(known, record, revision);
-    const job = known ?? newJobView(id, record, revision);
-    if (!known) this.jobs.set(id, job);
+    const existing = this.jobs.get(id);
+    if (existing) updateJobView(existing, record, revision);
+    const job = existing ?? newJobView(id, record, revision);
+    if (!existing) this.jobs.set(id, job);
     return [{ kind: "job", job }];
   }
 
--- a/src/coordination/store/store-events.ts
+++ b/src/coordination/store/store-events.ts
@@ -1,8 +1,8 @@
-/** What a change of the store cache means to the core. */
+/** Events by which the store cache reports its changes to the core. */
 import type { FinalRecord } from "../../storage/records.js";
 import type { JobView } from "./job-view.js";
 
-/** A change that the store cache has taken in; the cache already shows it. */
+/** A change that the store cache has applied; the cache already shows it. */
 export type StoreEvent =
   /** A job's live record appeared or changed. */
   | { kind: "job"; job: JobView }
@@ -16,7 +16,7 @@
   | { kind: "completion"; id: string }
   /** A partition's capacity record changed. */
   | { kind: "capacity"; partition: string }
-  /** The quota records, or the limits that some controller goes by, changed. */
+  /** The quota records, or the limits that a controller applies, changed. */
   | { kind: "quota" | "observedLimits" }
-  /** A record is not of the form that its key demands; the cache keeps what it had before. */
+  /** A record does not have the format that its key requires; the cache keeps its previous value. */
   | { kind: "unreadable"; key: string };
--- a/src/coordination/store/store-watcher.ts
+++ b/src/coordination/store/store-watcher.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the store cache up to date: one watch that is renewed all the time, and reads for questions whose answer must rest
- * on a read. It owns the state of these requests and the questions that wait for a read.
+ * Keeps the store cache up to date by one watch, which is renewed continually, and by reads for users' queries that must be
+ * answered from a fresh read. Owns the state of the watch and the reads, and the queries that wait for a read.
  */
 import type { Change, Item, StateReply } from "../../protocol/state.js";
 import { LIVE_PREFIX, ROOT_PREFIX } from "../../storage/records.js";
@@ -14,57 +14,57 @@
 
 /** A watch is renewed at least this often: leadership leases count from the time at which the last one was sent. */
 const WATCH_RENEWAL_MS = 2_000;
-/** After a failed read or watch the next one waits this long. */
+/** Delay before the next watch after a watch, or the read of all live records, has failed. */
 const WATCH_RETRY_MS = 300;
-/** Reads follow each other no faster than this: one serves all that asked meanwhile. */
+/** Minimum time from the end of a read or watch to the next one; one read serves all queries that arrived meanwhile. */
 const READ_PAUSE_MS = 60;
-/** Questions that wait for a read. */
-const MAX_WAITING = 400;
-/** A question whose read failed waits for the next one for so long after it came: users wait 2 s for a status. */
-const QUESTION_RETRY_MS = 1_000;
-/** Only a silence of the store of this length is logged. */
+/** Maximum number of queries that wait for a read. */
+const MAX_WAITING_QUERIES = 400;
+/** A query whose read failed waits for another read until it is this old: users wait 2 s for a status. */
+const QUERY_RETRY_MS = 1_000;
+/** The store is logged as unavailable only after this time without a reply. */
 const UNAVAILABLE_AFTER_MS = 3_000;
 
 type ItemsReply = Extract<StateReply, { is: "items" }>;
 type ChangesReply = Extract<StateReply, { is: "changes" }>;
 
 /** A user's request about a job. */
-interface WaitingQuestion {
-  readonly req: number;
+interface WaitingQuery {
+  readonly reqId: number;
   readonly id: string;
-  /** When it came; steady time, ms. */
+  /** When it arrived; steady time, ms. */
   readonly askedMs: number;
-  readonly onRead: (req: number, id: string) => void;
+  readonly onRead: (reqId: number, id: string) => void;
 }
 
-/** What a list of all live records has brought so far. */
+/** The pages read so far of the list of all live records. */
 interface LoadedPages {
   readonly items: readonly Item[];
-  /** Store revision of the first page: what changed after it is read again with the changes since. */
+  /** Store revision of the first page; later changes are read again by the first watch. */
   readonly revision: number;
-  /** When the first page was asked for; steady time, ms. */
+  /** When the request for the first page was sent; steady time, ms. */
   readonly sentMs: number;
 }
 
 /** What the watcher needs of the core. */
 export interface StoreWatcherPorts {
   readonly callStore: CallStore;
-  /** Acts on what the cache shows now. */
+  /** Handles changes that the cache already shows. */
   readonly onEvents: (events: readonly StoreEvent[]) => void;
-  /** Passes on all changes between two revisions, also those that the cache doesn't keep. */
+  /** Receives all changes between two revisions, including those that the cache does not hold. */
   readonly onChanges: (
     fromRevision: number,
     toRevision: number,
     changes: readonly Change[],
   ) => void;
-  /** Asks for a call of `onWake` after this time. */
+  /** Requests a call of `onWake` after this time. */
   readonly requestWake: (afterMs: number) => void;
-  /** Answers a question with the reason why it can't be answered now. */
-  readonly refuse: (req: number, why: string) => void;
+  /** Refuses a query with the reason why it can't be answered now. */
+  readonly refuse: (reqId: number, reason: string) => void;
 }
 
 export class StoreWatcher {
-  private isWatching = false;
+  private isWatchOpen = false;
   private isLoading = false;
   private isReading = false;
   private isWakeRequested = false;
@@ -72,7 +72,9 @@
   /** Steady times, ms, before which no watch is opened and no read is sent. */
   private nextWatchMs = 0;
   private nextReadMs = 0;
-  private readonly waiting = new FairQueue<WaitingQuestion>(MAX_WAITING);
+  private readonly waitingQueries = new FairQueue<WaitingQuery>(
+    MAX_WAITING_QUERIES,
+  );
   private readonly inconsistencyLog: RateLimitedLog;
 
   constructor(
@@ -86,98 +88,100 @@
     this.inconsistencyLog = new RateLimitedLog(ctx);
   }
 
-  /** The wake-up that was asked for by `requestWake`. */
+  /** Handles the wake-up that `requestWake` has requested. */
   onWake(): void {
     this.isWakeRequested = false;
     this.watch();
     this.readForWaiting();
   }
 
-  /** Opens a watch if none is open and it is time to; before the first one, reads all live records. */
+  /** Opens a watch if none is open and the pause after the last one is over; before the first one, reads all live records. */
   watch(): void {
-    if (this.isWatching || this.isLoading) return;
+    if (this.isWatchOpen || this.isLoading) return;
     if (this.ctx.nowMs < this.nextWatchMs) return;
     if (!this.ctx.cache.ready) return this.load();
-    this.isWatching = true;
+    this.isWatchOpen = true;
     this.readChanges(WATCH_RENEWAL_MS, (succeeded) => {
-      this.isWatching = false;
+      this.isWatchOpen = false;
       const pauseMs = succeeded ? READ_PAUSE_MS : WATCH_RETRY_MS;
       this.nextWatchMs = this.ctx.nowMs + pauseMs;
-      if (succeeded) this.wakeIn(READ_PAUSE_MS);
+      if (succeeded) this.requestWakeOnce(READ_PAUSE_MS);
     });
   }
 
-  /** Has the next commit seen at once: an open watch shows it, and if none is open, one is opened. */
+  /** Makes the next commit visible without delay: an open watch will report it, so opens one if none is open. */
   watchNow(): void {
-    if (this.isWatching) return;
+    if (this.isWatchOpen) return;
     this.nextWatchMs = this.ctx.nowMs;
     this.watch();
   }
 
   /**
-   * Calls `onRead` after a read that is sent from now on, or refuses the question.
+   * Calls `onRead` after a read that is sent from now on, or refuses the query.
    *
-   * Invariant (rules forgotten, went_back): an answer that is not final rests on a read that was sent after the
-   * question came. One read serves all questions that came before it.
+   * Invariant (rules forgotten, went_back): an answer that is not final is based on a read that was sent after the
+   * query arrived. One read serves all queries that arrived before it was sent.
    */
   afterRead(
-    req: number,
+    reqId: number,
     id: string,
-    onRead: (req: number, id: string) => void,
+    onRead: (reqId: number, id: string) => void,
   ): void {
     if (this.ctx.cache.finalRecords.has(id)) {
-      this.waiting.answered(id);
-      return onRead(req, id);
+      this.waitingQueries.answered(id);
+      return onRead(reqId, id);
     }
-    if (!this.ctx.cache.ready) return this.ports.refuse(req, "not ready yet");
-    this.enqueue({ req, id, askedMs: this.ctx.nowMs, onRead });
+    if (!this.ctx.cache.ready) return this.ports.refuse(reqId, "not ready yet");
+    this.enqueue({ reqId: reqId, id, askedMs: this.ctx.nowMs, onRead });
     this.readForWaiting();
   }
 
-  /** Sends a read for the questions that wait, if none is in flight and it is time to. */
+  /** Sends a read for the waiting queries, if none is in flight and the pause after the last one is over. */
   readForWaiting(): void {
-    if (this.isReading || this.waiting.size === 0) return;
+    if (this.isReading || this.waitingQueries.size === 0) return;
     if (this.ctx.nowMs < this.nextReadMs)
-      return this.wakeIn(this.nextReadMs - this.ctx.nowMs);
+      return this.requestWakeOnce(this.nextReadMs - this.ctx.nowMs);
     this.isReading = true;
-    const served = this.waiting.take();
+    const queries = this.waitingQueries.take();
     this.readChanges(0, (succeeded) => {
       this.isReading = false;
       this.nextReadMs = this.ctx.nowMs + READ_PAUSE_MS;
-      for (const question of served) {
-        if (succeeded) this.answer(question);
-        else this.retryOrRefuse(question);
+      for (const query of queries) {
+        if (succeeded) this.answer(query);
+        else this.retryOrRefuse(query);
       }
       this.readForWaiting();
     });
   }
 
-  /** Questions refused so far, and since when (steady time, ms) the job that has been refused longest is; null: none. */
+  /** Queries refused so far, and the time (steady, ms) since which the job refused longest has been refused; null if no job is. */
   get refusals(): {
     refusedCount: number;
     longestRefusedSinceMs: number | null;
   } {
     return {
-      refusedCount: this.waiting.refusedCount,
-      longestRefusedSinceMs: this.waiting.longestRefusedSinceMs(this.ctx.nowMs),
+      refusedCount: this.waitingQueries.refusedCount,
+      longestRefusedSinceMs: this.waitingQueries.longestRefusedSinceMs(
+        this.ctx.nowMs,
+      ),
     };
   }
 
-  private enqueue(question: WaitingQuestion): void {
-    const refused = this.waiting.add(question, this.ctx.nowMs);
-    if (refused) this.ports.refuse(refused.req, "too many requests");
+  private enqueue(query: WaitingQuery): void {
+    const refused = this.waitingQueries.add(query, this.ctx.nowMs);
+    if (refused) this.ports.refuse(refused.reqId, "too many requests");
   }
 
-  private answer({ req, id, onRead }: WaitingQuestion): void {
-    this.waiting.answered(id);
-    onRead(req, id);
+  private answer({ reqId, id, onRead }: WaitingQuery): void {
+    this.waitingQueries.answered(id);
+    onRead(reqId, id);
   }
 
-  private retryOrRefuse(question: WaitingQuestion): void {
-    if (this.ctx.nowMs - question.askedMs < QUESTION_RETRY_MS)
-      return this.enqueue(question);
-    this.waiting.refuse(question, this.ctx.nowMs);
-    this.ports.refuse(question.req, "state service does not answer");
+  private retryOrRefuse(query: WaitingQuery): void {
+    if (this.ctx.nowMs - query.askedMs < QUERY_RETRY_MS)
+      return this.enqueue(query);
+    this.waitingQueries.refuse(query, this.ctx.nowMs);
+    this.ports.refuse(query.reqId, "state service does not answer");
   }
 
   /** Reads all live records. */
@@ -219,7 +223,7 @@
     this.noteAvailability(false);
   }
 
-  /** Whether a list shows an item that is newer than the revision it claims to be of; if so, it is logged. */
+  /** Whether a list contains an item newer than the list's own revision; if so, it is logged. */
   private isInconsistentList(reply: ItemsReply): boolean {
     const newer = reply.items.find((item) => item.version > reply.epoch);
     if (!newer) return false;
@@ -230,7 +234,7 @@
     return true;
   }
 
-  /** Reads the changes since the cache's revision; the store waits so long for one to come. */
+  /** Reads the changes since the cache's revision; if there are none, the store waits up to `waitMs` for one. */
   private readChanges(
     waitMs: number,
     done: (succeeded: boolean) => void,
@@ -266,15 +270,15 @@
     this.ports.onChanges(sinceRevision, epoch, changes);
   }
 
-  /** The store no longer has all changes since the cache's revision. */
+  /** Reads all records again, since the store no longer has all changes since the cache's revision. */
   private onWatchFellBehind(): void {
     this.ctx.log("store watch fell behind, reading all records", {});
     if (!this.isLoading) this.load();
   }
 
   /**
-   * Whether an answer shows changes after the revision that it speaks for, or speaks for one before the one asked about.
-   * Such an answer is logged; it is of no use, and no proof of a read.
+   * Whether a reply contains a change newer than the reply's own revision, or its revision is older than the requested one.
+   * Such a reply is logged, its changes are ignored, and it does not count as a read.
    */
   private areInconsistentChanges(
     reply: ChangesReply,
@@ -291,7 +295,7 @@
     return true;
   }
 
-  /** Logs when the store becomes unavailable for long, and when it answers again. */
+  /** Logs when the store has been unavailable for some time, and when it answers again. */
   private noteAvailability(isAvailable: boolean): void {
     if (isAvailable === !this.isStoreUnavailable) return;
     if (!isAvailable && this.leadership.storeSilenceMs < UNAVAILABLE_AFTER_MS)
@@ -306,10 +310,10 @@
   }
 
   /**
-   * Ticks are 200 ms apart: if only the next one opened a watch again, or read for waiting questions, users and every stage
-   * of a chain of dependent jobs would wait that long.
+   * Requests one wake-up between ticks. Ticks are 200 ms apart: if watches and reads were started by ticks only, users and
+   * every stage of a chain of dependent jobs would wait that long.
    */
-  private wakeIn(afterMs: number): void {
+  private requestWakeOnce(afterMs: number): void {
     if (this.isWakeRequested) return;
     this.isWakeRequested = true;
     this.ports.requestWake(afterMs);
