--- a/test/coordination/inconsistent-input.test.ts
+++ b/test/coordination/inconsistent-input.test.ts
@@ -4,26 +4,26 @@
 import { describeWorkload } from "../simulation/guards.js";
 import { World } from "../simulation/world.js";
 
-/** What contradicts itself or what is known changes nothing, and is told of in the log once a minute at most. */
+/** Input that contradicts itself or the known state changes nothing, and is logged at most once a minute. */
 
-const lines = (w: World, what: string): string[] =>
-  w.logs.filter((l) => l.includes(what));
-function quiet(seed: number): World {
-  const w = new World(seed, undefined, [], 1);
-  w.loss = 0;
-  w.cloud.add(w.types[0]!, "east", false, 0);
-  w.run(8_000);
-  return w;
+const logLinesWith = (world: World, text: string): string[] =>
+  world.logs.filter((l) => l.includes(text));
+function createQuietWorld(seed: number): World {
+  const world = new World(seed, undefined, [], 1);
+  world.loss = 0;
+  world.cloud.add(world.types[0]!, "east", false, 0);
+  world.run(8_000);
+  return world;
 }
 
-test("a reply of the state service that tells of a moment before the one asked about is no read: the permit ends", () => {
-  for (const wrong of ["epoch", "stamp"]) {
-    const w = quiet(1);
-    const handle = w.state.handle.bind(w.state);
-    w.state.handle = (call, done) => {
+test("a store reply with inconsistent revisions does not count as a read, so the leadership lease expires", () => {
+  for (const faultyField of ["epoch", "version"]) {
+    const world = createQuietWorld(1);
+    const handle = world.state.handle.bind(world.state);
+    world.state.handle = (call, done) => {
       if (call.op !== "changes") return handle(call, done);
       const key = "lc/now/job/req-000007";
-      if (wrong === "epoch")
+      if (faultyField === "epoch")
         done({ is: "changes", epoch: call.since - 1, changes: [] });
       else
         done({
@@ -34,37 +34,37 @@
           ],
         });
     };
-    const core = w.nodes.get("node-a")!.core;
-    const had = core.cache.revision;
-    w.run(30_000);
+    const core = world.nodes.get("node-a")!.core;
+    const revisionBefore = core.cache.revision;
+    world.run(30_000);
     assert.ok(
-      core.leadershipLease.untilMs <= w.clockOf("node-a"),
-      `${wrong}: a permit without any read\n${describeWorkload(w)}`,
+      core.leadershipLease.untilMs <= world.clockOf("node-a"),
+      `${faultyField}: a leadership lease without any read\n${describeWorkload(world)}`,
     );
-    assert.equal(core.cache.revision, had);
+    assert.equal(core.cache.revision, revisionBefore);
     assert.equal(
-      lines(w, "inconsistent store response").length,
+      logLinesWith(world, "inconsistent store response").length,
       1,
-      describeWorkload(w),
+      describeWorkload(world),
     );
-    w.run(75_000);
+    world.run(75_000);
     assert.equal(
-      lines(w, "inconsistent store response").length,
+      logLinesWith(world, "inconsistent store response").length,
       2,
       "once a minute",
     );
-    w.state.handle = handle;
-    w.run(80_000);
+    world.state.handle = handle;
+    world.run(80_000);
     assert.ok(
-      core.leadershipLease.untilMs > w.clockOf("node-a"),
-      "and it goes on once replies make sense again",
+      core.leadershipLease.untilMs > world.clockOf("node-a"),
+      "the lease is renewed once replies are consistent again",
     );
   }
 });
 
-test("a record that can't be read is told of with its key, once, and hides nothing else", () => {
-  const w = quiet(2);
-  w.state.handle(
+test("an unreadable record is logged once with its key and does not affect other records", () => {
+  const world = createQuietWorld(2);
+  world.state.handle(
     {
       op: "commit",
       conditions: [],
@@ -79,39 +79,46 @@
     },
     () => {},
   );
-  w.run(12_000);
-  const { cache } = w.nodes.get("node-a")!.core;
+  world.run(12_000);
+  const { cache } = world.nodes.get("node-a")!.core;
   assert.equal(cache.capacities.has("node-z"), false);
   assert.equal(cache.leadershipBids.get("node-z")?.by, "node-b");
-  assert.equal(lines(w, "unreadable record").length, 1);
-  assert.match(lines(w, "unreadable record")[0]!, /lc\/now\/room\/node-z/);
+  assert.equal(logLinesWith(world, "unreadable record").length, 1);
+  assert.match(
+    logLinesWith(world, "unreadable record")[0]!,
+    /lc\/now\/room\/node-z/,
+  );
 });
 
-test("a report that says another type, zone or kind of a known machine is not taken, and told of once a minute", () => {
-  const w = quiet(3);
-  const m = w.workers[0]!;
-  const known = [
-    ...w.nodes.get("node-a")!.core.leaders.values(),
-  ][0]!.state.workers.get(m.id)!;
-  const before = [known.sequence, known.zone, known.typeName];
-  for (let k = 0; k < 5; k++)
-    w.heartbeat(
+test("a heartbeat with another type, zone or kind of a known machine is rejected, and logged at most once a minute", () => {
+  const world = createQuietWorld(3);
+  const worker = world.workers[0]!;
+  const workerState = [
+    ...world.nodes.get("node-a")!.core.leaders.values(),
+  ][0]!.state.workers.get(worker.id)!;
+  const before = [workerState.sequence, workerState.zone, workerState.typeName];
+  for (let count = 0; count < 5; count++)
+    world.heartbeat(
       "node-a",
-      { ...m.snapshot(), sequence: 90_000 + k, type: "big" },
-      (a) => assert.equal(a?.kind, "retryLater"),
+      { ...worker.snapshot(), sequence: 90_000 + count, type: "big" },
+      (answer) => assert.equal(answer?.kind, "retryLater"),
     );
-  w.run(8_100);
+  world.run(8_100);
   assert.deepEqual(
-    [known.sequence >= 90_000, known.zone, known.typeName],
+    [workerState.sequence >= 90_000, workerState.zone, workerState.typeName],
     [false, before[1], before[2]],
   );
-  assert.equal(lines(w, "heartbeat contradicts").length, 1);
-  w.run(20_000);
-  assert.equal(known.leaseExpired, false, "its own reports count on");
+  assert.equal(logLinesWith(world, "heartbeat contradicts").length, 1);
+  world.run(20_000);
+  assert.equal(
+    workerState.leaseExpired,
+    false,
+    "its consistent heartbeats still count",
+  );
 });
 
-test("a report that names an attempt of a task twice in different states is refused, whole", () => {
-  const hello = (shards: object[]): string =>
+test("a heartbeat that contains an attempt of a task in two different states is rejected as a whole", () => {
+  const heartbeatJson = (shards: object[]): string =>
     JSON.stringify({
       berth: "n-1",
       address: "10.0.0.1:1",
@@ -128,19 +135,19 @@
     status: "exited",
     cause: "done",
   };
-  const r = parseHeartbeat(hello([running, done]));
-  assert.deepEqual(r, {
+  const parsed = parseHeartbeat(heartbeatJson([running, done]));
+  assert.deepEqual(parsed, {
     ok: false,
     error: "shards: req-000001/2: attempt 4 is running and exited",
   });
   assert.equal(
-    parseHeartbeat(hello([running, { ...done, try: 5 }])).ok,
+    parseHeartbeat(heartbeatJson([running, { ...done, try: 5 }])).ok,
     true,
     "another attempt is another task",
   );
   assert.equal(
-    parseHeartbeat(hello([running, running])).ok,
+    parseHeartbeat(heartbeatJson([running, running])).ok,
     true,
-    "the same twice contradicts nothing",
+    "the same entry twice is consistent",
   );
 });
--- a/test/coordination/jobs/dependencies.test.ts
+++ b/test/coordination/jobs/dependencies.test.ts
@@ -10,22 +10,23 @@
 import { pipelines, randomJob } from "../../simulation/workloads.js";
 import { World } from "../../simulation/world.js";
 
-/** Jobs that wait for others, one situation at a time. */
+/** Jobs that wait for dependencies, one scenario per test. */
 
-function world(seed: number, old: string[] = []): World {
-  const w = new World(seed, undefined, old);
-  w.loss = 0;
-  for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  return w;
+function createWorld(seed: number, productionNodes: string[] = []): World {
+  const world = new World(seed, undefined, productionNodes);
+  world.loss = 0;
+  for (const zone of world.zones)
+    world.cloud.add(world.types[0]!, zone, false, 0);
+  return world;
 }
-const job = (
-  w: World,
-  n: number,
-  awaits: number[],
-  over: Partial<JobSpec> = {},
+const addJob = (
+  world: World,
+  number: number,
+  dependencyNumbers: number[],
+  overrides: Partial<JobSpec> = {},
 ): JobSpec => {
   const spec = {
-    ...randomJob(w, n),
+    ...randomJob(world, number),
     team: "blue",
     kind: "array" as const,
     tasks: 2,
@@ -35,105 +36,110 @@
     zone: null,
     samePlace: false,
     spread: false,
-    ...over,
+    ...overrides,
   };
-  w.specs.set(spec.id, spec);
-  w.dependsOn.set(
+  world.specs.set(spec.id, spec);
+  world.dependsOn.set(
     spec.id,
-    awaits.map((k) => randomJob(w, k).id),
+    dependencyNumbers.map((dependency) => randomJob(world, dependency).id),
   );
   return spec;
 };
 function submit(
-  w: World,
+  world: World,
   spec: JobSpec,
   node = "node-b",
 ): { answer: Answer | null } {
-  const got: { answer: Answer | null } = { answer: null };
-  const askedMs = w.now;
-  w.ask(
+  const reply: { answer: Answer | null } = { answer: null };
+  const askedMs = world.now;
+  world.ask(
     node,
     (reqId) => ({
       type: "submit",
       reqId,
       spec,
-      dependsOn: w.dependsOn.get(spec.id),
+      dependsOn: world.dependsOn.get(spec.id),
     }),
-    (a) => {
-      got.answer = a;
-      if (a?.kind === "job") w.checker.answered(spec.id, a.state, askedMs);
+    (answer) => {
+      reply.answer = answer;
+      if (answer?.kind === "job")
+        world.checker.answered(spec.id, answer.state, askedMs);
     },
   );
-  return got;
+  return reply;
 }
-function ask(
-  w: World,
+function query(
+  world: World,
   type: "status" | "cancel",
   id: string,
   node: string,
 ): { answer: Answer | null } {
-  const got: { answer: Answer | null } = { answer: null };
-  const askedMs = w.now;
-  if (type === "cancel") w.checker.asked.add(id);
-  w.ask(
+  const reply: { answer: Answer | null } = { answer: null };
+  const askedMs = world.now;
+  if (type === "cancel") world.checker.asked.add(id);
+  world.ask(
     node,
     (reqId) => ({ type, reqId, id }),
-    (a) => {
-      got.answer = a;
-      if (a?.kind === "job") w.checker.answered(id, a.state, askedMs);
+    (answer) => {
+      reply.answer = answer;
+      if (answer?.kind === "job")
+        world.checker.answered(id, answer.state, askedMs);
     },
   );
-  return got;
+  return reply;
 }
-const stateOf = (a: Answer | null): string =>
-  a?.kind === "job" ? a.state : String(a?.kind);
-const after = (w: World, ms: number): void => w.run(w.now + ms);
-const kept = (w: World): void =>
-  assert.deepEqual(w.checker.broken, [], w.logs.slice(-20).join("\n"));
+const stateOf = (answer: Answer | null): string =>
+  answer?.kind === "job" ? answer.state : String(answer?.kind);
+const runFor = (world: World, ms: number): void => world.run(world.now + ms);
+const assertRulesKept = (world: World): void =>
+  assert.deepEqual(world.checker.broken, [], world.logs.slice(-20).join("\n"));
 
-test("a job waits for all it names, is told so, and starts once they are done", () => {
-  const w = world(1);
-  after(w, 5_000);
-  const first = [1, 2].map((n) => submit(w, job(w, n, [])));
-  after(w, 100);
-  for (const f of first) assert.equal(stateOf(f.answer), "queued");
-  const last = job(w, 3, [1, 2]);
-  const sent = submit(w, last);
-  after(w, 100);
-  assert.ok(sent.answer?.kind === "job" && sent.answer.status === 201);
-  const told = ask(w, "status", last.id, "node-c");
-  after(w, 100);
-  assert.ok(told.answer?.kind === "job" && told.answer.state === "queued");
-  assert.deepEqual([...told.answer.dependsOn!].sort(), [
+test("a job waits for all its dependencies, lists them in its status, and starts once they are done", () => {
+  const world = createWorld(1);
+  runFor(world, 5_000);
+  const submitted = [1, 2].map((n) => submit(world, addJob(world, n, [])));
+  runFor(world, 100);
+  for (const submission of submitted)
+    assert.equal(stateOf(submission.answer), "queued");
+  const dependent = addJob(world, 3, [1, 2]);
+  const submission = submit(world, dependent);
+  runFor(world, 100);
+  assert.ok(
+    submission.answer?.kind === "job" && submission.answer.status === 201,
+  );
+  const status = query(world, "status", dependent.id, "node-c");
+  runFor(world, 100);
+  assert.ok(status.answer?.kind === "job" && status.answer.state === "queued");
+  assert.deepEqual([...status.answer.dependsOn!].sort(), [
     "req-000001",
     "req-000002",
   ]);
-  // While it waits no master has anything of it: no queue, no share of a limit.
-  for (const n of w.nodes.values())
-    for (const m of n!.core.leaders.values())
-      assert.ok(!m.state.jobs.has(last.id));
-  after(w, 60_000);
-  const end = ask(w, "status", last.id, "node-a");
-  after(w, 100);
-  assert.equal(stateOf(end.answer), "done");
-  kept(w);
+  // No partition leader holds a waiting job, so it counts neither in a queue nor against a team's limit.
+  for (const node of world.nodes.values())
+    for (const leader of node!.core.leaders.values())
+      assert.ok(!leader.state.jobs.has(dependent.id));
+  runFor(world, 60_000);
+  const finalStatus = query(world, "status", dependent.id, "node-a");
+  runFor(world, 100);
+  assert.equal(stateOf(finalStatus.answer), "done");
+  assertRulesKept(world);
 });
 
-test("named jobs: never accepted ones and the job itself get 422, ended ones count as they ended, whoever is asked", () => {
-  const w = world(2);
-  after(w, 5_000);
-  submit(w, job(w, 1, []));
-  submit(w, job(w, 2, [], { kind: "service", tasks: 1 }));
-  after(w, 30_000);
-  const stopped = ask(w, "cancel", "req-000002", "node-a");
-  after(w, 20_000);
-  assert.equal(stateOf(stopped.answer), "cancelled");
-  // Nobody remembers what ended long ago.
-  for (const n of w.names) {
-    w.crash(n);
-    w.boot(n);
+test("dependencies: a job never accepted, or the job itself, gets 422, and an ended one counts as it ended, at every controller", () => {
+  const world = createWorld(2);
+  runFor(world, 5_000);
+  submit(world, addJob(world, 1, []));
+  submit(world, addJob(world, 2, [], { kind: "service", tasks: 1 }));
+  runFor(world, 30_000);
+  const cancellation = query(world, "cancel", "req-000002", "node-a");
+  runFor(world, 20_000);
+  assert.equal(stateOf(cancellation.answer), "cancelled");
+  // After a restart no controller has the final records of these jobs in its cache.
+  for (const name of world.names) {
+    world.crash(name);
+    world.boot(name);
   }
-  after(w, 8_000);
+  runFor(world, 8_000);
   const cases: [number[], string][] = [
     [[9], "cannotRun"],
     [[1, 9], "cannotRun"],
@@ -142,196 +148,212 @@
     [[1, 2], "cancelled"],
     [[2], "cancelled"],
   ];
-  cases.forEach(([awaits, want], i) => {
-    const got = submit(w, job(w, 10 + i, awaits), w.names[i % 3]);
-    after(w, 300);
-    assert.equal(stateOf(got.answer), want, awaits.join());
-    if (got.answer?.kind === "job") assert.equal(got.answer.status, 201);
+  cases.forEach(([numbers, expected], index) => {
+    const submission = submit(
+      world,
+      addJob(world, 10 + index, numbers),
+      world.names[index % 3],
+    );
+    runFor(world, 300);
+    assert.equal(stateOf(submission.answer), expected, numbers.join());
+    if (submission.answer?.kind === "job")
+      assert.equal(submission.answer.status, 201);
   });
-  const self = submit(w, job(w, 30, [30]));
-  // It needs a cancelled job, and one that needs it does as well.
-  const third = submit(w, job(w, 31, [14]));
-  after(w, 300);
-  assert.equal(stateOf(self.answer), "cannotRun");
-  assert.equal(stateOf(third.answer), "cancelled");
-  // A retry of an accepted job is answered with its state, whatever it names.
-  w.dependsOn.set("req-000013", ["req-000099"]);
-  const again = submit(w, w.specs.get("req-000013")!, "node-c");
-  after(w, 100);
+  const selfDependent = submit(world, addJob(world, 30, [30]));
+  // It depends on a job that was cancelled with its own dependency.
+  const indirect = submit(world, addJob(world, 31, [14]));
+  runFor(world, 300);
+  assert.equal(stateOf(selfDependent.answer), "cannotRun");
+  assert.equal(stateOf(indirect.answer), "cancelled");
+  // A repeated submission of an accepted job is answered with its state, whatever dependencies it lists.
+  world.dependsOn.set("req-000013", ["req-000099"]);
+  const repeated = submit(world, world.specs.get("req-000013")!, "node-c");
+  runFor(world, 100);
   assert.ok(
-    again.answer?.kind === "job" && again.answer.status === 200,
-    JSON.stringify(again.answer),
+    repeated.answer?.kind === "job" && repeated.answer.status === 200,
+    JSON.stringify(repeated.answer),
   );
-  w.dependsOn.set("req-000013", ["req-000001"]);
-  after(w, 30_000);
-  kept(w);
+  world.dependsOn.set("req-000013", ["req-000001"]);
+  runFor(world, 30_000);
+  assertRulesKept(world);
 });
 
-test("what can't be looked up is not decided: 503 while the state service is away, and the answer after it", () => {
-  const w = world(3);
-  after(w, 5_000);
-  submit(w, job(w, 1, []));
-  after(w, 30_000);
-  for (const n of w.names) {
-    w.crash(n);
-    w.boot(n);
+test("a dependency that can't be looked up gets 503 while the state service is unavailable, and the job is accepted afterwards", () => {
+  const world = createWorld(3);
+  runFor(world, 5_000);
+  submit(world, addJob(world, 1, []));
+  runFor(world, 30_000);
+  for (const name of world.names) {
+    world.crash(name);
+    world.boot(name);
   }
-  after(w, 5_000);
-  w.stateDown = true;
-  const spec = job(w, 2, [1]);
-  const down = submit(w, spec);
-  after(w, 3_000);
-  assert.equal(stateOf(down.answer), "retryLater");
-  w.stateDown = false;
-  w.state.restart();
-  after(w, 2_000);
-  const up = submit(w, spec);
-  after(w, 20_000);
-  assert.equal(stateOf(up.answer), "queued");
-  const end = ask(w, "status", spec.id, "node-a");
-  after(w, 100);
-  assert.equal(stateOf(end.answer), "done");
-  kept(w);
+  runFor(world, 5_000);
+  world.stateDown = true;
+  const spec = addJob(world, 2, [1]);
+  const duringOutage = submit(world, spec);
+  runFor(world, 3_000);
+  assert.equal(stateOf(duringOutage.answer), "retryLater");
+  world.stateDown = false;
+  world.state.restart();
+  runFor(world, 2_000);
+  const afterOutage = submit(world, spec);
+  runFor(world, 20_000);
+  assert.equal(stateOf(afterOutage.answer), "queued");
+  const finalStatus = query(world, "status", spec.id, "node-a");
+  runFor(world, 100);
+  assert.equal(stateOf(finalStatus.answer), "done");
+  assertRulesKept(world);
 });
 
-test("a cancelled job takes a wide and deep tree with it, at once, though writing it takes longer and its writer ends", () => {
+test("cancelling a job cancels a wide and deep tree of dependents at once, though writing them takes longer and the writer crashes", () => {
   for (const seed of [4, 5, 6]) {
-    const w = world(seed);
-    after(w, 5_000);
-    submit(w, job(w, 1, [], { kind: "service", tasks: 1 }));
-    after(w, 100);
+    const world = createWorld(seed);
+    runFor(world, 5_000);
+    submit(world, addJob(world, 1, [], { kind: "service", tasks: 1 }));
+    runFor(world, 100);
     for (let n = 2; n <= 120; n++) {
-      const spec = job(w, n, [n <= 40 ? 1 : n - 39]);
-      let got = "";
+      const spec = addJob(world, n, [n <= 40 ? 1 : n - 39]);
+      let state = "";
       // A controller whose watch fell behind answers 503 for a moment.
-      for (let k = 0; k < 5 && got !== "queued"; k++) {
-        const sent = submit(w, spec, w.names[n % 3]);
-        after(w, 100);
-        got = stateOf(sent.answer);
+      for (let attempt = 0; attempt < 5 && state !== "queued"; attempt++) {
+        const submission = submit(world, spec, world.names[n % 3]);
+        runFor(world, 100);
+        state = stateOf(submission.answer);
       }
-      assert.equal(got, "queued");
+      assert.equal(state, "queued");
     }
-    // Records are read back as what they are by a controller that starts now, too.
-    w.crash("node-c");
-    after(w, 500);
-    w.boot("node-c");
-    after(w, 4_000);
-    const cancelled = ask(w, "cancel", "req-000001", "node-a");
-    after(w, 60);
+    // A controller that restarts must derive the same state from the records.
+    world.crash("node-c");
+    runFor(world, 500);
+    world.boot("node-c");
+    runFor(world, 4_000);
+    const cancelled = query(world, "cancel", "req-000001", "node-a");
+    runFor(world, 60);
     assert.equal(stateOf(cancelled.answer), "cancelled");
     for (const n of [2, 41, 80, 119, 120])
-      for (const node of w.names) {
-        const got = ask(
-          w,
+      for (const node of world.names) {
+        const status = query(
+          world,
           "status",
-          w.specs.get(`req-${String(n).padStart(6, "0")}`)!.id,
+          world.specs.get(`req-${String(n).padStart(6, "0")}`)!.id,
           node,
         );
-        after(w, 60);
-        assert.equal(stateOf(got.answer), "cancelled", `${n} at ${node}`);
+        runFor(world, 60);
+        assert.equal(stateOf(status.answer), "cancelled", `${n} at ${node}`);
       }
-    // The one that cancelled it, and writes, is gone; whoever starts anew knows only the records.
-    w.crash("node-a");
-    w.crash("node-b");
-    after(w, 1_000);
-    w.boot("node-b");
-    after(w, w.settings.cancelS * 1000);
+    // The controller that cancelled the job and writes its dependents crashes; a restarted one knows only the records.
+    world.crash("node-a");
+    world.crash("node-b");
+    runFor(world, 1_000);
+    world.boot("node-b");
+    runFor(world, world.settings.cancelS * 1000);
     for (let n = 1; n <= 120; n++) {
       const id = `req-${String(n).padStart(6, "0")}`;
       assert.ok(
-        !w.state.data.has(jobKey(id)) && w.state.data.has(finalKey(id)),
+        !world.state.data.has(jobKey(id)) && world.state.data.has(finalKey(id)),
         `seed ${seed}: ${id} is written`,
       );
     }
-    kept(w);
+    assertRulesKept(world);
   }
 });
 
-test("an awaiting job survives the end of every controller between what it waits for and its release", () => {
+test("a waiting job survives a crash of all controllers between the end of its dependency and its release", () => {
   for (const seed of [7, 8, 9]) {
-    const w = world(seed);
-    after(w, 5_000);
-    submit(w, job(w, 1, [], { estimateS: 2 }));
-    after(w, 100);
-    const spec = job(w, 2, [1]);
-    submit(w, spec);
-    // At the very step at which the first is over, everything ends.
-    let over = 0;
-    w.afterStep = () => {
-      if (over > 0 || !w.state.data.has(finalKey("req-000001"))) return;
-      over = w.now;
-      for (const n of w.names) w.at(0, () => w.crash(n));
-      w.names.forEach((n, i) => w.at(3_000 + 1_000 * i, () => w.boot(n)));
+    const world = createWorld(seed);
+    runFor(world, 5_000);
+    submit(world, addJob(world, 1, [], { estimateS: 2 }));
+    runFor(world, 100);
+    const spec = addJob(world, 2, [1]);
+    submit(world, spec);
+    // All controllers crash at the step in which the final record of the dependency is written.
+    let endedAtMs = 0;
+    world.afterStep = () => {
+      if (endedAtMs > 0 || !world.state.data.has(finalKey("req-000001")))
+        return;
+      endedAtMs = world.now;
+      for (const name of world.names) world.at(0, () => world.crash(name));
+      world.names.forEach((name, index) =>
+        world.at(3_000 + 1_000 * index, () => world.boot(name)),
+      );
     };
-    after(w, 70_000);
-    assert.ok(over > 0);
-    const end = ask(w, "status", spec.id, "node-a");
-    after(w, 100);
-    assert.equal(stateOf(end.answer), "done", w.logs.slice(-20).join("\n"));
-    kept(w);
+    runFor(world, 70_000);
+    assert.ok(endedAtMs > 0);
+    const finalStatus = query(world, "status", spec.id, "node-a");
+    runFor(world, 100);
+    assert.equal(
+      stateOf(finalStatus.answer),
+      "done",
+      world.logs.slice(-20).join("\n"),
+    );
+    assertRulesKept(world);
   }
 });
 
-test("production's controllers start nothing of a job that waits, whoever holds the groups, and can cancel it", () => {
-  const w = world(10, ["node-a", "node-b"]);
-  after(w, 5_000);
-  const long = job(w, 1, [], { kind: "service", tasks: 1, cpus: 1 });
-  submit(w, long, "node-c");
-  after(w, 100);
-  const [waiting, cancelled] = [job(w, 2, [1]), job(w, 3, [1])];
-  for (const s of [waiting, cancelled]) submit(w, s, "node-c");
-  after(w, 1_000);
-  // The present version's controller goes: production's takes its group and reads all its records.
-  w.crash("node-c");
-  after(w, 40_000);
-  const owners = [...w.nodes].flatMap(([name, n]) =>
-    n ? [...n.core.leaders.keys()].map((g) => `${g} by ${name}`) : [],
+test("controllers of the production version start no task of a waiting job, whichever partitions they lead, and can cancel it", () => {
+  const world = createWorld(10, ["node-a", "node-b"]);
+  runFor(world, 5_000);
+  const blocking = addJob(world, 1, [], { kind: "service", tasks: 1, cpus: 1 });
+  submit(world, blocking, "node-c");
+  runFor(world, 100);
+  const [waiting, cancelled] = [addJob(world, 2, [1]), addJob(world, 3, [1])];
+  for (const spec of [waiting, cancelled]) submit(world, spec, "node-c");
+  runFor(world, 1_000);
+  // The controller of the present version crashes; one of the production version takes over its partition and records.
+  world.crash("node-c");
+  runFor(world, 40_000);
+  const leaderships = [...world.nodes].flatMap(([name, node]) =>
+    node
+      ? [...node.core.leaders.keys()].map(
+          (partition) => `${partition} by ${name}`,
+        )
+      : [],
   );
   assert.ok(
-    owners.some((o) => /^node-c by node-[ab]$/.test(o)),
-    owners.join(),
+    leaderships.some((leadership) => /^node-c by node-[ab]$/.test(leadership)),
+    leaderships.join(),
   );
-  const gone = ask(w, "cancel", cancelled.id, "node-a");
-  const still = ask(w, "status", waiting.id, "node-b");
-  after(w, 100);
-  assert.equal(stateOf(gone.answer), "cancelled");
-  assert.equal(stateOf(still.answer), "queued");
-  kept(w);
+  const cancellation = query(world, "cancel", cancelled.id, "node-a");
+  const status = query(world, "status", waiting.id, "node-b");
+  runFor(world, 100);
+  assert.equal(stateOf(cancellation.answer), "cancelled");
+  assert.equal(stateOf(status.answer), "queued");
+  assertRulesKept(world);
 });
 
-test("the longest submission is accepted or refused at once with its reason", () => {
-  const w = world(11);
-  after(w, 5_000);
-  const name = "x".repeat(200);
-  const long = {
-    ...job(w, 1, []),
-    class: name,
-    image: name,
+test("a submission with names of the maximum length is accepted, or refused at once with the reason", () => {
+  const world = createWorld(11);
+  runFor(world, 5_000);
+  const longName = "x".repeat(200);
+  const longSpec = {
+    ...addJob(world, 1, []),
+    class: longName,
+    image: longName,
     machineTypes: null,
   };
-  const fits = submit(w, long);
-  const all = submit(w, {
-    ...long,
+  const fitting = submit(world, longSpec);
+  const tooLarge = submit(world, {
+    ...longSpec,
     id: "req-000002",
     machineTypes: [
       "small",
-      ...Array.from({ length: 15 }, (_, i) => `${i}${name.slice(3)}`),
+      ...Array.from({ length: 15 }, (_, i) => `${i}${longName.slice(3)}`),
     ],
   });
-  after(w, 200);
-  assert.equal(stateOf(fits.answer), "queued");
+  runFor(world, 200);
+  assert.equal(stateOf(fitting.answer), "queued");
   assert.ok(
-    all.answer?.kind === "recordTooLarge" &&
-      all.answer.error.includes("at most 2048 fit"),
-    JSON.stringify(all.answer),
+    tooLarge.answer?.kind === "recordTooLarge" &&
+      tooLarge.answer.error.includes("at most 2048 fit"),
+    JSON.stringify(tooLarge.answer),
   );
-  kept(w);
+  assertRulesKept(world);
 });
 
-test("a job is as urgent as the most urgent one that needs it, and due when that can still be in time, step by step", () => {
-  const w = world(12);
-  let looked = 0;
-  w.afterStep = (core) => {
+test("a job inherits the highest priority of its dependents and is due early enough for their deadlines, after every step", () => {
+  const world = createWorld(12);
+  let checkedDependents = 0;
+  world.afterStep = (core) => {
     const { jobs } = core.cache;
     for (const view of jobs.values()) {
       if (core.dependencies.isCancelledByDependency(view.id)) continue;
@@ -340,43 +362,53 @@
         view.spec.deadlineS === null
           ? Infinity
           : view.acceptedAt + view.spec.deadlineS * 1000;
-      for (const o of jobs.values()) {
+      for (const dependent of jobs.values()) {
         if (
-          !core.dependencies.unfinishedDependencies(o.id).includes(view.id) ||
-          core.dependencies.isCancelledByDependency(o.id)
+          !core.dependencies
+            .unfinishedDependencies(dependent.id)
+            .includes(view.id) ||
+          core.dependencies.isCancelledByDependency(dependent.id)
         )
           continue;
-        looked++;
-        const rank = ["best_effort", "normal", "high", "prod"] as const;
-        if (rank.indexOf(o.priority) > rank.indexOf(priority))
-          priority = o.priority;
-        dueAt = Math.min(dueAt, o.dueAt - o.spec.estimateS * 1000);
+        checkedDependents++;
+        const priorities = ["best_effort", "normal", "high", "prod"] as const;
+        if (
+          priorities.indexOf(dependent.priority) > priorities.indexOf(priority)
+        )
+          priority = dependent.priority;
+        dueAt = Math.min(
+          dueAt,
+          dependent.dueAt - dependent.spec.estimateS * 1000,
+        );
       }
       assert.deepEqual(
         [view.priority, view.dueAt],
         [priority, dueAt],
-        `${view.id} at ${w.now}`,
+        `${view.id} at ${world.now}`,
       );
     }
   };
-  pipelines(w, 5_000, 60_000);
-  w.run(90_000);
-  assert.ok(looked > 1_000, `${looked} jobs that are needed`);
-  kept(w);
+  pipelines(world, 5_000, 60_000);
+  world.run(90_000);
+  assert.ok(
+    checkedDependents > 1_000,
+    `only ${checkedDependents} dependents were checked`,
+  );
+  assertRulesKept(world);
 });
 
-/** Breaks the way jobs wait on purpose and expects the checker to notice. */
-function expectDetected(rule: RegExp, breakIt: () => () => void): void {
-  const mend = breakIt();
+/** Injects a fault into the handling of waiting jobs and expects the checker to detect it. */
+function expectDetected(rule: RegExp, injectFault: () => () => void): void {
+  const restore = injectFault();
   try {
     for (let seed = 20; seed < 30; seed++) {
-      const w = world(seed);
-      pipelines(w, 5_000, 60_000);
-      w.run(100_000);
-      if (rule.test(w.checker.broken.join())) return;
+      const world = createWorld(seed);
+      pipelines(world, 5_000, 60_000);
+      world.run(100_000);
+      if (rule.test(world.checker.broken.join())) return;
     }
   } finally {
-    mend();
+    restore();
   }
   assert.fail(`${rule} was not detected`);
 }
@@ -399,10 +431,10 @@
   });
 });
 
-test("the checker detects jobs that go on being called queued after one that they need is cancelled", () => {
+test("the checker detects jobs that are still reported as queued after a dependency was cancelled", () => {
   expectDetected(/orphaned/, () => {
     const proto = DependencyTracker.prototype as unknown as {
-      cancelWithDependency: (e: object) => void;
+      cancelWithDependency: (waiting: object) => void;
     };
     const { cancelWithDependency } = proto;
     proto.cancelWithDependency = () => {};
@@ -410,137 +442,141 @@
   });
 });
 
-test("users and stages do not wait for ticks: a submission that needs a read takes some tens of milliseconds", () => {
-  const w = world(14);
-  after(w, 5_000);
-  const tookMs: number[] = [];
-  let n = 0;
-  const line = (awaits: number[]): void => {
-    const spec = job(w, ++n, awaits, { tasks: 1 });
-    const askedMs = w.now;
-    const asking = (): void =>
-      w.ask(
-        w.names[n % 3]!,
+test("users and chains of jobs do not wait for ticks: a submission that needs a read takes some tens of milliseconds", () => {
+  const world = createWorld(14);
+  runFor(world, 5_000);
+  const durationsMs: number[] = [];
+  let submittedCount = 0;
+  const submitNext = (dependencyNumbers: number[]): void => {
+    const spec = addJob(world, ++submittedCount, dependencyNumbers, {
+      tasks: 1,
+    });
+    const askedMs = world.now;
+    const send = (): void =>
+      world.ask(
+        world.names[submittedCount % 3]!,
         (reqId) => ({
           type: "submit",
           reqId,
           spec,
-          dependsOn: w.dependsOn.get(spec.id),
+          dependsOn: world.dependsOn.get(spec.id),
         }),
-        (a) => {
-          if (a?.kind !== "job") return w.at(100, asking);
-          tookMs.push(w.now - askedMs);
-          // The next is submitted elsewhere as soon as this is accepted, over and over.
-          if (n < 60) line([n]);
+        (answer) => {
+          if (answer?.kind !== "job") return world.at(100, send);
+          durationsMs.push(world.now - askedMs);
+          // Each job is submitted to another controller as soon as its dependency is accepted.
+          if (submittedCount < 60) submitNext([submittedCount]);
         },
       );
-    asking();
+    send();
   };
-  line([]);
-  after(w, 30_000);
-  assert.equal(tookMs.length, 60);
-  tookMs.sort((a, b) => a - b);
-  // It was 190 ms.
-  assert.ok(tookMs[54]! < 120, tookMs.join());
+  submitNext([]);
+  runFor(world, 30_000);
+  assert.equal(durationsMs.length, 60);
+  durationsMs.sort((a, b) => a - b);
+  // It took 190 ms when reads and watches started only at ticks.
+  assert.ok(durationsMs[54]! < 120, durationsMs.join());
 });
 
-test("hundreds of jobs that wait for one are released without crowding users out", () => {
-  const w = world(15);
-  after(w, 5_000);
-  submit(w, job(w, 1, [], { tasks: 1 }));
-  after(w, 100);
+test("hundreds of jobs that wait for one are released without crowding out users' requests", () => {
+  const world = createWorld(15);
+  runFor(world, 5_000);
+  submit(world, addJob(world, 1, [], { tasks: 1 }));
+  runFor(world, 100);
   for (let n = 2; n <= 300; n++) {
-    submit(w, job(w, n, [1], { tasks: 1 }), w.names[n % 3]);
-    after(w, 10);
+    submit(world, addJob(world, n, [1], { tasks: 1 }), world.names[n % 3]);
+    runFor(world, 10);
   }
-  let most = 0;
-  w.afterStep = (core) => (most = Math.max(most, core.calls.storeCallCount));
-  after(w, 150_000);
-  const open = [...w.specs.keys()].filter(
+  let maxCalls = 0;
+  world.afterStep = (core) =>
+    (maxCalls = Math.max(maxCalls, core.calls.storeCallCount));
+  runFor(world, 150_000);
+  const unreleased = [...world.specs.keys()].filter(
     (id) =>
-      w.dependsOn.get(id)!.length > 0 &&
-      w.state.data.has(jobKey(id)) &&
-      (w.state.data.get(jobKey(id))!.value as { needs?: string[] }).needs !==
-        undefined,
+      world.dependsOn.get(id)!.length > 0 &&
+      world.state.data.has(jobKey(id)) &&
+      (world.state.data.get(jobKey(id))!.value as { needs?: string[] })
+        .needs !== undefined,
   );
-  assert.deepEqual(open, []);
-  assert.ok(most > 5 && most < 40, `${most} calls at once`);
-  kept(w);
+  assert.deepEqual(unreleased, []);
+  assert.ok(maxCalls > 5 && maxCalls < 40, `${maxCalls} calls in flight`);
+  assertRulesKept(world);
 });
 
-test("a withdrawal that meets a release: only one of them happens, and everybody is told the same", () => {
-  const ends = new Set<string>();
-  // Whoever withdraws needs a read first: that it comes before the release is rare.
-  for (let seed = 40; seed < 240 && (seed < 60 || ends.size < 2); seed++) {
-    const w = world(seed);
-    after(w, 5_000);
-    submit(w, job(w, 1, [], { tasks: 1 }));
-    after(w, 100);
-    const spec = job(w, 2, [1]);
-    submit(w, spec, "node-c");
-    let asked: { answer: Answer | null } | null = null;
-    w.afterStep = () => {
-      if (asked || !w.state.data.has(finalKey("req-000001"))) return;
-      asked = { answer: null };
-      const withdraw = (): void => {
-        asked = ask(w, "cancel", spec.id, w.rng.pick(w.names));
-        // Its watch may have fallen too far behind at this very moment: users ask again.
-        w.at(1_000, () => asked?.answer?.kind === "retryLater" && withdraw());
+test("a cancellation at the time of a release: only one of them takes effect, and all controllers report the same", () => {
+  const orders = new Set<string>();
+  // A cancellation needs a read first, so it rarely comes before the release.
+  for (let seed = 40; seed < 240 && (seed < 60 || orders.size < 2); seed++) {
+    const world = createWorld(seed);
+    runFor(world, 5_000);
+    submit(world, addJob(world, 1, [], { tasks: 1 }));
+    runFor(world, 100);
+    const spec = addJob(world, 2, [1]);
+    submit(world, spec, "node-c");
+    let reply: { answer: Answer | null } | null = null;
+    world.afterStep = () => {
+      if (reply || !world.state.data.has(finalKey("req-000001"))) return;
+      reply = { answer: null };
+      const cancel = (): void => {
+        reply = query(world, "cancel", spec.id, world.rng.pick(world.names));
+        // The controller's watch may have fallen too far behind just then, in which case users retry.
+        world.at(1_000, () => reply?.answer?.kind === "retryLater" && cancel());
       };
-      w.at(w.rng.real(0, 40), withdraw);
+      world.at(world.rng.real(0, 40), cancel);
     };
-    after(w, 60_000);
-    if (!asked) continue;
+    runFor(world, 60_000);
+    if (!reply) continue;
     assert.equal(
-      stateOf((asked as { answer: Answer | null }).answer),
+      stateOf((reply as { answer: Answer | null }).answer),
       "cancelled",
       `seed ${seed}`,
     );
-    ends.add(
-      w.logs.some(
+    orders.add(
+      world.logs.some(
         (l) => l.includes("job dependencies satisfied") && l.includes(spec.id),
       )
         ? "released first"
         : "cancelled first",
     );
-    for (const node of w.names) {
-      const told = ask(w, "status", spec.id, node);
-      after(w, 100);
-      assert.equal(stateOf(told.answer), "cancelled");
+    for (const node of world.names) {
+      const status = query(world, "status", spec.id, node);
+      runFor(world, 100);
+      assert.equal(stateOf(status.answer), "cancelled");
     }
     assert.ok(
-      w.state.data.has(finalKey(spec.id)) && !w.state.data.has(jobKey(spec.id)),
+      world.state.data.has(finalKey(spec.id)) &&
+        !world.state.data.has(jobKey(spec.id)),
     );
-    kept(w);
+    assertRulesKept(world);
   }
-  assert.equal(ends.size, 2, `both orders were met: ${[...ends].join()}`);
+  assert.equal(orders.size, 2, `both orders must occur: ${[...orders].join()}`);
 });
 
-test("a line of thousands of jobs, each waiting for the one before, overflows nothing", () => {
-  // Once a controller's stack overflowed at 5,000, as would every controller's that reads such records.
-  const n = 6_000;
+test("a chain of thousands of jobs, each waiting for the one before, does not overflow the stack", () => {
+  // A recursive traversal overflowed the stack at 5,000 jobs, and would in every controller that reads such records.
+  const count = 6_000;
   const cache = new StoreCache();
-  const core = new DependencyTracker(
+  const tracker = new DependencyTracker(
     { nowMs: 0, wallMs: 0, cache } as unknown as Context,
     { assign: () => null, lookUpFinalRecord: () => {} },
   );
-  const id = (i: number): string => `req-${String(i).padStart(6, "0")}`;
-  const w = new World(1);
-  for (let i = 1; i <= n; i++) {
+  const idOf = (i: number): string => `req-${String(i).padStart(6, "0")}`;
+  const world = new World(1);
+  for (let i = 1; i <= count; i++) {
     const spec = {
-      ...randomJob(w, i),
-      priority: i === n ? ("high" as const) : ("normal" as const),
-      deadlineS: i === n ? 60 : null,
+      ...randomJob(world, i),
+      priority: i === count ? ("high" as const) : ("normal" as const),
+      deadlineS: i === count ? 60 : null,
       estimateS: 1,
     };
     const value = writeJob({
       spec,
       acceptedAt: 0,
       assignment: new Map(i === 1 ? [["g", RangeSet.upTo(1)]] : []),
-      dependsOn: i === 1 ? [] : [id(i - 1)],
+      dependsOn: i === 1 ? [] : [idOf(i - 1)],
       releasedAt: null,
     });
-    for (const s of cache.apply(
+    for (const event of cache.apply(
       [
         {
           op: "put",
@@ -551,14 +587,14 @@
       ],
       i,
     ))
-      if (s.kind === "job") core.onJob(s.job);
+      if (event.kind === "job") tracker.onJob(event.job);
   }
-  const first = cache.jobs.get(id(1))!;
+  const first = cache.jobs.get(idOf(1))!;
   assert.deepEqual(
     [first.priority, first.dueAt],
-    ["high", 60_000 - (n - 1) * 1_000],
+    ["high", 60_000 - (count - 1) * 1_000],
   );
-  assert.equal(core.unresolvedDependency(id(n)), null);
-  core.onFinalRecord(id(1), { status: "cancelled", tasks: 1, done: 0 });
-  assert.ok(core.isCancelledByDependency(id(n)));
+  assert.equal(tracker.unresolvedDependency(idOf(count)), null);
+  tracker.onFinalRecord(idOf(1), { status: "cancelled", tasks: 1, done: 0 });
+  assert.ok(tracker.isCancelledByDependency(idOf(count)));
 });
--- a/test/coordination/store/store-cache.test.ts
+++ b/test/coordination/store/store-cache.test.ts
@@ -5,21 +5,21 @@
 
 const EAST = partitionKey("east");
 const WEST = partitionKey("west");
-const leader = (name: string): object => ({ owner: name, hold: 1 });
+const leaderRecord = (name: string): object => ({ owner: name, hold: 1 });
 
-test("a list of all records removes what it lacks, as of its own revision", () => {
+test("a list of all records removes the records that it lacks, at the list's revision", () => {
   const cache = new StoreCache();
-  cache.reload([{ key: EAST, value: leader("node-a"), version: 5 }], 5);
+  cache.reload([{ key: EAST, value: leaderRecord("node-a"), version: 5 }], 5);
   cache.reload([], 9);
   assert.equal(cache.partitions.has("east"), false);
   assert.equal(cache.leaderChangedRevision.get("east"), 9);
 });
 
-test("a list of all records that is older than a record does not remove it", () => {
+test("a list of all records does not remove a record that is newer than the list", () => {
   const cache = new StoreCache();
   cache.reload([], 3);
   cache.apply(
-    [{ op: "put", key: WEST, value: leader("node-b"), version: 8 }],
+    [{ op: "put", key: WEST, value: leaderRecord("node-b"), version: 8 }],
     8,
   );
   cache.reload([], 6);
