--- a/src/coordination/jobs/request-replies.ts
+++ b/src/coordination/jobs/request-replies.ts
@@ -1,11 +1,11 @@
 /**
- * How the handlers of users' requests reply. Owns no state: the controller provides the functions.
+ * Replies to users' requests, implemented by the controller. Owns no state.
  */
 import type { Answer } from "../effects.js";
 
 export interface RequestReplies {
   /** Answers a request; each request is answered once. */
-  answer(request: number, answer: Answer): void;
+  answer(reqId: number, answer: Answer): void;
   /** Tells the user to repeat the request, after `afterS` seconds (one by default). */
-  retryLater(request: number, why: string, afterS?: number): void;
+  retryLater(reqId: number, reason: string, afterS?: number): void;
 }
