--- a/src/coordination/scheduling/attempt-sequence.ts
+++ b/src/coordination/scheduling/attempt-sequence.ts
@@ -3,7 +3,7 @@
  */
 import type { PartitionState } from "./partition-state.js";
 
-/** Attempts of one token: with a token below 2^33 they stay below 2^53. */
+/** Attempt numbers available to one token. With tokens below 2^33, attempt numbers stay below 2^53 and thus exact. */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
 
 export class AttemptSequence {
@@ -11,7 +11,7 @@
 
   constructor(private readonly partition: Pick<PartitionState, "token">) {}
 
-  /** A number above those of all attempts under this or any earlier fencing token. */
+  /** Returns a number higher than that of any attempt under this or an earlier fencing token. */
   next(): number {
     return this.partition.token * ATTEMPTS_PER_TOKEN + ++this.issued;
   }
--- a/src/coordination/scheduling/backlog.ts
+++ b/src/coordination/scheduling/backlog.ts
@@ -12,12 +12,13 @@
   accelerated: number;
 }
 
-/** Headroom that limits no team. */
+/** No entries, so that no team is limited. */
 const NO_LIMITS: ReadonlyMap<string, ResourceUse> = new Map();
 
 /**
- * Tasks that wait for machines; without `headroom`, all tasks that wait. Tasks that only their team's limit keeps from
- * starting are left out: counted, they kept a partition with idle machines from taking tasks of any other team.
+ * Counts the tasks that wait for machines. Tasks that only their team's limit keeps from starting are left out, because
+ * counting them kept a partition with idle machines from taking tasks of other teams. Without `headroom`, all waiting
+ * tasks are counted.
  */
 export function backlogOf(
   jobs: Iterable<JobRun>,
@@ -33,7 +34,7 @@
   return backlog;
 }
 
-/** Waiting tasks of a job that its team's headroom allows; they are taken from it. */
+/** Returns how many waiting tasks of a job its team's headroom allows, and deducts them from the headroom. */
 function takeStartable(job: JobRun, headroom: ResourceUse | undefined): number {
   const { spec } = job.view;
   const waiting = job.waiting.size;
--- a/src/coordination/scheduling/capacity-report.ts
+++ b/src/coordination/scheduling/capacity-report.ts
@@ -1,3 +1,7 @@
+/**
+ * Reports the free capacity and the queues of a partition to the other partitions. Owns the last report that was written
+ * and the one that is reused while jobs are assigned.
+ */
 import {
   bytesOf,
   type FreeKind,
@@ -22,178 +26,180 @@
 } from "../jobs/partition-capacity.js";
 import { freeOn, type Worker } from "../machines/worker-state.js";
 
-/** Which urgencies there are is looked at this often. */
-const LEVELS_REFRESH_MS = 2_000;
-/** The room is written at most this often. */
+/** Interval at which the priorities of all jobs are collected anew. */
+const PRIORITIES_REFRESH_MS = 2_000;
+/** Minimum interval between writes of the report. */
 const WRITE_INTERVAL_MS = 700;
-/** Splits go by room that is no older than this: counting it anew for each of a flood of submissions took most of the time. */
-const REUSE_MS = 200;
+/** Jobs are assigned by a report no older than this. Computing a new one for each job of a burst took most of the time. */
+const REPORT_REUSE_MS = 200;
 
-/** What a row's list of what gives way takes beside its entries: `,"y":[]`. A row that has none leaves the field out. */
-const FIELD_BYTES = 7;
+/** Size of a row's list of reclaimable resources without its entries: `,"y":[]`. A row with an empty list omits the field. */
+const RECLAIMABLE_FIELD_BYTES = 7;
 
-/** For each range of urgencies that would find the same: what this machine has once tasks that give way to them are stopped. */
+/** What is free on a machine once tasks of lower priority are preempted, for each range of priorities with the same result. */
 function reclaimableOn(
-  w: Worker,
-  levels: readonly number[],
+  worker: Worker,
+  ranks: readonly number[],
 ): ReclaimableKind[] {
-  if (w.tasks.size === 0) return [];
-  const out: ReclaimableKind[] = [];
-  const f = freeOn(w);
-  for (const level of levels) {
-    let { cpus, gpus, memGb } = f;
-    let more = false;
-    for (const t of w.tasks.values()) {
-      const { spec, priority } = t.job.view;
-      // A gang loses all its tasks with one: it does not give way.
+  if (worker.tasks.size === 0) return [];
+  const kinds: ReclaimableKind[] = [];
+  const free = freeOn(worker);
+  for (const rank of ranks) {
+    let { cpus, gpus, memGb } = free;
+    let freesMore = false;
+    for (const task of worker.tasks.values()) {
+      const { spec, priority } = task.job.view;
+      // Stopping one task of a gang would stop all of them, so gangs are not preempted.
       if (
         (spec.kind === "gang" && spec.tasks > 1) ||
-        PRIORITIES.indexOf(priority) >= level
+        PRIORITIES.indexOf(priority) >= rank
       )
         continue;
-      more = true;
+      freesMore = true;
       cpus += spec.cpus;
       gpus += spec.gpus;
       memGb += spec.memGb;
     }
-    if (!more) continue;
+    if (!freesMore) continue;
     const kind: ReclaimableKind = [
       tenth(cpus),
       tenth(gpus),
       tenth(memGb),
       1,
-      level,
-      level,
+      rank,
+      rank,
     ];
-    const last = out.at(-1);
-    if (last && last.slice(0, 3).join() === kind.slice(0, 3).join())
-      last[5] = level;
-    else out.push(kind);
+    const previous = kinds.at(-1);
+    if (previous && previous.slice(0, 3).join() === kind.slice(0, 3).join())
+      previous[5] = rank;
+    else kinds.push(kind);
   }
-  return out;
+  return kinds;
 }
 
-/** The room and the queues of a group, which splits and moves go by, and the writing of them. */
+/** The capacity report of a partition, by which jobs are assigned and rebalanced, and the writing of it. */
 export class CapacityReport {
-  private writtenMs = -Infinity;
-  private written = "";
-  private busy = false;
+  private lastWrittenMs = -Infinity;
+  private lastWritten = "";
+  private isWriting = false;
 
   constructor(
     private readonly ctx: Context,
-    private readonly own: PartitionState,
-    private readonly sharing: QuotaAllocator,
+    private readonly partition: PartitionState,
+    private readonly quota: QuotaAllocator,
     private readonly scaleOut: ScaleOut,
   ) {}
 
-  /** The room as it is. */
+  /** The report at this moment. */
   current(): CapacityRecord {
     const rows = new Map<string, CapacityRow>();
-    const kinds = new Map<string, FreeKind>();
-    const yields = new Map<string, ReclaimableKind>();
-    const { usable, reserved } = this.own.usableWorkers();
-    const levels = this.levels();
-    for (const w of usable) {
-      const key = w.offerKey;
+    const freeKinds = new Map<string, FreeKind>();
+    const reclaimableKinds = new Map<string, ReclaimableKind>();
+    const { usable, reserved } = this.partition.usableWorkers();
+    const ranks = this.priorityRanks();
+    for (const worker of usable) {
+      const key = worker.offerKey;
       let row = rows.get(key);
       if (!row)
         rows.set(
           key,
           (row = {
-            type: w.typeName,
-            zone: w.zone,
-            spot: w.spot,
+            type: worker.typeName,
+            zone: worker.zone,
+            spot: worker.spot,
             machines: 0,
             free: [],
             reserved: [],
           }),
         );
       row.machines++;
-      const f = freeOn(w);
-      for (const y of levels.length > 1 ? reclaimableOn(w, levels) : []) {
-        const name = `${key}/${y.join("/")}`;
-        const same = yields.get(name);
+      const f = freeOn(worker);
+      for (const entry of ranks.length > 1
+        ? reclaimableOn(worker, ranks)
+        : []) {
+        const kindKey = `${key}/${entry.join("/")}`;
+        const same = reclaimableKinds.get(kindKey);
         if (same) same[3]++;
         else {
-          yields.set(name, y);
-          (row.reclaimable ??= []).push(y);
+          reclaimableKinds.set(kindKey, entry);
+          (row.reclaimable ??= []).push(entry);
         }
       }
       if (
         (f.cpus <= EPSILON && f.gpus <= EPSILON) ||
-        this.own.isReservedForOther(w)
+        this.partition.isReservedForOther(worker)
       )
         continue;
       const kind: FreeKind = [tenth(f.cpus), tenth(f.gpus), tenth(f.memGb), 1];
-      const isReserved = reserved.has(w.id);
+      const isReserved = reserved.has(worker.id);
       const name = `${key}/${kind[0]}/${kind[1]}/${kind[2]}/${isReserved}`;
-      const same = kinds.get(name);
+      const same = freeKinds.get(name);
       if (same) same[3]++;
       else {
-        kinds.set(name, kind);
+        freeKinds.set(name, kind);
         (isReserved ? row.reserved : row.free).push(kind);
       }
     }
-    const queueFrom = this.queueFrom();
+    const queueByMinPriority = this.queueByMinPriority();
     const running = new Map<string, number>();
-    for (const j of this.own.jobs.values()) {
-      const n = this.own.runningTasksOf(j.id);
-      if (n > 0) running.set(j.id, n);
+    for (const job of this.partition.jobs.values()) {
+      const tasks = this.partition.runningTasksOf(job.id);
+      if (tasks > 0) running.set(job.id, tasks);
     }
     const { scaleOut } = this;
     const soldOut = scaleOut.soldOutOffers();
-    // Nothing left of what is sold out goes without saying.
+    // Offers that are sold out have no machines left and need no entry here.
     const left = new Map(
       [...scaleOut.remainingByOffer()].filter(
-        ([what, n]) => n > 0 || !soldOut.includes(what),
+        ([offer, machines]) => machines > 0 || !soldOut.includes(offer),
       ),
     );
     return {
       rows: [...rows.values()],
-      queue: backlogOf(this.own.jobs.values(), this.sharing.headroom()),
-      queueByMinPriority: queueFrom,
+      queue: backlogOf(this.partition.jobs.values(), this.quota.headroom()),
+      queueByMinPriority,
       running,
       soldOut,
       left,
-      ...this.sharing.rows(),
+      ...this.quota.rows(),
       isTruncated: false,
     };
   }
 
-  /** Urgencies that jobs were seen to have, lowest first: who asks for less than the highest may be asked to give way. */
-  private levels(): readonly number[] {
-    if (this.ctx.nowMs - this.levelsMs >= LEVELS_REFRESH_MS) {
-      this.levelsMs = this.ctx.nowMs;
-      const seen = new Set(this.seen);
-      for (const j of this.ctx.cache.jobs.values())
-        seen.add(PRIORITIES.indexOf(j.priority));
-      this.seen = [...seen].sort((a, b) => a - b);
+  /** Ranks of the priorities seen on jobs so far, lowest first. Jobs of all but the highest may be preempted by priority. */
+  private priorityRanks(): readonly number[] {
+    if (this.ctx.nowMs - this.ranksUpdatedMs >= PRIORITIES_REFRESH_MS) {
+      this.ranksUpdatedMs = this.ctx.nowMs;
+      const ranks = new Set(this.seenRanks);
+      for (const job of this.ctx.cache.jobs.values())
+        ranks.add(PRIORITIES.indexOf(job.priority));
+      this.seenRanks = [...ranks].sort((a, b) => a - b);
     }
-    return this.seen;
+    return this.seenRanks;
   }
-  private levelsMs = -Infinity;
-  private seen: readonly number[] = [];
+  private ranksUpdatedMs = -Infinity;
+  private seenRanks: readonly number[] = [];
 
-  /** Tasks that wait, from each urgency upwards. */
-  private queueFrom(): [number, number][] {
-    const out = PRIORITIES.map((): [number, number] => [0, 0]);
-    for (const j of this.own.jobs.values()) {
-      if (j.waiting.isEmpty) continue;
-      const kind = backlogKindOf(j.view.spec) === "plain" ? 0 : 1;
-      for (let u = PRIORITIES.indexOf(j.view.priority); u >= 0; u--)
-        out[u]![kind] += j.waiting.size;
+  /** Waiting tasks of each priority and all higher ones, by rank: [plain, accelerated]. */
+  private queueByMinPriority(): [number, number][] {
+    const counts = PRIORITIES.map((): [number, number] => [0, 0]);
+    for (const job of this.partition.jobs.values()) {
+      if (job.waiting.isEmpty) continue;
+      const kind = backlogKindOf(job.view.spec) === "plain" ? 0 : 1;
+      for (let rank = PRIORITIES.indexOf(job.view.priority); rank >= 0; rank--)
+        counts[rank]![kind] += job.waiting.size;
     }
-    return out;
+    return counts;
   }
 
-  /** For splits: the room as it was a moment ago, and what splits have handed to the group since. */
+  /** For assigning jobs: a recent report, and the tasks that have been assigned to the partition since. */
   recent(): {
     capacity: CapacityRecord;
     pendingAssignments: readonly PendingAssignment[];
   } {
     if (
       !this.recentReport ||
-      this.ctx.nowMs - this.recentReport.atMs >= REUSE_MS
+      this.ctx.nowMs - this.recentReport.atMs >= REPORT_REUSE_MS
     )
       this.recentReport = {
         atMs: this.ctx.nowMs,
@@ -211,28 +217,33 @@
     pendingAssignments: PendingAssignment[];
   } | null = null;
 
-  /** What is written of it: what fits a value. Running counts give way first, then the smallest kinds of free room. */
+  /**
+   * The current report, shortened to what fits into one value of the store. The running counts are omitted first, then
+   * reclaimable resources, then the smallest amounts of free resources.
+   */
   currentWithinSizeLimit(): CapacityRecord {
-    const all = this.current();
-    const rows = all.rows.sort((x, y) => y.machines - x.machines);
+    const full = this.current();
+    const rows = full.rows.sort(
+      (first, second) => second.machines - first.machines,
+    );
     const record: CapacityRecord & { rows: CapacityRow[] } = {
-      ...all,
-      rows: rows.map((r) => ({
-        type: r.type,
-        zone: r.zone,
-        spot: r.spot,
-        machines: r.machines,
+      ...full,
+      rows: rows.map((row) => ({
+        type: row.type,
+        zone: row.zone,
+        spot: row.spot,
+        machines: row.machines,
         free: [],
         reserved: [],
       })),
       running: new Map(),
     };
     const { soldOut, left, wants } = record;
-    const teams = (record.teams = new Map(all.teams));
-    const most = this.ctx.settings.state.valueBytes;
-    // With very many teams, types and zones these give way: hints first, then the rows of the fewest machines. A record
-    // that does not fit would be refused for ever, and the group's room never known again.
-    const cut = [
+    const teams = (record.teams = new Map(full.teams));
+    const maxBytes = this.ctx.settings.state.valueBytes;
+    // With very many teams, types and zones even this is too large: hints are dropped first, then the rows with the fewest
+    // machines. The store would reject a larger record every time, and other partitions would no longer learn the capacity.
+    const reductions = [
       () => left.delete([...left.keys()].at(-1)!),
       () => soldOut.pop() !== undefined,
       () => wants.delete([...wants.keys()].at(-1)!),
@@ -240,50 +251,63 @@
         teams.delete([...teams.keys()].at(-1)!) && (record.isTruncated = true),
       () => record.rows.pop() !== undefined,
     ];
-    while (bytesOf(writeCapacity(record)) > most && cut.some((one) => one()));
-    let bytes = most - bytesOf(writeCapacity(record));
-    const fits = (entry: readonly unknown[], around = 0): boolean => {
-      const takes = bytesOf(entry) + 1 + around;
-      if (takes > bytes) return false;
-      bytes -= takes;
+    while (
+      bytesOf(writeCapacity(record)) > maxBytes &&
+      reductions.some((reduce) => reduce())
+    );
+    let remainingBytes = maxBytes - bytesOf(writeCapacity(record));
+    const fits = (entry: readonly unknown[], extraBytes = 0): boolean => {
+      const entryBytes = bytesOf(entry) + 1 + extraBytes;
+      if (entryBytes > remainingBytes) return false;
+      remainingBytes -= entryBytes;
       return true;
     };
-    const size = (k: FreeKind): number => k[3] * (k[0] + 100 * k[1]);
-    const kinds = rows
-      .slice(0, record.rows.length)
-      .flatMap((r, i) => [
-        ...r.free.map((kind) => ({ to: record.rows[i]!.free, kind })),
-        ...r.reserved.map((kind) => ({ to: record.rows[i]!.reserved, kind })),
-      ]);
-    for (const { to, kind } of kinds.sort(
-      (x, y) => size(y.kind) - size(x.kind),
+    const weight = (kind: FreeKind): number =>
+      kind[3] * (kind[0] + 100 * kind[1]);
+    const kinds = rows.slice(0, record.rows.length).flatMap((row, index) => [
+      ...row.free.map((kind) => ({ to: record.rows[index]!.free, kind })),
+      ...row.reserved.map((kind) => ({
+        to: record.rows[index]!.reserved,
+        kind,
+      })),
+    ]);
+    for (const { to: target, kind } of kinds.sort(
+      (first, second) => weight(second.kind) - weight(first.kind),
     ))
-      if (fits(kind)) to.push(kind);
-    for (const [i, r] of rows.slice(0, record.rows.length).entries())
-      for (const y of r.reclaimable ?? [])
-        if (fits(y, record.rows[i]!.reclaimable ? 0 : FIELD_BYTES))
-          (record.rows[i]!.reclaimable ??= []).push(y);
-    for (const entry of all.running)
+      if (fits(kind)) target.push(kind);
+    for (const [index, row] of rows.slice(0, record.rows.length).entries())
+      for (const reclaimable of row.reclaimable ?? [])
+        if (
+          fits(
+            reclaimable,
+            record.rows[index]!.reclaimable ? 0 : RECLAIMABLE_FIELD_BYTES,
+          )
+        )
+          (record.rows[index]!.reclaimable ??= []).push(reclaimable);
+    for (const entry of full.running)
       if (fits(entry)) record.running.set(...entry);
     return record;
   }
 
   writeIfChanged(): void {
-    if (this.busy || this.ctx.nowMs - this.writtenMs < WRITE_INTERVAL_MS)
+    if (
+      this.isWriting ||
+      this.ctx.nowMs - this.lastWrittenMs < WRITE_INTERVAL_MS
+    )
       return;
     const value = writeCapacity(this.currentWithinSizeLimit());
     const text = JSON.stringify(value);
-    if (text === this.written) return;
-    this.writtenMs = this.ctx.nowMs;
-    this.busy = true;
-    const key = capacityKey(this.own.partition);
-    this.own.commit(
+    if (text === this.lastWritten) return;
+    this.lastWrittenMs = this.ctx.nowMs;
+    this.isWriting = true;
+    const key = capacityKey(this.partition.partition);
+    this.partition.commit(
       [{ key, version: this.ctx.cache.latestRevisionOf(key) }],
       [{ op: "put", key, value }],
       CallPriority.Background,
-      (end) => {
-        this.busy = false;
-        if (end === "ok") this.written = text;
+      (outcome) => {
+        this.isWriting = false;
+        if (outcome === "ok") this.lastWritten = text;
       },
     );
   }
--- a/src/coordination/scheduling/gang-assembly.ts
+++ b/src/coordination/scheduling/gang-assembly.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which jobs must begin now so that none waits too long for its first start. Owns the largest gang size seen of
- * each class, and which gangs are being assembled.
+ * Decides which jobs must begin now so that none waits too long for its first start. Owns the size of the largest gang
+ * seen in each job class, and which gangs are being assembled.
  */
 import type { Context } from "../context.js";
 import { hasBegun } from "./job-progress.js";
@@ -23,44 +23,46 @@
   type Worker,
 } from "../machines/worker-state.js";
 
-/** Gangs are checked no more often than this: it reads all running tasks of a partition. */
+/** Gangs are checked no more often than this, because a check reads all running tasks of the partition. */
 const CHECK_INTERVAL_MS = 1_000;
-/** A gang comes first where it fits once it has waited this part of the time; a younger one never reserves anything. */
-const PRIORITY_WHEN_FITTING_AFTER = 0.65;
-/** Of its class's largest gang: what has about so many tasks counts as large. Smaller ones find their places by the order of the queues. */
+/** Share of the bound after which a gang that fits precedes other jobs. A gang that has waited less reserves nothing. */
+const FITTING_GANG_AGE_SHARE = 0.65;
+/** A gang is large if it has at least this share of the tasks of its class's largest gang. Others follow the queues' order. */
 const LARGE_GANG_SHARE = 0.75;
-/** Between a gang's placement and its first second of work: commands, images, the slowest machine. */
+/** Time from a gang's placement to its first second of work: commands, image pulls, the slowest machine. */
 const START_MARGIN_S = 20;
-/** Estimates are often too short by half: assembly is expected to take so many times as long as they say. */
+/** Estimates are often too short by half, so assembly is expected to take this many times as long as they say. */
 const ESTIMATE_FACTOR = 1.15;
-/** A task past its estimate is expected to run for this part of it again. */
-const OVERRUN_SHARE = 0.25;
-/** An array's first task comes before everything once it has waited this part of the time. */
-const FIRST_TASK_AFTER = 0.6;
-/** A task that is being stopped is expected to take this long. */
+/** A task near or past the end of its estimate is expected to run on for this share of the estimate. */
+const MIN_REMAINING_SHARE = 0.25;
+/** Share of the bound after which the first task of an array precedes all other work. */
+const FIRST_TASK_AGE_SHARE = 0.6;
+/** A task that is being stopped is expected to end within this time. */
 const STOPPING_S = 5;
-/** Classes of gangs whose largest is remembered, for the life of a partition leader: some 100 bytes each. A gang of a further class is never large. */
+/** Job classes whose largest gang a leader remembers, at about 100 bytes each. Gangs of further classes are never large. */
 const MAX_CLASSES = 5_000;
 const MS_PER_S = 1_000;
-/** Stands for all zones of a gang that need not be in one. */
+/** Key for all zones together, for gangs that need not be in one zone. */
 const ANY_ZONE = "";
 
-/** Where and when a gang has all its places, as far as can be said. */
+/** Where and when a gang is expected to have all its slots. */
 interface AssemblyForecast {
   readonly zone: string;
   readonly inS: number;
 }
 
 /**
- * Which jobs have to begin now so that none waits longer than `begin_within_s` for its first start. Small work passes large
- * work in the queues, so a gang of many machines never found them free together; reserving freed room from the first moment
- * kept many small gangs waiting for each large one. So reserving begins as late as the machines' running tasks allow: when the
- * gang's age and the time in which so many places come free add up to the bound; one gang to a zone, the oldest first.
+ * Decides which jobs have to begin now so that none waits longer than a bound, `begin_within_s`, for its first start. Small
+ * jobs pass large ones in the queues, so a gang that needs many machines never found them free at the same time, while
+ * reserving freed capacity from the start made many small gangs wait for each large one. Reserving therefore begins as late
+ * as the running tasks allow: when the gang's age plus the expected time until enough slots are free reaches the bound.
+ * One gang per zone reserves at a time, the oldest first.
  */
 export class GangAssembly {
-  private checkedMs = -Infinity;
+  private lastCheckMs = -Infinity;
+  /** Gangs that are being assembled, with the expected seconds until each has all its slots. */
   private assembling: ReadonlyMap<string, number> = new Map();
-  /** By class: tasks of the largest gang that was seen. */
+  /** By job class: number of tasks of the largest gang seen. */
   private readonly largestByClass = new Map<string, number>();
 
   constructor(
@@ -78,9 +80,12 @@
 
   /** Called at the beginning of a scheduling round, with the jobs that are ready to start. */
   update(ready: readonly JobRun[]): void {
-    if (this.boundS <= 0 || this.ctx.nowMs - this.checkedMs < CHECK_INTERVAL_MS)
+    if (
+      this.boundS <= 0 ||
+      this.ctx.nowMs - this.lastCheckMs < CHECK_INTERVAL_MS
+    )
       return;
-    this.checkedMs = this.ctx.nowMs;
+    this.lastCheckMs = this.ctx.nowMs;
     this.noteGangSizes();
     const oldestFirst = ready
       .filter((job) => this.mayBeAssembled(job))
@@ -112,25 +117,25 @@
   }
 
   private comesFirstWhenFitting(job: JobRun): boolean {
-    return this.ageS(job) >= this.boundS * PRIORITY_WHEN_FITTING_AFTER;
+    return this.ageS(job) >= this.boundS * FITTING_GANG_AGE_SHARE;
   }
 
-  /** Whether a job has to begin now, and what it comes before for that. */
+  /** Whether a job has to begin now, and which other jobs it therefore precedes. */
   precedenceOf(job: JobRun): Precedence {
     if (this.boundS <= 0 || job.quarantinedSinceMs !== null) return "no";
     if (job.view.spec.kind === "gang") return this.gangPrecedenceOf(job);
-    const hasWaitedLong = this.ageS(job) > this.boundS * FIRST_TASK_AFTER;
-    return hasWaitedLong && !hasBegun(this.ctx, job) ? "array" : "no";
+    const hasWaitedLong = this.ageS(job) > this.boundS * FIRST_TASK_AGE_SHARE;
+    return hasWaitedLong && !hasBegun(this.ctx, job) ? "firstTask" : "no";
   }
 
   private gangPrecedenceOf(job: JobRun): Precedence {
-    if (this.assembling.has(job.id)) return "gang";
+    if (this.assembling.has(job.id)) return "assembling";
     return this.isLarge(job.view.spec) && this.comesFirstWhenFitting(job)
-      ? "fit"
+      ? "whenFitting"
       : "no";
   }
 
-  /** Seconds until a gang that is due has all its places, as far as can be said; what is done before then may use them. */
+  /** Expected seconds until a gang that is being assembled has all its slots. Work that ends before then may use them. */
   assembledInS(job: JobRun): number {
     return this.assembling.get(job.id) ?? 0;
   }
@@ -143,30 +148,30 @@
         (this.largestByClass.get(spec.jobClass) ?? Infinity) * LARGE_GANG_SHARE
     );
   }
-  /** Whether the partition's share of its team's limit has room for a gang, whatever of it others of the team use now. */
+  /** Whether a gang fits into the partition's share of its team's limit, not counting what other jobs of the team use. */
   private isWithinQuota(job: JobRun): boolean {
     const { spec } = job.view;
     const [cpus, gpus] = this.quota.share(spec.team);
     return fitWithinLimit(spec, { cpus, gpus }) >= spec.tasks;
   }
 
-  /** Of gangs, oldest first: those that reserve from now on, with the seconds until they have what they need. */
+  /** Selects from `gangs`, oldest first, those that reserve from now on, with the seconds until each has all its slots. */
   private gangsToAssemble(gangs: readonly JobRun[]): Map<string, number> {
     const { usable, reserved } = this.partition.usableWorkers();
-    const open = usable.filter((worker) => !reserved.has(worker.id));
-    const placesByRequest = new Map<string, Map<string, number[]>>();
-    /** Places of each zone that older gangs take first. */
+    const unreserved = usable.filter((worker) => !reserved.has(worker.id));
+    const slotsByRequest = new Map<string, Map<string, number[]>>();
+    /** Slots of each zone that older gangs take first. */
     const taken = new Map<string, number>();
     const firstOfZone = new Map<string, { job: JobRun; inS: number }>();
     const assembling = new Map<string, number>();
     for (const job of gangs) {
       const { spec } = job.view;
       const key = requestKeyOf(spec);
-      const places =
-        placesByRequest.get(key) ?? this.placesBecomingFree(spec, open);
-      placesByRequest.set(key, places);
-      const forecast = soonestAssembly(spec.tasks, places, taken);
-      // More than the partition has: nothing is gained by reserving here; it goes elsewhere, or machines are rented.
+      const slots =
+        slotsByRequest.get(key) ?? this.slotsBecomingFree(spec, unreserved);
+      slotsByRequest.set(key, slots);
+      const forecast = soonestAssembly(spec.tasks, slots, taken);
+      // The partition has too few slots, so that reserving does not help: the gang moves, or machines are rented.
       if (!forecast) continue;
       const { zone, inS } = forecast;
       taken.set(zone, (taken.get(zone) ?? 0) + spec.tasks);
@@ -185,47 +190,46 @@
     );
   }
 
-  /** By zone: in how many seconds each place for such a task is free, soonest first. */
-  private placesBecomingFree(
+  /** By zone: the seconds until each slot for a task of the job is expected to be free, soonest first. */
+  private slotsBecomingFree(
     spec: JobSpec,
-    open: readonly Worker[],
+    workers: readonly Worker[],
   ): Map<string, number[]> {
-    const placesByZone = new Map<string, number[]>();
-    for (const worker of open) {
+    const slotsByZone = new Map<string, number[]>();
+    for (const worker of workers) {
       if (
         !isAllowedOn(spec, worker.typeName, worker.zone, worker.spot) ||
         !isSuitable(spec, worker.type, worker.spot, this.ctx.catalog)
       )
         continue;
       const zone = spec.samePlace ? worker.zone : ANY_ZONE;
-      const places = placesByZone.get(zone) ?? [];
-      placesByZone.set(zone, places);
-      for (const inS of this.placesBecomingFreeOn(worker, spec))
-        places.push(inS);
+      const slots = slotsByZone.get(zone) ?? [];
+      slotsByZone.set(zone, slots);
+      for (const inS of this.slotsBecomingFreeOn(worker, spec)) slots.push(inS);
     }
-    for (const places of placesByZone.values())
-      places.sort((first, second) => first - second);
-    return placesByZone;
+    for (const slots of slotsByZone.values())
+      slots.sort((first, second) => first - second);
+    return slotsByZone;
   }
 
   /** The same on one machine, as its running tasks end one by one. */
-  private placesBecomingFreeOn(worker: Worker, spec: JobSpec): number[] {
-    const room = freeOn(worker);
-    const places = Array.from({ length: fitCount(spec, room) }, () => 0);
-    const ends = [...worker.tasks.values()]
+  private slotsBecomingFreeOn(worker: Worker, spec: JobSpec): number[] {
+    const free = freeOn(worker);
+    const slots = Array.from({ length: fitCount(spec, free) }, () => 0);
+    const taskEnds = [...worker.tasks.values()]
       .map((task) => ({ inS: this.remainingS(task), task }))
       .sort((first, second) => first.inS - second.inS);
-    for (const { inS, task } of ends) {
+    for (const { inS, task } of taskEnds) {
       if (inS === Infinity) break;
       const { cpus, gpus, memGb } = task.job.view.spec;
-      subtract(room, { cpus: -cpus, gpus: -gpus, memGb: -memGb });
-      const count = fitCount(spec, room);
-      while (places.length < count) places.push(inS);
+      subtract(free, { cpus: -cpus, gpus: -gpus, memGb: -memGb });
+      const count = fitCount(spec, free);
+      while (slots.length < count) slots.push(inS);
     }
-    return places;
+    return slots;
   }
 
-  /** Seconds until a task is expected to end; Infinity: that can't be said. */
+  /** Expected seconds until a task ends; Infinity if it has no estimate. */
   private remainingS(task: TaskRun): number {
     if (task.stop) return STOPPING_S;
     const { estimateS } = task.job.view.spec;
@@ -234,19 +238,19 @@
       task.phase === "running"
         ? (this.ctx.nowMs - task.phaseSinceMs) / MS_PER_S
         : 0;
-    return Math.max(estimateS - ranS, estimateS * OVERRUN_SHARE);
+    return Math.max(estimateS - ranS, estimateS * MIN_REMAINING_SHARE);
   }
 }
 
-/** The zone where so many places come free first, beside those that are taken; null: none has as many. */
+/** The zone where this many slots, besides those already taken, are free first; null if no zone has enough. */
 function soonestAssembly(
   tasks: number,
-  placesByZone: ReadonlyMap<string, readonly number[]>,
+  slotsByZone: ReadonlyMap<string, readonly number[]>,
   taken: ReadonlyMap<string, number>,
 ): AssemblyForecast | null {
   let soonest: AssemblyForecast | null = null;
-  for (const [zone, places] of placesByZone) {
-    const inS = places[(taken.get(zone) ?? 0) + tasks - 1];
+  for (const [zone, slots] of slotsByZone) {
+    const inS = slots[(taken.get(zone) ?? 0) + tasks - 1];
     if (inS !== undefined && inS < (soonest?.inS ?? Infinity))
       soonest = { zone, inS };
   }
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -1,6 +1,6 @@
 /**
- * Capacity that is kept for gangs during a scheduling round. Owns what is reserved on each machine for gangs that are
- * being assembled, from the beginning of a round to the beginning of the next.
+ * Reserves capacity for gangs during a scheduling round. Owns the resources that are reserved on each machine for gangs
+ * that are being assembled, from the beginning of a round to the beginning of the next.
  */
 import type { ResourceUse } from "../machines/resource-ledger.js";
 import { NO_USE } from "../machines/resource-ledger.js";
@@ -9,56 +9,56 @@
 import type { PartitionState } from "./partition-state.js";
 import type { Resources } from "./placement.js";
 
-/** What may use a gang's places until it has them all: estimates are often too short by half. */
+/** Safety factor on the estimates of tasks that may use a gang's slots: estimates are often too short by half. */
 const BACKFILL_ESTIMATE_FACTOR = 1.6;
 
 export class GangReservations {
-  /** For work that is done before the gang is assembled, this capacity is free. */
+  /** Resources reserved for gangs that are being assembled. Tasks that end before the assembly may still use them. */
   private readonly reservedOn = new Map<Worker, Resources>();
-  /** Seconds until a gang with reservations is assembled; the soonest of several. */
+  /** Expected seconds until the first of the gangs with reservations is assembled. */
   private soonestAssemblyS = Infinity;
 
   constructor(private readonly partition: PartitionState) {}
 
-  /** Drops all reservations: a round begins. */
+  /** Drops all reservations at the beginning of a round. */
   clear(): void {
-    this.partition.reservedForGangs.clear();
+    this.partition.workersReservedForGangs.clear();
     this.reservedOn.clear();
     this.soonestAssemblyS = Infinity;
   }
 
-  /** Keeps capacity that a gang could use already from all jobs behind it in this round, and from other partitions' gangs. */
+  /** Reserves capacity that a gang could already use, against all jobs behind it in this round and jobs of other partitions. */
   reserveFully(
     chosen: readonly Worker[],
     spec: JobSpec,
     free: ReadonlyMap<Worker, Resources>,
   ): void {
     for (const worker of chosen) {
-      const room = free.get(worker);
-      if (room) subtract(room, spec);
-      this.partition.reservedForGangs.add(worker);
+      const freeHere = free.get(worker);
+      if (freeHere) subtract(freeHere, spec);
+      this.partition.workersReservedForGangs.add(worker);
     }
   }
 
-  /** The same for a gang that is assembled in `assembledInS` seconds: work that is done before then may backfill. */
+  /** The same for a gang that will be assembled in `assembledInS` seconds: tasks that end before then may backfill. */
   reserveForAssembly(
     chosen: readonly Worker[],
     spec: JobSpec,
     assembledInS: number,
   ): void {
     for (const worker of chosen) {
-      const kept = this.reservedOn.get(worker);
+      const reserved = this.reservedOn.get(worker);
       this.reservedOn.set(worker, {
-        cpus: (kept?.cpus ?? 0) + spec.cpus,
-        gpus: (kept?.gpus ?? 0) + spec.gpus,
-        memGb: (kept?.memGb ?? 0) + spec.memGb,
+        cpus: (reserved?.cpus ?? 0) + spec.cpus,
+        gpus: (reserved?.gpus ?? 0) + spec.gpus,
+        memGb: (reserved?.memGb ?? 0) + spec.memGb,
       });
-      this.partition.reservedForGangs.add(worker);
+      this.partition.workersReservedForGangs.add(worker);
     }
     this.soonestAssemblyS = Math.min(this.soonestAssemblyS, assembledInS);
   }
 
-  /** Keeps a gang's share of its team's limit too: small jobs of the same team would take it as fast as it comes free. */
+  /** Reserves a gang's part of its team's limit, which small jobs of the team would otherwise use as soon as it is free. */
   reserveQuota(spec: JobSpec, used: Map<string, ResourceUse>): void {
     const teamUse = used.get(spec.team) ?? NO_USE;
     used.set(spec.team, {
@@ -67,7 +67,7 @@
     });
   }
 
-  /** Whether a job's tasks are done before the gangs with reservations are assembled. */
+  /** Whether a job's tasks are expected to end before any gang with reservations is assembled. */
   mayBackfill(spec: JobSpec): boolean {
     return (
       this.reservedOn.size > 0 &&
@@ -77,14 +77,14 @@
     );
   }
 
-  /** What of a machine's free capacity a job may use. */
+  /** The part of a machine's free capacity that a job may use. */
   availableTo(spec: JobSpec, worker: Worker, free: Resources): Resources {
-    const kept = this.reservedOn.get(worker);
-    if (!kept || this.mayBackfill(spec)) return free;
+    const reserved = this.reservedOn.get(worker);
+    if (!reserved || this.mayBackfill(spec)) return free;
     return {
-      cpus: free.cpus - kept.cpus,
-      gpus: free.gpus - kept.gpus,
-      memGb: free.memGb - kept.memGb,
+      cpus: free.cpus - reserved.cpus,
+      gpus: free.gpus - reserved.gpus,
+      memGb: free.memGb - reserved.memGb,
     };
   }
 }
--- a/src/coordination/scheduling/job-progress.ts
+++ b/src/coordination/scheduling/job-progress.ts
@@ -1,8 +1,8 @@
-/** What is known of a job's progress over all partitions. Owns no state. */
+/** The progress of a job across all partitions. Owns no state. */
 import type { StoreView } from "../context.js";
 import type { JobRun } from "../machines/worker-state.js";
 
-/** Whether any task of the job is on a machine or finished, in whichever partition. */
+/** Whether any task of the job is on a machine or finished, in any partition. */
 export function hasBegun({ cache }: StoreView, job: JobRun): boolean {
   if (
     job.active.size > 0 ||
--- a/src/coordination/scheduling/machine-selector.ts
+++ b/src/coordination/scheduling/machine-selector.ts
@@ -15,15 +15,15 @@
 } from "./placement.js";
 import type { RoundResources } from "./round-resources.js";
 
-/** Tasks of the job failed on the machine: only if no other machine has room. */
+/** Tasks of the job failed on the machine, which is used only if no other has room. */
 const FAILED_HERE_PENALTY = 1_000;
-/** The image is on the machine, or none is needed. */
+/** The image is on the machine, or the task needs none. */
 const IMAGE_PRESENT_BONUS = 200;
-/** Reserved machines are left to short tasks as long as others have room. */
+/** The machine is reserved for short tasks and is left to them as long as others have room. */
 const RESERVED_PENALTY = 100;
-/** For each task of the same image that is on the machine. */
+/** For each task on the machine that has the same image. */
 const SAME_IMAGE_TASK_BONUS = 50;
-/** For the part of the machine that stays free: little left over is better. */
+/** Multiplied by the share of the machine's CPUs that stays free: a tight fit is better. */
 const LEFTOVER_PENALTY = 10;
 
 /** A machine that has room for tasks of a job. */
@@ -42,33 +42,33 @@
   ) {}
 
   /**
-   * Machines for `want` tasks of a job, one entry a task, fewer if there is no room for all: for a gang or a job that
-   * needs one zone the best ones in turn, else only the best one, as often as it has room.
+   * Selects machines for up to `taskCount` tasks of a job and returns one entry per task. A gang or a job that needs one zone
+   * gets as many of the best machines as it needs; any other job gets only the best one, as many times as it has room.
    */
   select(
     job: JobRun,
-    want: number,
-    open: readonly Worker[],
+    taskCount: number,
+    workers: readonly Worker[],
     resources: RoundResources,
   ): Worker[] {
     const spec = job.view.spec;
     const tasksByZone = this.tasksByZone(job);
-    // Invariant (rule wrong_place): with `samePlace` only the zone where any of its tasks still is.
+    // Invariant (rule wrong_place): with `samePlace`, tasks start only in the zone where others of the job may still be.
     if (spec.samePlace && tasksByZone.size > 1) return [];
-    const candidates = this.candidates(job, tasksByZone, open, resources);
+    const candidates = this.candidates(job, tasksByZone, workers, resources);
     if (candidates.length === 0) return [];
     if (spec.kind === "gang" || spec.samePlace)
-      return largestSelection(spec, want, candidates, tasksByZone);
+      return largestSelection(spec, taskCount, candidates, tasksByZone);
     const best = candidates.reduce((first, second) =>
       second.score > first.score ? second : first,
     );
     return Array.from(
-      { length: Math.min(want, best.count) },
+      { length: Math.min(taskCount, best.count) },
       () => best.worker,
     );
   }
 
-  /** Zones where tasks of this job are or may be, with their number: tasks of old attempts count. */
+  /** How many of the job's tasks are or may be in each zone, including those of earlier attempts. */
   private tasksByZone(job: JobRun): Map<string, number> {
     const tasksByZone = new Map<string, number>();
     const count = ({ worker }: { worker: Worker }): void => {
@@ -83,31 +83,31 @@
   private candidates(
     job: JobRun,
     tasksByZone: ReadonlyMap<string, number>,
-    open: readonly Worker[],
+    workers: readonly Worker[],
     resources: RoundResources,
   ): Candidate[] {
     const spec = job.view.spec;
     const zoneLimit = maxTasksPerZone(spec);
     const candidates: Candidate[] = [];
-    for (const worker of open) {
+    for (const worker of workers) {
       if (!this.mayUse(job, worker, tasksByZone)) continue;
       const free = resources.free.get(worker);
       if (!free) continue;
-      const room = this.reservations.availableTo(spec, worker, free);
-      // Invariant (rule wrong_place): with `spread`, no zone holds more than half, old attempts included.
+      const available = this.reservations.availableTo(spec, worker, free);
+      // Invariant (rule wrong_place): with `spread`, no zone holds more than half of the tasks, earlier attempts included.
       const count = Math.min(
-        fitCount(spec, room),
+        fitCount(spec, available),
         zoneLimit - (tasksByZone.get(worker.zone) ?? 0),
       );
       if (count <= 0) continue;
       const isReserved = resources.reservedIds.has(worker.id);
-      const score = scoreOf(job, worker, room, isReserved);
+      const score = scoreOf(job, worker, available, isReserved);
       candidates.push({ worker, count, score });
     }
     return candidates;
   }
 
-  /** Whether a job's tasks may run on a machine, whatever is free there. */
+  /** Whether a job's tasks may run on a machine, regardless of what is free there. */
   private mayUse(
     job: JobRun,
     worker: Worker,
@@ -124,7 +124,7 @@
     );
   }
 
-  /** Room that preemption made there is for another job. */
+  /** Whether room that preemption made on a machine is reserved for another job. */
   private isReservedForOther(job: JobRun, worker: Worker): boolean {
     const reservation = worker.reservedFor;
     return (
@@ -135,10 +135,10 @@
   }
 }
 
-/** The largest selection of up to `want` places; with `samePlace` out of one zone, the first of equal ones. */
+/** Selects as many slots as possible, up to `taskCount`; with `samePlace` all in one zone, the first of equally good ones. */
 function largestSelection(
   spec: JobSpec,
-  want: number,
+  taskCount: number,
   candidates: readonly Candidate[],
   tasksByZone: ReadonlyMap<string, number>,
 ): Worker[] {
@@ -151,16 +151,16 @@
   }
   let largest: Worker[] = [];
   for (const inZone of byZone.values()) {
-    const selection = selectInOrder(spec, want, inZone, tasksByZone);
+    const selection = selectInOrder(spec, taskCount, inZone, tasksByZone);
     if (selection.length > largest.length) largest = selection;
   }
   return largest;
 }
 
-/** Up to `want` places, from the best machine to the worst. */
+/** Selects up to `taskCount` slots, from the best machine to the worst. */
 function selectInOrder(
   spec: JobSpec,
-  want: number,
+  taskCount: number,
   candidates: readonly Candidate[],
   tasksByZone: ReadonlyMap<string, number>,
 ): Worker[] {
@@ -171,23 +171,23 @@
     (first, second) => second.score - first.score,
   );
   for (const { worker, count } of bestFirst) {
-    if (selection.length === want) break;
+    if (selection.length === taskCount) break;
     const inZone = counts.get(worker.zone) ?? 0;
-    const places = Math.max(
+    const slots = Math.max(
       0,
-      Math.min(count, want - selection.length, zoneLimit - inZone),
+      Math.min(count, taskCount - selection.length, zoneLimit - inZone),
     );
-    for (let place = 0; place < places; place++) selection.push(worker);
-    counts.set(worker.zone, inZone + places);
+    for (let slot = 0; slot < slots; slot++) selection.push(worker);
+    counts.set(worker.zone, inZone + slots);
   }
   return selection;
 }
 
-/** Higher is better: its image is there, unreserved, little left over. */
+/** Rates a machine for a task of the job; higher is better. */
 function scoreOf(
   job: JobRun,
   worker: Worker,
-  room: Resources,
+  available: Resources,
   isReserved: boolean,
 ): number {
   const spec = job.view.spec;
@@ -199,7 +199,7 @@
   for (const task of worker.tasks.values())
     if (task.job.view.spec.image === spec.image) score += SAME_IMAGE_TASK_BONUS;
   const leftover = worker.type
-    ? (room.cpus - spec.cpus) / (worker.type.cpus || 1)
+    ? (available.cpus - spec.cpus) / (worker.type.cpus || 1)
     : 0;
   return score - leftover * LEFTOVER_PENALTY;
 }
--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -1,6 +1,6 @@
 /**
- * Leads one partition: wires scheduling, scale-in and -out, quota, reconciliation and completion around one
- * `PartitionState`, and takes in heartbeats and job changes for all of them.
+ * Leads one partition: connects scheduling, scale-in and -out, quota, reconciliation and completion through one
+ * `PartitionState`, and receives heartbeats and job changes for all of them.
  */
 
 import type { Context } from "../context.js";
@@ -36,7 +36,7 @@
   type Worker,
 } from "../machines/worker-state.js";
 
-/** Delay that a worker is asked to keep before it repeats a heartbeat that could not be taken. */
+/** Delay after which a worker is asked to send another heartbeat if one could not be used. */
 const RETRY_AFTER_S = 1;
 
 const STALE_ANSWER: Answer = {
@@ -46,8 +46,8 @@
 };
 
 /**
- * The leader of one partition under one fencing token. It alone starts tasks on the partition's machines. It begins with
- * what the store holds and learns from heartbeats what runs; it is dropped as soon as the token is lost.
+ * The leader of one partition under one fencing token. Only it starts tasks on the partition's machines. It begins with
+ * the records in the store, learns from heartbeats which tasks run, and is dropped as soon as the token is lost.
  */
 export class PartitionLeader {
   readonly state: PartitionState;
@@ -65,7 +65,7 @@
   private readonly contradictions: RateLimitedLog;
   private readonly inspection: MachineInspection;
   private readonly commandSender: CommandSender;
-  /** Heartbeats that were no newer than what was known. */
+  /** Number of heartbeats ignored because they were no newer than the known status, or came from a returned machine. */
   staleHeartbeats = 0;
 
   constructor(
@@ -102,8 +102,8 @@
       new Preemption(ctx, state, this.quota, scaleOut, this.reclaims),
     );
     this.completion = new JobCompletion(ctx, state);
-    const failures = new FailureTracker(ctx, state, (worker, why) =>
-      this.autoscaler.returnWorker(worker, why),
+    const failures = new FailureTracker(ctx, state, (worker, reason) =>
+      this.autoscaler.returnWorker(worker, reason),
     );
     this.reconciliation = new Reconciliation(
       ctx,
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Whether a machine marked for return was returned is not known: it is returned once more, and once the cloud says that
-   * it is gone, the failover fence does not wait for it any more.
+   * Returns the machines that a former leader marked for return, since it is not known whether it returned them. Once the
+   * cloud confirms that such a machine is gone, the failover fence no longer waits for it.
    */
   private resumeReturns(): void {
     for (const [id, entry] of this.state.registry.machines())
@@ -143,19 +143,19 @@
         );
   }
 
-  /** Times that a heartbeat said nothing of a task because the answer to its start had overtaken it. */
+  /** Number of heartbeats that lacked a task because they were made before the worker answered its start command. */
   get overtakenHeartbeats(): number {
     return this.reconciliation.overtakenHeartbeats;
   }
 
   // ---- jobs ----------------------------------------------------------------------------------------------
 
-  /** Takes over what the store cache holds of a job. `predatesLeader`: it was there before this leader's token. */
+  /** Updates a job from the store cache. `predatesLeader`: the job existed before this leader acquired its token. */
   syncJob(view: JobView, predatesLeader = false): void {
     const assigned = view.assignment.get(this.partition) ?? RangeSet.empty();
-    const known = this.state.jobs.get(view.id);
-    if (!known && assigned.isEmpty) return;
-    const job = known ?? this.addJob(view, predatesLeader);
+    const existing = this.state.jobs.get(view.id);
+    if (!existing && assigned.isEmpty) return;
+    const job = existing ?? this.addJob(view, predatesLeader);
     const written = this.ctx.cache
       .finishedByPartition(view.id)
       .get(this.partition);
@@ -167,7 +167,7 @@
     if (transfer && view.revision > transfer.change.baseRevision)
       job.pendingTransfer = null;
     job.assigned = assigned.clone();
-    // A gang's tasks complete together, in whichever partition it was seen first.
+    // A gang's tasks complete together, so a completion written by any partition applies to all of them.
     if (
       view.spec.kind === "gang" &&
       this.ctx.cache.finishedByPartition(view.id).size > 0
@@ -184,7 +184,7 @@
     return job;
   }
 
-  /** The job is over, or no longer assigned to this partition: whatever still runs of it is stopped. */
+  /** Removes a job that has ended or is no longer assigned to this partition, and stops its running tasks. */
   removeJob(id: string): void {
     const job = this.state.jobs.get(id);
     if (!job) return;
@@ -199,23 +199,23 @@
   // ---- heartbeats ----------------------------------------------------------------------------------------
 
   /**
-   * Takes over the status of the tasks on a machine and answers with the commands for it. May only be called while the
-   * leadership lease is valid.
+   * Updates the status of a machine and its tasks from a heartbeat, and answers with the commands for it. May only be called
+   * while the leadership lease is valid.
    */
   handleHeartbeat(heartbeat: Heartbeat): Answer {
-    const known = this.state.workers.get(heartbeat.worker);
-    const untimely = known
-      ? this.answerToUntimely(known, heartbeat)
-      : this.answerToGone(heartbeat);
-    if (untimely) return untimely;
-    const worker = known ?? this.addWorker(heartbeat);
+    const knownWorker = this.state.workers.get(heartbeat.worker);
+    const earlyAnswer = knownWorker
+      ? this.answerIfUnusable(knownWorker, heartbeat)
+      : this.answerIfReturned(heartbeat);
+    if (earlyAnswer) return earlyAnswer;
+    const worker = knownWorker ?? this.addWorker(heartbeat);
     const wasUsable = this.state.isUsable(worker);
     this.noteHeartbeat(worker, heartbeat);
     this.reconciliation.reconcile(worker, heartbeat.tasks);
-    if (heartbeat.token === this.token) this.state.accountFor(worker.id);
+    if (heartbeat.token === this.token) this.state.markAccountedFor(worker.id);
     this.state.noteIdle(worker);
     this.saveBeforeReclaim(worker);
-    // A heartbeat alone does not call for a scheduling round: what it frees, ends or loses has already asked for one.
+    // A heartbeat alone requires no scheduling round: one was already requested if it showed that a task ended or is lost.
     if (!wasUsable && this.state.isUsable(worker))
       this.state.needsScheduling = true;
     if (this.deliveries.mayProbe(worker)) this.inspection.inspect(worker);
@@ -224,8 +224,8 @@
     return this.answerWithCommands(worker);
   }
 
-  /** The answer to a heartbeat of a known worker that may not be taken for news; null: it is news. */
-  private answerToUntimely(
+  /** The answer to a heartbeat of a known worker that must not update its status; null if it may. */
+  private answerIfUnusable(
     worker: Worker,
     heartbeat: Heartbeat,
   ): Answer | null {
@@ -239,14 +239,14 @@
     return STALE_ANSWER;
   }
 
-  /** The answer to a heartbeat of a machine that was returned; null: the machine is new. */
-  private answerToGone(heartbeat: Heartbeat): Answer | null {
+  /** The answer to a heartbeat of a machine that was returned; null if the machine is new. */
+  private answerIfReturned(heartbeat: Heartbeat): Answer | null {
     if (!this.autoscaler.isReturned(heartbeat.worker)) return null;
     this.noteStale(heartbeat, null);
     return STALE_ANSWER;
   }
 
-  /** Names are not given twice, and a machine does not change: whoever sent this, nothing is learnt from it. */
+  /** Names are unique and machines do not change, so a heartbeat that contradicts the known machine is ignored, whoever sent it. */
   private answerToContradiction(worker: Worker, heartbeat: Heartbeat): Answer {
     const { type, zone, spot } = heartbeat;
     this.contradictions.warn(
@@ -261,11 +261,12 @@
     };
   }
 
-  /** The former life of a machine that restarted may have sent this heartbeat: the machine itself is queried. */
+  /** Answers a heartbeat that a restarted machine may have sent before its restart: the machine's status is queried. */
   private answerToAmbiguous(worker: Worker, heartbeat: Heartbeat): Answer {
     if (this.deliveries.mayInspect(worker, false))
       this.inspection.inspect(worker);
-    // Invariant (ran_twice): a start that an incarnation which is not known yet carries out would be taken for lost with the one before.
+    // Invariant (ran_twice): an incarnation that is not known yet gets no commands. If it carried out a start, the task would
+    // be considered lost with the incarnation before.
     if (heartbeat.incarnation > worker.incarnation)
       return {
         kind: "retryLater",
@@ -276,7 +277,7 @@
     return this.answerWithCommands(worker);
   }
 
-  /** A late message: its task list is as old as itself, and the worker doesn't wait for the answer any more. */
+  /** Counts and logs a late heartbeat: its task list is outdated, and the worker no longer waits for the answer. */
   private noteStale(heartbeat: Heartbeat, worker: Worker | null): void {
     this.staleHeartbeats++;
     this.ctx.log("stale heartbeat ignored", {
@@ -303,7 +304,7 @@
     const id = heartbeat.worker;
     const worker = newWorker(heartbeat, {
       type: this.ctx.catalog?.find((t) => t.name === heartbeat.type) ?? null,
-      // One that nobody has heard of may be a late copy of a machine that is gone: it has to show first that it receives.
+      // The heartbeat of an unknown machine may be a late copy from one that is gone: it must first prove that it receives.
       isProven: registry.has(id) || this.autoscaler.scaleOut.booting.has(id),
       isReturning: registry.isReturnWritten(id),
       nowMs: this.ctx.nowMs,
@@ -313,7 +314,7 @@
     return worker;
   }
 
-  /** Takes over everything that a heartbeat says of the worker itself; its tasks are reconciled afterwards. */
+  /** Updates the worker itself from its heartbeat; its tasks are reconciled afterwards. */
   private noteHeartbeat(worker: Worker, heartbeat: Heartbeat): void {
     const isNewIncarnation = heartbeat.incarnation > worker.incarnation;
     this.deliveries.noteHeartbeat(worker, heartbeat, isNewIncarnation);
@@ -321,7 +322,7 @@
       this.state.startIncarnation(worker, heartbeat.incarnation);
     this.logHigherToken(worker, heartbeat);
     this.noteLiveness(worker, heartbeat);
-    this.renewLease(worker);
+    this.noteLeaseRenewal(worker);
     if (!worker.type) this.lookUpType(worker);
     this.state.registerUnlessReturning(worker);
   }
@@ -348,7 +349,7 @@
     worker.lastHeardMs = now;
   }
 
-  private renewLease(worker: Worker): void {
+  private noteLeaseRenewal(worker: Worker): void {
     if (!worker.leaseExpired) return;
     worker.leaseExpired = false;
     this.ctx.log("worker returned after lease expiry", {
@@ -357,14 +358,14 @@
     });
   }
 
-  /** The catalog may have come after the worker's first heartbeat. */
+  /** Looks up the worker's type again, since the catalog may have been read only after its first heartbeat. */
   private lookUpType(worker: Worker): void {
     worker.type =
       this.ctx.catalog?.find((t) => t.name === worker.typeName) ?? null;
     worker.free = null;
   }
 
-  /** A spot machine that is about to be reclaimed: tasks that can save a checkpoint do so just in time. */
+  /** On a spot machine that is about to be reclaimed, stops the tasks that can save a checkpoint just in time to do so. */
   private saveBeforeReclaim(worker: Worker): void {
     if (worker.reclaimedAtMs === null) return;
     const remainingS = (worker.reclaimedAtMs - this.ctx.nowMs) / 1000;
@@ -386,29 +387,29 @@
     return commandsForWorker(worker, this.state.jobs);
   }
 
-  /** Sends commands that should not wait for the next heartbeat straight to the machines. */
+  /** Sends commands that should not wait for the next heartbeat directly to the machines. */
   sendCommands(): void {
     this.commandSender.sendUndelivered();
   }
 
   // ---- scheduling and time -------------------------------------------------------------------------------
 
-  /** Scheduling rounds made so far. */
+  /** Number of scheduling rounds run so far. */
   get schedulingRounds(): number {
     return this.scheduler.rounds;
   }
 
-  /** Runs a scheduling round if something has changed that calls for one. */
+  /** Runs a scheduling round if one is needed and due. */
   runSchedulingRound(): void {
     this.scheduler.runRound();
   }
 
-  /** Periodic work. `limitsAgreed`: all live controllers go by the same limits. */
+  /** Periodic work. `limitsAgreed`: all live controllers use the same team limits. */
   tick(limitsAgreed: boolean): void {
     this.state.expireLeases();
     for (const job of this.state.jobs.values()) {
       this.completion.tick(job);
-      this.rebalancer.send(job);
+      this.rebalancer.sendTransfer(job);
     }
     this.state.registry.flush();
     this.scheduler.tick();
@@ -425,7 +426,7 @@
   }
 }
 
-/** A name is given to one machine only, and type, zone and kind of a machine never change. */
+/** Whether a heartbeat matches its known machine: a name belongs to one machine only, whose type, zone and kind never change. */
 function isSameMachine(worker: Worker, heartbeat: Heartbeat): boolean {
   return (
     worker.typeName === heartbeat.type &&
--- a/src/coordination/scheduling/partition-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -1,5 +1,5 @@
 /**
- * The state that all parts of a partition's leader share: workers, jobs, the ledger of used resources, the machine registry
+ * The state that all components of a partition's leader share: workers, jobs, the ledger of used resources, the machine registry
  * and the failover fence.
  */
 
@@ -22,21 +22,21 @@
 import { MachineRegistry } from "../machines/machine-registry.js";
 import type { JobRun, TaskRun, Worker } from "../machines/worker-state.js";
 
-/** Waited beyond a worker lease and the drift of clocks, for the granularity of timers. */
+/** Added to a worker lease and the clock drift, for the granularity of timers. */
 const LEASE_EXPIRY_MARGIN_MS = 1_000;
-/** A machine list counts from this time after the leader began: it has to show every machine that was up before. */
+/** A machine list counts only from this long after the leader began, since it must show every machine that was up before. */
 const MACHINE_LIST_MARGIN_MS = 500;
-/** A worker that fell silent is left out of the partition's reachability so long after its last answer, once its lease expired. */
-const FORGOTTEN_AFTER_MS = 60_000;
-/** A worker is expected to take commands until it has missed so many heartbeat intervals, and a margin for the network. */
+/** A worker whose lease expired no longer counts for the partition's reachability this long after its last answered heartbeat. */
+const SILENT_WORKER_IGNORED_AFTER_MS = 60_000;
+/** A worker is reachable for this many heartbeat intervals, plus a margin for the network, after its last answered one. */
 const REACHABLE_INTERVALS = 2;
 const REACHABLE_MARGIN_MS = 1_000;
-/** Silent machines that the log names when a failover is complete. */
+/** At most this many silent machines are logged when a failover is complete. */
 const MAX_LOGGED_MACHINES = 10;
-/** Share of a partition's machines that may be replaced at a time for receiving nothing. */
+/** Share of a partition's machines that may be replaced at the same time because they are unreachable. */
 const MAX_REPLACED_SHARE = 0.1;
 
-/** Why a task counts no longer as being on its machine. */
+/** Why a task no longer counts as being on its machine. */
 export type ReleaseReason =
   | "exited"
   | "missing from its worker"
@@ -47,29 +47,29 @@
   | "machine restarted"
   | "machine returned";
 
-/** Machines that may take tasks, and the names of those among them that are reserved for short tasks. */
+/** Machines that may take tasks, and the ids of those among them that are reserved for short tasks. */
 export interface UsableWorkers {
   usable: readonly Worker[];
   reserved: ReadonlySet<string>;
 }
 
 /**
- * What the leader of a partition knows under its fencing token: machines, jobs, what is or may be on the machines, what is
- * reserved for whom, and what a former leader may have left running. All parts of a leader read it and change it by the
- * methods offered here, which keep it consistent; none of them owns a part of it, and nothing here calls any of them.
+ * What the leader of a partition knows under its fencing token: machines, jobs, tasks that are or may be on the machines,
+ * reservations, and tasks that a former leader may have left running. All components of a leader read it and change it
+ * through its methods, which keep it consistent. None of them owns a part of it, and it calls none of them.
  */
 export class PartitionState {
   readonly workers = new Map<string, Worker>();
   readonly jobs = new Map<string, JobRun>();
   readonly ledger = new ResourceLedger();
   readonly registry: MachineRegistry;
-  /** Something changed that placement depends on. */
+  /** Something that placement depends on has changed since the last scheduling round. */
   needsScheduling = true;
-  /** Machines with commands that were not sent to them yet. */
+  /** Machines with commands that have not been sent to them yet. */
   readonly workersWithPendingCommands = new Set<Worker>();
-  /** Machines whose free resources a gang reserved in the last scheduling round. */
-  readonly reservedForGangs = new Set<Worker>();
-  /** What a former leader may have left running; null: all of it is accounted for. */
+  /** Machines whose free resources were reserved for a gang in the last scheduling round. */
+  readonly workersReservedForGangs = new Set<Worker>();
+  /** Machines on which a former leader's tasks may still run; null once all of them are accounted for. */
   private failoverFence: FailoverFence | null;
   private lastUsable: UsableWorkers = { usable: [], reserved: new Set() };
   private readonly startedMs: number;
@@ -98,12 +98,12 @@
     this.failoverFence = fence.isCleared ? null : fence;
   }
 
-  /** Every commit of a leader depends on its fencing token, so that a late one changes nothing after a failover. */
+  /** Commits on condition that the fencing token is still valid, so that a late commit changes nothing after a failover. */
   commit(
     conditions: Condition[],
     writes: Write[],
     priority: CallPriority,
-    done: (end: TransactionOutcome) => void,
+    done: (outcome: TransactionOutcome) => void,
   ): void {
     this.ctx.commit(
       [
@@ -118,7 +118,7 @@
 
   // ---- tasks ---------------------------------------------------------------------------------------------
 
-  /** A task is not on its machine any more: it waits again, unless it is finished or no longer this partition's. */
+  /** Removes a task from its machine and queues it again, unless it is finished or no longer assigned to this partition. */
   requeue(task: TaskRun, reason: ReleaseReason): void {
     const { job, index } = task;
     this.logRelease(task, reason);
@@ -146,7 +146,7 @@
     });
   }
 
-  /** What waits of a job: all of this partition's part that is neither finished, nor on a machine, nor being transferred. */
+  /** Recomputes a job's waiting tasks: those assigned here that are neither finished, nor on a machine, nor being transferred. */
   recomputeWaiting(job: JobRun): void {
     const waiting = job.assigned.clone();
     waiting.removeAll(job.finished);
@@ -158,15 +158,15 @@
     this.needsScheduling = true;
   }
 
-  /** Stops a task with so much time to save; a stop that was asked for with no more time than that stands. */
-  stop(task: TaskRun, graceS: number, why: string): void {
+  /** Requests that a task is stopped, with `graceS` to save a checkpoint; an earlier request with no more time stays in force. */
+  stop(task: TaskRun, graceS: number, reason: string): void {
     if (task.stop && task.stop.graceS <= graceS) return;
-    task.stop = { graceS, reason: why };
+    task.stop = { graceS, reason };
     this.workersWithPendingCommands.add(task.worker);
     this.ctx.log("stopping task", {
       task: taskKey(task.job.id, task.index),
       worker: task.worker.id,
-      reason: why,
+      reason,
     });
   }
 
@@ -175,12 +175,12 @@
       !job.isOver &&
       !job.waiting.isEmpty &&
       this.ctx.nowMs >= job.backoffUntilMs &&
-      // See FailoverFence: a task of an older record may be running on a machine that has not reported yet.
+      // See FailoverFence: tasks of a job from before this leader may be running on machines that have not reported yet.
       !(this.failoverFence && job.predatesLeader)
     );
   }
 
-  /** All tasks of the job wait here, and nothing of it is or may be on a machine of the partition. */
+  /** Whether all tasks of the job wait here, and none of them is or may be on a machine of the partition. */
   isWhollyWaiting(job: JobRun): boolean {
     return (
       job.waiting.size === job.view.spec.tasks &&
@@ -196,12 +196,14 @@
   }
 
   /**
-   * Tasks by which a job yields to smaller ones in the queues: those of an array that are unfinished in any partition. By its
-   * own waiting part alone, each partition served another array first, and with little to share all had begun and few ended.
+   * The size of a job, in tasks, by which the queues order it behind smaller jobs: for an array, its unfinished tasks in all
+   * partitions. When only the tasks waiting in the partition itself counted, each partition served another array first: with
+   * little capacity, all arrays had begun and few had ended.
    */
   unfinishedTasks(job: JobRun): number {
     const { spec } = job.view;
-    // Parts of one gang wait for each other: ordered by its own size, one part reserved machines long before the other's turn.
+    // The parts of a spread gang wait for each other. Ordered by their own sizes, one part reserved machines long before the
+    // turn of the other.
     if (spec.kind === "gang" && spec.spread) return spec.tasks;
     if (spec.kind !== "array" || !this.ctx.tuning.fleetOrder)
       return job.waiting.size;
@@ -211,15 +213,15 @@
     );
   }
 
-  /** Tasks that wait, by kind of machine. */
+  /** Waiting tasks, by the kind of machine that they need. */
   backlog(): Backlog {
     return backlogOf(this.jobs.values());
   }
 
-  /** What each team uses in this partition, counting all that may be running. */
+  /** Resources that each team uses in this partition, including all tasks that may be running. */
   usage(): Map<string, ResourceUse> {
     const used = this.ledger.useByTeam();
-    // Of any team: it counts against the limit of each.
+    // These resources may be used by any team, so they count against the limit of each.
     const unattributed = this.ledger.maxUseOfUnknownTasks();
     if (this.failoverFence) {
       for (const job of this.jobs.values()) {
@@ -238,8 +240,8 @@
   }
 
   /**
-   * What a team uses by the word of machines that have not shown this leader's token: a heartbeat of a former incarnation, or of a
-   * machine that is gone, may come late and name tasks that nobody runs any more.
+   * Resources that a team uses according to machines that have not shown this leader's token. A late heartbeat of a former
+   * incarnation, or of a machine that is gone, may list tasks that no longer run.
    */
   useReportedUnderOtherTokens(team: string): ResourceUse {
     const use: ResourceUse = { cpus: 0, gpus: 0 };
@@ -257,27 +259,27 @@
 
   // ---- machines ------------------------------------------------------------------------------------------
 
-  /** Notes since when nothing is on a machine, or may be. */
+  /** Updates since when no task is or may be on a machine. */
   noteIdle(worker: Worker): void {
     if (worker.tasks.size + worker.unconfirmedTasks.size > 0)
       worker.idleSinceMs = null;
     else worker.idleSinceMs ??= this.ctx.nowMs;
   }
 
-  /** All that was on a machine is gone from it: its tasks wait again. */
-  releaseAll(worker: Worker, why: ReleaseReason): void {
+  /** Queues all tasks of a machine again, since none of them is on it any more. */
+  releaseAll(worker: Worker, reason: ReleaseReason): void {
     if (worker.tasks.size > 0)
       this.ctx.log("tasks lost with worker incarnation", {
         worker: worker.id,
         tasks: worker.tasks.size,
-        reason: why,
+        reason,
       });
-    for (const task of [...worker.tasks.values()]) this.requeue(task, why);
+    for (const task of [...worker.tasks.values()]) this.requeue(task, reason);
     this.ledger.clearUnconfirmed(worker);
     this.noteIdle(worker);
   }
 
-  /** A new incarnation: the worker has killed and forgotten all its tasks, and takes no older message any more. */
+  /** Begins a new incarnation of a worker, which has killed and forgotten all its tasks and accepts no older messages. */
   startIncarnation(worker: Worker, incarnation: number): void {
     this.releaseAll(worker, "new incarnation");
     worker.incarnation = incarnation;
@@ -286,13 +288,13 @@
     worker.exited = [];
   }
 
-  /** Lists a machine in the registry, which it must be in before its first task starts. */
+  /** Adds a machine to the registry, which must happen before its first task starts, unless it is being returned. */
   registerUnlessReturning(worker: Worker): void {
     if (worker.isReturning) return;
     this.registry.set(worker.id, { isReturning: false, type: worker.typeName });
   }
 
-  /** Heard lately enough to expect that it takes commands. */
+  /** Whether a worker's last answered heartbeat is recent enough to expect that it accepts commands. */
   private isReachable(worker: Worker): boolean {
     const maxSilenceMs =
       REACHABLE_INTERVALS * this.ctx.settings.reportS * 1000 +
@@ -303,7 +305,7 @@
     );
   }
 
-  /** Whether most of its workers have not been heard of for longer than a heartbeat and its retry take. */
+  /** Whether most workers of the partition have been silent for longer than a heartbeat and its retry take. */
   isMostlyUnreachable(): boolean {
     const limitMs = maxHeartbeatGapMs(this.ctx.settings.reportS);
     let silent = 0;
@@ -311,7 +313,7 @@
     for (const worker of this.workers.values()) {
       if (
         worker.leaseExpired &&
-        this.ctx.nowMs - worker.lastAnsweredMs > FORGOTTEN_AFTER_MS
+        this.ctx.nowMs - worker.lastAnsweredMs > SILENT_WORKER_IGNORED_AFTER_MS
       )
         continue;
       total++;
@@ -321,7 +323,7 @@
     return silent * 2 > total;
   }
 
-  /** Machines whose heartbeats arrive but that receive nothing, as far as known, longest first. */
+  /** Machines whose heartbeats arrive but that apparently receive nothing, the longest unreachable first. */
   unreachableMachines(): Worker[] {
     const unreachable: { worker: Worker; sinceMs: number }[] = [];
     for (const worker of this.workers.values()) {
@@ -333,7 +335,7 @@
     return unreachable.map(({ worker }) => worker);
   }
 
-  /** How many unreachable machines may be replaced at a time. */
+  /** How many unreachable machines may be replaced at the same time. */
   maxConcurrentReplacements(): number {
     return Math.max(1, Math.ceil(this.workers.size * MAX_REPLACED_SHARE));
   }
@@ -357,7 +359,7 @@
     const usable: Worker[] = [];
     for (const worker of this.workers.values())
       if (this.isUsable(worker)) usable.push(worker);
-    // Which are reserved follows from which are usable: mostly the same as the last time, several times a second.
+    // The reserved machines follow from the usable ones, which seldom change between the several calls per second.
     const last = this.lastUsable;
     const isUnchanged =
       usable.length === last.usable.length &&
@@ -367,7 +369,7 @@
     return this.lastUsable;
   }
 
-  /** Reserved for short tasks: the machines of each type that come last by name. */
+  /** Ids of the machines reserved for short tasks: of each type, the ones whose ids sort last. */
   private reservedAmong(usable: readonly Worker[]): Set<string> {
     const idsByType = new Map<string, string[]>();
     for (const worker of usable) {
@@ -384,10 +386,10 @@
     return reserved;
   }
 
-  /** What is reserved for a gang or a job is not there for others. */
+  /** Whether a machine is reserved for a gang or a job, so that its free resources are not available to others. */
   isReservedForOther(worker: Worker): boolean {
     return (
-      this.reservedForGangs.has(worker) ||
+      this.workersReservedForGangs.has(worker) ||
       (worker.reservedFor !== null &&
         this.ctx.nowMs < worker.reservedFor.untilMs)
     );
@@ -395,13 +397,13 @@
 
   // ---- failover ------------------------------------------------------------------------------------------
 
-  /** Whether tasks that a former leader started may be running unaccounted for. */
+  /** Whether tasks that a former leader started may be running on machines that are not accounted for. */
   get isFenced(): boolean {
     return this.failoverFence !== null;
   }
 
-  /** Nothing of a former leader runs on this machine that is not known: it has reported under this token, or is gone. */
-  accountFor(id: string): void {
+  /** Lifts the failover fence for a machine that has reported under this token or is gone: it runs no unknown tasks. */
+  markAccountedFor(id: string): void {
     if (!this.failoverFence) return;
     this.failoverFence.noteAccountedFor(id);
     this.liftClearedFence();
@@ -412,11 +414,11 @@
       this.liftFence(this.failoverFence, "every machine has reported");
   }
 
-  private liftFence(fence: FailoverFence, why: string): void {
+  private liftFence(fence: FailoverFence, reason: string): void {
     this.ctx.log("failover complete", {
       partition: this.partition,
       token: this.token,
-      reason: why,
+      reason,
       silent: fence.unaccountedMachines().slice(0, MAX_LOGGED_MACHINES),
       afterMs: Math.round(this.ctx.nowMs - this.startedMs),
     });
@@ -426,15 +428,15 @@
   }
 
   /**
-   * Past its lease a machine has killed all its tasks and takes no older message: nothing may run there until it has
-   * reported and is in the registry again. Left in the registry, machines that are gone made every later leader wait for a
-   * whole lease (docs/incidents/tremorline-grown-crashes.md).
+   * Removes a machine from the registry. Past its lease it has killed all its tasks and accepts no older message, so nothing
+   * can run there until it has reported and is in the registry again. When machines that were gone stayed in the registry,
+   * every later leader waited for a whole lease (docs/incidents/tremorline-grown-crashes.md).
    */
-  forgetMachine(id: string): void {
+  deregister(id: string): void {
     if (!this.registry.isReturnWritten(id)) this.registry.remove(id);
   }
 
-  /** The cloud has said that these machines are gone, with everything on them. */
+  /** Removes machines that are gone according to the cloud, with everything on them. */
   removeMachines(ids: readonly string[]): void {
     for (const id of ids) {
       const worker = this.workers.get(id);
@@ -443,15 +445,15 @@
         this.workers.delete(id);
       }
       this.registry.remove(id);
-      this.accountFor(id);
+      this.markAccountedFor(id);
     }
   }
 
   /**
-   * The cloud's list of this partition's machines, as it was at `asOfMs` or later. A machine of the former leader was up
-   * before this one began, and once listed it stays so until it is gone with everything on it: what a list of this leader's
-   * time does not show is not waited for. One machine that was taken without notice held up each failover of hundreds for
-   * a whole lease.
+   * Takes the cloud's list of this partition's machines, as it was at `asOfMs` or later. Machines of the former leader were
+   * up before this leader began, and the cloud lists a machine until it is gone with everything on it. So a failover does
+   * not wait for machines that are missing from a list made since. Without this rule, one machine reclaimed without notice
+   * held up each failover of hundreds of machines for a whole lease.
    */
   noteMachineList(
     machines: ReadonlyMap<string, ListedMachine>,
@@ -463,8 +465,8 @@
     for (const id of fence.unaccountedMachines()) {
       if (machines.has(id) || this.workers.has(id)) continue;
       this.ctx.log("machine of former leader is gone", { worker: id });
-      this.forgetMachine(id);
-      this.accountFor(id);
+      this.deregister(id);
+      this.markAccountedFor(id);
     }
   }
 
@@ -483,7 +485,7 @@
     this.liftClearedFence();
   }
 
-  /** Worker leases that have ended: of the machines that a failover waits for, and of those that fell silent. */
+  /** Handles expired worker leases, both of machines that a failover waits for and of workers that fell silent. */
   expireLeases(): void {
     const leaseMs =
       this.ctx.settings.leaseS * 1000 * CLOCK_DRIFT_FACTOR +
@@ -495,15 +497,17 @@
   }
 
   private expireFence(fence: FailoverFence): void {
-    // Invariant (ran_twice): a machine that has reported, though not under this token yet, may run tasks: it stays.
+    // Invariant (ran_twice): a machine that has reported, though not under this token yet, may run tasks, so it stays in the
+    // registry.
     for (const id of fence.unaccountedMachines())
-      if (!this.workers.has(id)) this.forgetMachine(id);
+      if (!this.workers.has(id)) this.deregister(id);
     this.liftFence(fence, "leases of silent machines have ended");
   }
 
   /**
-   * Invariant (ran_twice): a machine that was back at once begins a new lease, under the incarnation that it had before if
-   * that was its first: a start sent straight to it is carried out then. Its lease began before that command ended.
+   * Invariant (ran_twice): a machine that restarted at once begins a new lease, under the same incarnation as before if that
+   * was its first, and then carries out a start command that was sent directly to it. That lease began before the command
+   * ended, so the machine's lease counts from the end of its last such command at the earliest.
    */
   private isLeaseOver(worker: Worker, leaseMs: number): boolean {
     if (worker.leaseExpired || worker.commandInFlight) return false;
@@ -521,7 +525,7 @@
       tasks: worker.tasks.size,
     });
     this.releaseAll(worker, "lease ended");
-    this.forgetMachine(worker.id);
+    this.deregister(worker.id);
   }
 }
 
@@ -535,15 +539,15 @@
   );
 }
 
-/** Adds so many tasks of this need to what a team uses. */
+/** Adds `tasks` tasks that each need `need` to what a team uses. */
 function addUse(
   used: Map<string, ResourceUse>,
   team: string,
   need: ResourceUse,
-  tasks: number,
+  taskCount: number,
 ): void {
   const teamUse = used.get(team) ?? { cpus: 0, gpus: 0 };
-  teamUse.cpus += need.cpus * tasks;
-  teamUse.gpus += need.gpus * tasks;
+  teamUse.cpus += need.cpus * taskCount;
+  teamUse.gpus += need.gpus * taskCount;
   used.set(team, teamUse);
 }
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,10 +1,10 @@
 /**
- * Where tasks fit: arithmetic on resources, and the rules on machine types, zones and prices. Owns no state but what
- * `UnplaceableCache` keeps for one scheduling round.
+ * Where tasks fit: arithmetic on resources, and the rules on machine types, zones and prices. Owns no state except the
+ * requests that an `UnplaceableCache` records during one scheduling round.
  */
 import type { JobSpec, MachineType } from "../model.js";
 
-/** Amounts are sums of decimal numbers: comparisons allow for this rounding error. */
+/** Amounts of resources are sums of decimal fractions, so comparisons tolerate this rounding error. */
 export const EPSILON = 1e-6;
 
 /** Resources of a task or a machine. */
@@ -14,39 +14,39 @@
   memGb: number;
 }
 
-/** Whether a task of this need has room. */
-export const fits = (need: Resources, room: Resources): boolean =>
-  need.cpus <= room.cpus + EPSILON &&
-  need.gpus <= room.gpus + EPSILON &&
-  need.memGb <= room.memGb + EPSILON;
+/** Whether one task that needs `need` fits into `free`. */
+export const fits = (need: Resources, free: Resources): boolean =>
+  need.cpus <= free.cpus + EPSILON &&
+  need.gpus <= free.gpus + EPSILON &&
+  need.memGb <= free.memGb + EPSILON;
 
-/** Tasks without any need are bounded by this a machine. */
+/** Maximum number of tasks per machine if they need no resources at all. */
 const MAX_TASKS_WITHOUT_NEED = 1_000;
 
-/** How many tasks of this need go into this room. */
-export function fitCount(need: Resources, room: Resources): number {
+/** How many tasks that each need `need` fit into `free`. */
+export function fitCount(need: Resources, free: Resources): number {
   const count = Math.min(
-    fitCountOf(need.cpus, room.cpus),
-    fitCountOf(need.gpus, room.gpus),
-    fitCountOf(need.memGb, room.memGb),
+    fitCountOf(need.cpus, free.cpus),
+    fitCountOf(need.gpus, free.gpus),
+    fitCountOf(need.memGb, free.memGb),
   );
   return count === Infinity ? MAX_TASKS_WITHOUT_NEED : Math.max(0, count);
 }
 
-const fitCountOf = (need: number, room: number): number =>
-  need > 0 ? Math.floor((room + EPSILON) / need) : Infinity;
+const fitCountOf = (need: number, free: number): number =>
+  need > 0 ? Math.floor((free + EPSILON) / need) : Infinity;
 
-/** How many tasks go into what is left of a limit, which counts no memory. */
+/** How many tasks fit into what remains of a team's limit, which does not cover memory. */
 export const fitWithinLimit = (
   need: Resources,
-  left: { cpus: number; gpus: number },
+  remaining: { cpus: number; gpus: number },
 ): number =>
   fitCount(
     { cpus: need.cpus, gpus: need.gpus, memGb: 0 },
-    { cpus: left.cpus, gpus: left.gpus, memGb: 0 },
+    { cpus: remaining.cpus, gpus: remaining.gpus, memGb: 0 },
   );
 
-/** The type, zone and kind that a job's tasks may run on. */
+/** Whether a job's tasks may run on machines of this type and zone, spot or ordinary. */
 export function isAllowedOn(
   spec: JobSpec,
   type: string,
@@ -72,13 +72,13 @@
   );
 }
 
-/** How much dearer a place on an accelerated machine may be than one on a plain machine, for plain work. */
+/** For a task that needs no accelerator: how many times as much a slot on an accelerated machine may cost as on a plain one. */
 const MAX_PRICE_RATIO = 2;
 
 /**
- * Machines with accelerators are for work that needs them, the dearest and the scarcest there are: plain work gets
- * one only where a place on it costs about as much as on a plain machine (a cheap spot offer), or where no plain
- * machine could run it.
+ * Whether a type of machine is suitable for a job's tasks. Machines with accelerators are the most expensive and the
+ * scarcest, so a job that needs no accelerator uses one only if a slot on it costs about as much as on a plain machine (a
+ * cheap spot offer), or if no plain machine could run the job.
  */
 export function isSuitable(
   spec: JobSpec,
@@ -88,12 +88,12 @@
 ): boolean {
   if (!type || spec.gpus > 0 || type.gpus === 0) return true;
   const price = spot ? type.spotPrice : type.price;
-  const pricePerPlace = price / Math.max(1, fitCount(spec, type));
-  return pricePerPlace <= plainPricePerPlace(spec, catalog) * MAX_PRICE_RATIO;
+  const pricePerSlot = price / Math.max(1, fitCount(spec, type));
+  return pricePerSlot <= plainPricePerSlot(spec, catalog) * MAX_PRICE_RATIO;
 }
 
-/** The lowest price of a place on a machine without accelerators; Infinity: none can run the job. */
-function plainPricePerPlace(
+/** The lowest price of a slot on a machine without accelerators; Infinity if none can run the job. */
+function plainPricePerSlot(
   spec: JobSpec,
   catalog: readonly MachineType[] | null,
 ): number {
@@ -111,11 +111,11 @@
 export const maxTasksPerZone = (spec: JobSpec): number =>
   spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
 
-/** All tasks go to one partition: gangs start together, and `samePlace` wants one zone. */
+/** Whether a partition takes all tasks of a job or none: gangs start together, and `samePlace` requires one zone. */
 export const startsWhole = (spec: JobSpec): boolean =>
   spec.kind === "gang" || spec.samePlace;
 
-/** A key of what a job asks of the place of a task: jobs that share it can use the same machines. */
+/** Key of what a job's tasks require of a machine: jobs with the same key can use the same machines. */
 export const requestKeyOf = (spec: JobSpec): string =>
   JSON.stringify([
     spec.cpus,
@@ -126,55 +126,55 @@
     spec.spot,
   ]);
 
-/** A key of a type in a zone, spot or ordinary. */
+/** Key of a machine type in a zone, spot or ordinary. */
 export const offerKey = (type: string, zone: string, spot: boolean): string =>
   `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
 
-/** A request that found no room. */
+/** A request for which there was no room. */
 interface UnplaceableRequest extends Resources {
   tasks: number;
 }
 
 /**
- * Requests that found no room in a scheduling round. Room only shrinks during one: a job that asks for the same kind of
- * place and no less of it need not search again. `machineClass`: which machines the job may use, beside what its
- * specification says.
+ * Requests for which there was no room in a scheduling round. Free capacity only shrinks during a round, so a job that has
+ * the same requirements and requests no less need not be tried. `machineClass` tells apart jobs that may use different
+ * machines for reasons other than their specification.
  */
 export class UnplaceableCache {
-  private readonly requestsByKind = new Map<string, UnplaceableRequest[]>();
+  private readonly requestsByKey = new Map<string, UnplaceableRequest[]>();
 
-  /** Remembers that a job found no room. */
+  /** Records that there was no room for a job. */
   add(spec: JobSpec, machineClass: string): void {
     if (!isComparable(spec)) return;
-    const kind = placeKindOf(spec, machineClass);
-    const requests = this.requestsByKind.get(kind) ?? [];
+    const key = requirementsKeyOf(spec, machineClass);
+    const requests = this.requestsByKey.get(key) ?? [];
     requests.push({
       cpus: spec.cpus,
       gpus: spec.gpus,
       memGb: spec.memGb,
       tasks: tasksAtOnce(spec),
     });
-    this.requestsByKind.set(kind, requests);
+    this.requestsByKey.set(key, requests);
   }
 
-  /** Whether a job that asks for no more than this one found no room. */
+  /** Whether there was no room for a job that requests no more than this one. */
   includes(spec: JobSpec, machineClass: string): boolean {
     if (!isComparable(spec)) return false;
-    const kind = placeKindOf(spec, machineClass);
-    return (this.requestsByKind.get(kind) ?? []).some(
+    const key = requirementsKeyOf(spec, machineClass);
+    return (this.requestsByKey.get(key) ?? []).some(
       (request) => fits(request, spec) && request.tasks <= tasksAtOnce(spec),
     );
   }
 }
 
-/** Jobs whose zones depend on where their other tasks are cannot be compared with others. */
+/** Whether a job can be compared with others: not if its zones depend on where its other tasks are. */
 const isComparable = (spec: JobSpec): boolean =>
   !spec.spread && (!spec.samePlace || spec.kind === "gang");
 
 const tasksAtOnce = (spec: JobSpec): number =>
   spec.kind === "gang" ? spec.tasks : 1;
 
-const placeKindOf = (spec: JobSpec, machineClass: string): string =>
+const requirementsKeyOf = (spec: JobSpec, machineClass: string): string =>
   [
     spec.machineTypes?.join("+"),
     spec.zone,
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which running tasks are stopped for a waiting job that comes first: for its higher priority, or to give a team its
- * guarantee back. Owns no state: reservations are kept on the machines, reclaims in the quota's records.
+ * Decides which running tasks are stopped for a waiting job, because of its higher priority or to restore its team's
+ * guarantee. Owns no state: reservations are kept on the machines, reclaims in the quota's records.
  */
 import type { Context } from "../context.js";
 import type { PartitionState } from "./partition-state.js";
@@ -29,9 +29,9 @@
 } from "../machines/worker-state.js";
 
 const MS_PER_S = 1_000;
-/** What stopping any task loses, in CPU seconds. */
-const RESTART_LOSS = 5;
-/** Room is reserved for so many heartbeats after the victims should be gone, and for a margin. */
+/** Work lost by stopping any task, in CPU seconds. */
+const RESTART_LOSS_CPU_S = 5;
+/** Room stays reserved for this many heartbeat intervals, plus a margin, after the victims should be gone. */
 const RESERVED_HEARTBEATS = 2;
 const RESERVATION_MARGIN_MS = 3_000;
 
@@ -44,7 +44,7 @@
     private readonly reclaims: GuaranteeReclaims,
   ) {}
 
-  /** PROTOCOL, "Preemption": for a job of higher priority, or to give a team its guarantee back. */
+  /** Whether a task may be stopped for a job of higher priority or to restore a guarantee (PROTOCOL, "Preemption"). */
   private mayPreempt(
     job: JobRun,
     task: TaskRun,
@@ -72,27 +72,33 @@
   }
 
   /**
-   * Teams that work may be taken of for the guarantee of the job's team, with how much: they are surely beyond their own,
-   * all machines and reclaims of all partitions counted, and the job fits into what its team is promised.
+   * Teams from which resources may be reclaimed for the guarantee of the job's team, with the amounts. Counting all machines
+   * and reclaims of all partitions, they surely use more than their own guarantee, and the job fits into its team's.
    */
-  private teamsToReclaimFrom(job: JobRun, want: number): ReclaimableTeams {
+  private teamsToReclaimFrom(job: JobRun, taskCount: number): ReclaimableTeams {
     const { spec } = job.view;
     const teams = new Map<string, ResourceAmounts>();
     if (
-      !this.reclaims.mayReclaim(spec.team, [spec.cpus * want, spec.gpus * want])
+      !this.reclaims.mayReclaim(spec.team, [
+        spec.cpus * taskCount,
+        spec.gpus * taskCount,
+      ])
     )
       return teams;
     for (const team of this.ctx.settings.teams.keys()) {
       if (team === spec.team) continue;
-      const left = this.reclaims.reclaimableFrom(team);
-      const [cpus, gpus] = left;
-      if (cpus > EPSILON || gpus > EPSILON) teams.set(team, left);
+      const amounts = this.reclaims.reclaimableFrom(team);
+      const [cpus, gpus] = amounts;
+      if (cpus > EPSILON || gpus > EPSILON) teams.set(team, amounts);
     }
     return teams;
   }
 
-  /** Whether any job here runs tasks that may be stopped for this one: mostly none does, and no machine need be looked at. */
-  private anyBehind(job: JobRun, reclaimable: ReclaimableTeams): boolean {
+  /** Whether any job here runs tasks that this one may preempt. Usually none does, so that no machine need be searched. */
+  private hasPreemptibleTasks(
+    job: JobRun,
+    reclaimable: ReclaimableTeams,
+  ): boolean {
     for (const running of this.partition.jobs.values())
       if (
         running.active.size > 0 &&
@@ -102,20 +108,20 @@
     return false;
   }
 
-  /** What stopping a task loses, in seconds of its CPUs. */
-  private lostWorkOf(task: TaskRun): number {
+  /** Work lost by stopping a task, in CPU seconds. */
+  private lostCpuSecondsOf(task: TaskRun): number {
     const { spec } = task.job.view;
     const ranS =
       task.phase === "running"
         ? (this.ctx.nowMs - task.phaseSinceMs) / MS_PER_S
         : 0;
     const lostS = spec.checkpointS > 0 ? spec.saveS : ranS;
-    return RESTART_LOSS + lostS * Math.max(1, spec.cpus);
+    return RESTART_LOSS_CPU_S + lostS * Math.max(1, spec.cpus);
   }
 
   /**
-   * Tasks to stop on one machine so that one of the job's fits: the least lost first; null: that can't be had there.
-   * `left`: what may still be taken of each team for a guarantee.
+   * Tasks to stop on one machine so that one of the job's fits, those that lose the least work first; null if that is not
+   * possible there. `left`: amounts that may still be reclaimed from each team; what the victims use is deducted.
    */
   private victimsOn(
     worker: Worker,
@@ -125,24 +131,27 @@
     left: Map<string, ResourceAmounts>,
   ): Victims | null {
     const spec = job.view.spec;
-    const room = { ...free };
+    const available = { ...free };
     const victims: TaskRun[] = [];
-    let loss = 0;
+    let lostCpuS = 0;
     for (const task of [...worker.tasks.values()]
       .filter((candidate) => this.mayPreempt(job, candidate, reclaimable))
       .sort(
-        (first, second) => this.lostWorkOf(first) - this.lostWorkOf(second),
+        (first, second) =>
+          this.lostCpuSecondsOf(first) - this.lostCpuSecondsOf(second),
       )) {
-      if (fits(spec, room)) break;
+      if (fits(spec, available)) break;
       if (!this.charge(task, job, left)) continue;
       victims.push(task);
-      loss += this.lostWorkOf(task);
-      addTo(room, task.job.view.spec);
+      lostCpuS += this.lostCpuSecondsOf(task);
+      addTo(available, task.job.view.spec);
     }
-    return victims.length > 0 && fits(spec, room) ? { victims, loss } : null;
+    return victims.length > 0 && fits(spec, available)
+      ? { victims, lostCpuS }
+      : null;
   }
 
-  /** Counts a task against what may be taken of its team, if it is stopped for a guarantee; false: nothing may be any more. */
+  /** Deducts a task that is stopped for a guarantee from what may be reclaimed from its team; false if nothing remains. */
   private charge(
     task: TaskRun,
     job: JobRun,
@@ -151,10 +160,10 @@
     const { spec, priority } = task.job.view;
     if (PRIORITIES.indexOf(job.view.priority) > PRIORITIES.indexOf(priority))
       return true;
-    const teamLeft = left.get(spec.team);
-    if (!teamLeft) return false;
-    const [cpus, gpus] = teamLeft;
-    // The last task may go beyond, so that no guarantee stays unmet for the size of a task.
+    const teamAmounts = left.get(spec.team);
+    if (!teamAmounts) return false;
+    const [cpus, gpus] = teamAmounts;
+    // The last task may exceed the amount, so that no guarantee stays unmet only because of the size of a task.
     const isAnyLeft =
       (spec.cpus > 0 && cpus > EPSILON) || (spec.gpus > 0 && gpus > EPSILON);
     if (!isAnyLeft) return false;
@@ -163,33 +172,33 @@
   }
 
   /**
-   * Preempts tasks for a waiting job that fits nowhere, where nothing more can be rented: on the machines where the least
-   * is lost, for a gang as many as it lacks, in one zone if it must be. The room is reserved for the job until they are
-   * gone.
+   * Preempts tasks for a waiting job that fits nowhere and for which no more machines can be rented: on the machines where
+   * the least work is lost, for a gang as many as it lacks, in one zone if the job requires it. The room is reserved for
+   * the job until the victims are gone.
    */
-  consider(
+  preemptFor(
     job: JobRun,
     workers: readonly Worker[],
     free: ReadonlyMap<Worker, Resources>,
     used: ReadonlyMap<string, ResourceUse>,
   ): void {
     const { spec } = job.view;
-    const want = spec.kind === "gang" ? spec.tasks : 1;
+    const taskCount = spec.kind === "gang" ? spec.tasks : 1;
     if (
       !this.isEligible(job) ||
-      !this.isWithinQuota(spec, want, used) ||
+      !this.isWithinQuota(spec, taskCount, used) ||
       this.hasReservation(job, workers)
     )
       return;
-    const reclaimable = this.teamsToReclaimFrom(job, want);
+    const reclaimable = this.teamsToReclaimFrom(job, taskCount);
     if (
-      !this.anyBehind(job, reclaimable) ||
+      !this.hasPreemptibleTasks(job, reclaimable) ||
       !this.scaleOut.isCapacityExhausted(spec)
     )
       return;
     const usable = workers.filter((worker) => this.mayUse(job, worker));
-    const best = this.bestCandidate(job, want, usable, free, reclaimable);
-    if (best) this.carryOut(job, want, best);
+    const best = this.bestCandidate(job, taskCount, usable, free, reclaimable);
+    if (best) this.carryOut(job, taskCount, best);
   }
 
   private isEligible(job: JobRun): boolean {
@@ -201,17 +210,17 @@
 
   private isWithinQuota(
     spec: JobSpec,
-    want: number,
+    taskCount: number,
     used: ReadonlyMap<string, ResourceUse>,
   ): boolean {
     return withinShare(
       used.get(spec.team) ?? NO_USE,
-      { cpus: spec.cpus * want, gpus: spec.gpus * want },
+      { cpus: spec.cpus * taskCount, gpus: spec.gpus * taskCount },
       this.quota.share(spec.team),
     );
   }
 
-  /** Whether room is being made for a job already. */
+  /** Whether room is already reserved for a job by an earlier preemption. */
   private hasReservation(job: JobRun, workers: readonly Worker[]): boolean {
     return workers.some(
       (worker) => worker.reservedFor?.job === job.id && this.isReserved(worker),
@@ -233,39 +242,56 @@
     );
   }
 
-  /** The tasks that lose the least, zone by zone if the job needs one. */
+  /** The tasks whose preemption loses the least work; all in one zone if the job requires it. */
   private bestCandidate(
     job: JobRun,
-    want: number,
+    taskCount: number,
     usable: readonly Worker[],
     free: ReadonlyMap<Worker, Resources>,
     reclaimable: ReclaimableTeams,
   ): Candidate | null {
     const { spec } = job.view;
     let best: Candidate | null = null;
-    for (const here of spec.samePlace ? byZone(usable) : [usable]) {
-      const rooms = here.filter((worker) => fits(spec, free.get(worker)!));
-      const lacking =
-        want -
-        rooms.reduce(
-          (places, worker) => places + fitCount(spec, free.get(worker)!),
+    for (const eligible of spec.samePlace ? byZone(usable) : [usable]) {
+      const withRoom = eligible.filter((worker) =>
+        fits(spec, free.get(worker)!),
+      );
+      const missingSlots =
+        taskCount -
+        withRoom.reduce(
+          (slots, worker) => slots + fitCount(spec, free.get(worker)!),
           0,
         );
-      if (lacking <= 0) continue;
+      if (missingSlots <= 0) continue;
       const candidate =
-        this.tasksFor(job, here, rooms, lacking, free, reclaimable) ??
-        this.gangFor(job, here, rooms, lacking, free, reclaimable);
-      if (candidate && (!best || candidate.loss < best.loss)) best = candidate;
+        this.singleTaskVictims(
+          job,
+          eligible,
+          withRoom,
+          missingSlots,
+          free,
+          reclaimable,
+        ) ??
+        this.gangVictims(
+          job,
+          eligible,
+          withRoom,
+          missingSlots,
+          free,
+          reclaimable,
+        );
+      if (candidate && (!best || candidate.lostCpuS < best.lostCpuS))
+        best = candidate;
     }
     return best;
   }
 
-  /** Single tasks, machine by machine, where the least is lost. */
-  private tasksFor(
+  /** Single tasks to stop, on the machines where the least work is lost. */
+  private singleTaskVictims(
     job: JobRun,
-    here: readonly Worker[],
-    rooms: readonly Worker[],
-    lacking: number,
+    eligible: readonly Worker[],
+    withRoom: readonly Worker[],
+    missingSlots: number,
     free: ReadonlyMap<Worker, Resources>,
     reclaimable: ReclaimableTeams,
   ): Candidate | null {
@@ -274,39 +300,43 @@
       left: Map<string, ResourceAmounts>,
     ): Victims | null =>
       this.victimsOn(worker, job, free.get(worker)!, reclaimable, left);
-    const options = here
-      .filter((worker) => !rooms.includes(worker))
+    const options = eligible
+      .filter((worker) => !withRoom.includes(worker))
       .flatMap((worker) => {
         const found = victimsOn(worker, new Map(reclaimable));
-        return found ? [{ worker, loss: found.loss }] : [];
+        return found ? [{ worker, lostCpuS: found.lostCpuS }] : [];
       })
-      .sort((first, second) => first.loss - second.loss);
-    if (options.length < lacking) return null;
-    // Chosen in this order, what may be taken of a team is charged once for all machines.
+      .sort((first, second) => first.lostCpuS - second.lostCpuS);
+    if (options.length < missingSlots) return null;
+    // The search above judged each machine alone; here what is reclaimed from a team adds up over all machines.
     const left = new Map(reclaimable);
-    const candidate: Candidate = { workers: [...rooms], victims: [], loss: 0 };
+    const candidate: Candidate = {
+      workers: [...withRoom],
+      victims: [],
+      lostCpuS: 0,
+    };
     let freed = 0;
     for (const { worker } of options) {
-      if (freed === lacking) break;
+      if (freed === missingSlots) break;
       const found = victimsOn(worker, left);
       if (!found) continue;
       freed++;
       candidate.workers.push(worker);
       candidate.victims.push(...found.victims);
-      candidate.loss += found.loss;
+      candidate.lostCpuS += found.lostCpuS;
     }
-    return freed === lacking ? candidate : null;
+    return freed === missingSlots ? candidate : null;
   }
 
   /**
-   * Where only gangs can be preempted: the one that loses the least and makes enough room, whole and by an orderly stop.
-   * One that can't save, or that other partitions have a part of, is left alone.
+   * If only gangs can be preempted: the gang that makes enough room and loses the least work, stopped as a whole with time
+   * to save a checkpoint. Gangs that can't save, or that have parts in other partitions, are not preempted.
    */
-  private gangFor(
+  private gangVictims(
     job: JobRun,
-    here: readonly Worker[],
-    rooms: readonly Worker[],
-    lacking: number,
+    eligible: readonly Worker[],
+    withRoom: readonly Worker[],
+    missingSlots: number,
     free: ReadonlyMap<Worker, Resources>,
     reclaimable: ReclaimableTeams,
   ): Candidate | null {
@@ -315,21 +345,24 @@
     for (const gang of this.partition.jobs.values()) {
       if (!this.mayPreemptGang(job, gang, reclaimable)) continue;
       const victims = [...gang.active.values()];
-      const freeing = [...freeWithout(victims, free)].filter(
-        ([worker]) => here.includes(worker) && !rooms.includes(worker),
+      const freedWorkers = [...freeWithout(victims, free)].filter(
+        ([worker]) => eligible.includes(worker) && !withRoom.includes(worker),
       );
-      const places = freeing.reduce(
-        (sum, [, room]) => sum + fitCount(spec, room),
+      const slots = freedWorkers.reduce(
+        (sum, [, available]) => sum + fitCount(spec, available),
         0,
       );
-      if (places < lacking) continue;
-      const loss = victims.reduce(
-        (sum, task) => sum + this.lostWorkOf(task),
+      if (slots < missingSlots) continue;
+      const lostCpuS = victims.reduce(
+        (sum, task) => sum + this.lostCpuSecondsOf(task),
         0,
       );
-      if (!best || loss < best.loss) {
-        const workers = [...rooms, ...freeing.map(([worker]) => worker)];
-        best = { workers, victims, loss };
+      if (!best || lostCpuS < best.lostCpuS) {
+        const workers = [
+          ...withRoom,
+          ...freedWorkers.map(([worker]) => worker),
+        ];
+        best = { workers, victims, lostCpuS };
       }
     }
     return best;
@@ -355,8 +388,8 @@
     return this.charge(tasks[0]!, job, new Map(reclaimable));
   }
 
-  /** Stops the victims; those that are stopped for a guarantee only once the reclaim is written. */
-  private carryOut(job: JobRun, want: number, candidate: Candidate): void {
+  /** Stops the victims; if any is stopped for a guarantee, only after the reclaim is written. */
+  private carryOut(job: JobRun, taskCount: number, candidate: Candidate): void {
     const { spec } = job.view;
     const graceS = Math.max(0, ...candidate.victims.map(saveTimeS));
     const stop = (): void => this.stopVictims(job, candidate, graceS);
@@ -364,7 +397,7 @@
     if (reclaimed.size === 0) return stop();
     this.reclaims.reclaim(
       spec.team,
-      [spec.cpus * want, spec.gpus * want],
+      [spec.cpus * taskCount, spec.gpus * taskCount],
       reclaimed,
       graceS,
       stop,
@@ -376,7 +409,7 @@
     { workers, victims }: Candidate,
     graceS: number,
   ): void {
-    // It may have begun, or ended, while the reclaim was written.
+    // The job may have started or ended while the reclaim was written.
     if (job.isOver || job.waiting.isEmpty) return;
     const untilMs =
       this.ctx.nowMs +
@@ -396,27 +429,27 @@
     for (const task of active) {
       const taskGraceS = isGang(task.job) ? graceS : saveTimeS(task);
       this.partition.stop(task, taskGraceS, "preempted");
-      // It does not come up elsewhere a moment later: whoever it was stopped for comes first there, too.
+      // The victim is not started elsewhere a moment later, since the job that it was stopped for comes first there, too.
       task.job.backoffUntilMs = Math.max(task.job.backoffUntilMs, untilMs);
     }
   }
 }
 
-/** Teams that work may be taken of for a guarantee, with how much. */
+/** Teams from which resources may be reclaimed for a guarantee, with the amounts. */
 type ReclaimableTeams = ReadonlyMap<string, ResourceAmounts>;
 
-/** Tasks to stop, and what that loses in CPU seconds. */
+/** Tasks to stop, and the work that this loses. */
 interface Victims {
   victims: TaskRun[];
-  loss: number;
+  lostCpuS: number;
 }
 
 interface Candidate extends Victims {
-  /** Where the room is, or will be. */
+  /** Machines that have room, or will have it once the victims are gone. */
   workers: Worker[];
 }
 
-/** What is reclaimed of each team: victims of lower priority are no reclaim. */
+/** Amounts reclaimed from each team; victims of lower priority do not count as reclaimed. */
 function reclaimedByTeam(
   job: JobRun,
   victims: readonly TaskRun[],
@@ -432,23 +465,23 @@
   return reclaimed;
 }
 
-/** What is free on the machines of some tasks once these are gone. */
+/** Free resources on the machines of `tasks` once these tasks are gone. */
 function freeWithout(
   tasks: readonly TaskRun[],
   free: ReadonlyMap<Worker, Resources>,
 ): Map<Worker, Resources> {
   const freed = new Map<Worker, Resources>();
   for (const { worker, job } of tasks) {
-    const room = freed.get(worker) ?? {
+    const available = freed.get(worker) ?? {
       ...(free.get(worker) ?? { cpus: 0, gpus: 0, memGb: 0 }),
     };
-    addTo(room, job.view.spec);
-    freed.set(worker, room);
+    addTo(available, job.view.spec);
+    freed.set(worker, available);
   }
   return freed;
 }
 
-/** Machines by zone, in the order in which the zones come up. */
+/** Machines grouped by zone, in the order in which the zones first occur. */
 function byZone(workers: readonly Worker[]): Worker[][] {
   const zones = new Set(workers.map(({ zone }) => zone));
   return [...zones].map((zone) =>
@@ -456,12 +489,12 @@
   );
 }
 
-/** A gang that loses one task loses all. */
+/** Whether a job is a gang of several tasks: if one of them stops, all do. */
 const isGang = ({ view: { spec } }: JobRun): boolean =>
   spec.kind === "gang" && spec.tasks > 1;
 
-function addTo(room: Resources, spec: Resources): void {
-  room.cpus += spec.cpus;
-  room.gpus += spec.gpus;
-  room.memGb += spec.memGb;
+function addTo(resources: Resources, added: Resources): void {
+  resources.cpus += added.cpus;
+  resources.gpus += added.gpus;
+  resources.memGb += added.memGb;
 }
--- a/src/coordination/scheduling/rebalancer.ts
+++ b/src/coordination/scheduling/rebalancer.ts
@@ -1,5 +1,5 @@
 /**
- * Moves waiting tasks of a partition to others that can start them sooner. Owns no state but when it last ran: a transfer
+ * Moves waiting tasks of a partition to others that can start them sooner. Owns only the time when it last ran; a transfer
  * in flight is kept in its `JobRun`.
  */
 import {
@@ -32,20 +32,21 @@
 } from "../jobs/partition-capacity.js";
 import type { JobRun } from "../machines/worker-state.js";
 
-/** A task waits this long in its own partition before it may move; transfers are considered this often. */
+/** Interval at which transfers are considered, and the time that a task waits in its partition before it may move. */
 const REBALANCE_INTERVAL_MS = 400;
 
 /**
- * Tasks of an array that have waited for so long go to any partition with room beside all that waits there, whoever has the
- * longest queue: a gang that does not fit, or a longer queue of work for one zone, kept them from idle machines for as long as it waited.
- * Sooner it cost deadlines: what waits there is mostly about to start.
+ * After this wait, tasks of an array may move to any partition that has room for them beside its own queue, no matter which
+ * partition has the longest queue. Before this rule, a gang that did not fit, or a longer queue of tasks for one zone, kept
+ * them from idle machines for as long as it waited. Moving them sooner made other jobs miss deadlines, since tasks that wait
+ * in the target are mostly about to start.
  */
 const LONG_WAIT_MS = 20_000;
 
-/** A job goes where others would be preempted for it only after it has waited here for longer than that takes. */
+/** A job moves to a partition where tasks would be preempted for it only after it has waited longer than preemption takes. */
 const PREEMPT_ELSEWHERE_AFTER_MS = 6_000;
 
-/** Where tasks of a job go, and how many at most. */
+/** The partition that tasks of a job move to, and how many at most. */
 interface TransferTarget {
   partition: string;
   tasks: number;
@@ -62,9 +63,9 @@
   ) {}
 
   /**
-   * Pigeon's groups keep their tasks; here an idle partition with an empty queue takes waiting ones from the partition
-   * with the longest queue. The source writes the transfer into the job's record before the target may start the tasks,
-   * and starts none of them itself from before that commit is sent.
+   * Considers transfers of waiting tasks. Pigeon's groups keep their tasks; here an idle partition with an empty queue takes
+   * waiting tasks from the partition with the longest queue. The source writes the transfer into the job's record before the
+   * target may start the tasks, and stops starting them itself before it sends that commit.
    */
   tick(): void {
     if (
@@ -103,8 +104,8 @@
       return false;
     if (spec.spread || !this.partition.mayStart(job)) return false;
     if (this.waitedMs(job) < REBALANCE_INTERVAL_MS) return false;
-    // A gang that can't start here goes to whoever holds it whole; a part of an array comes from the longest queue, but one that
-    // has waited for long does not go on waiting for what a longer queue has that can't be served elsewhere.
+    // An undivided job moves to any partition that has room for all of it. Tasks of an array move from the longest queue only,
+    // unless they have waited for long: a longer queue may consist of tasks that no other partition can run.
     if (startsWhole(spec)) return this.partition.isWhollyWaiting(job);
     return (
       this.waitedMs(job) >= LONG_WAIT_MS ||
@@ -122,7 +123,7 @@
     return true;
   }
 
-  /** The partition that has places for most of the job's tasks, or for all of them if it goes whole. */
+  /** The partition that has slots for the most tasks of the job, or for all of them if the job is undivided. */
   private partitionWithRoom(
     job: JobRun,
     headroom: ResourceUse | undefined,
@@ -139,18 +140,21 @@
       )
         continue;
       const pending = this.ctx.pendingAssignments.get(partition);
-      // What waits there does not fit, or the room would not be free, and what it holds is not written as free.
-      const places = isWhole
-        ? this.wholeAt(job, partition, capacity, usesReserved, pending)
-        : this.placesAt(job, capacity, usesReserved, pending);
-      const tasks = Math.min(places, this.allowed(spec, partition, headroom));
+      // Tasks that wait there do not compete for this room: they don't fit into it, and reserved room is not reported as free.
+      const slots = isWhole
+        ? this.undividedSlotsAt(job, partition, capacity, usesReserved, pending)
+        : this.arraySlotsAt(job, capacity, usesReserved, pending);
+      const tasks = Math.min(
+        slots,
+        this.tasksWithinLimit(spec, partition, headroom),
+      );
       if (tasks >= minTasks && (!best || tasks > best.tasks))
         best = { partition, tasks };
     }
     return best;
   }
 
-  /** Nothing is free anywhere and nothing more can be rented here: a partition with an empty queue that may still rent. */
+  /** For when nothing is free anywhere and no more can be rented here: a partition with an empty queue that may still rent. */
   private partitionToRentIn(
     job: JobRun,
     headroom: ResourceUse | undefined,
@@ -176,22 +180,25 @@
         continue;
       if (capacity.queue[backlogKindOf(spec)] > 0) continue;
       if (!fastestRentableType(spec, zones, capacity, catalog)) continue;
-      const { afterRental: soon } = slotsForUndividedJob(
+      const { afterRental } = slotsForUndividedJob(
         spec,
         zones,
         capacity,
         catalog,
         usesReserved,
       );
-      if (isWhole && soon < spec.tasks) continue;
+      if (isWhole && afterRental < spec.tasks) continue;
       const wanted = isWhole ? spec.tasks : Math.ceil(job.waiting.size / 2);
-      const tasks = Math.min(this.allowed(spec, partition, headroom), wanted);
+      const tasks = Math.min(
+        this.tasksWithinLimit(spec, partition, headroom),
+        wanted,
+      );
       if (tasks >= (isWhole ? spec.tasks : 1)) return { partition, tasks };
     }
     return null;
   }
 
-  /** Gives as many of the job's waiting tasks as the target takes and no machine is on its way for. */
+  /** Transfers as many waiting tasks as the target takes, except those for which machines are already booting here. */
   private transfer(
     job: JobRun,
     target: TransferTarget,
@@ -199,7 +206,7 @@
   ): void {
     const { spec } = job.view;
     const isWhole = startsWhole(spec);
-    // Machines that are on their way for tasks of an array would come for nothing.
+    // Otherwise machines that are booting for tasks of the array would have been rented for nothing.
     const movable = isWhole
       ? spec.tasks
       : job.waiting.size - this.scaleOut.countTasksFittingBooting(spec);
@@ -218,8 +225,8 @@
     );
   }
 
-  /** Tasks of an array that a partition has places for: one with an empty queue, or after a while with room beside its queue. */
-  private placesAt(
+  /** Tasks of an array that a partition can take: only with an empty queue or, after a long wait, with room beside its queue. */
+  private arraySlotsAt(
     job: JobRun,
     capacity: CapacityRecord,
     usesReserved: boolean,
@@ -235,10 +242,10 @@
   }
 
   /**
-   * Tasks of an undivided job that fit into a partition now; or, once it has waited for longer than preemption takes, that
-   * fit there once lower priorities are preempted, if nothing of its priority or above waits there.
+   * Tasks of an undivided job that fit into a partition now. Once the job has waited longer than preemption takes, this
+   * includes tasks that fit after lower priorities are preempted, if nothing of its priority or above waits there.
    */
-  private wholeAt(
+  private undividedSlotsAt(
     job: JobRun,
     partition: string,
     capacity: CapacityRecord,
@@ -246,7 +253,7 @@
     pending: readonly PendingAssignment[] | undefined,
   ): number {
     const { spec } = job.view;
-    const places = slotsForUndividedJob(
+    const slots = slotsForUndividedJob(
       spec,
       this.zonesFor(spec, partition),
       capacity,
@@ -254,19 +261,19 @@
       usesReserved,
       pending,
     );
-    return places.free < spec.tasks &&
+    return slots.free < spec.tasks &&
       this.waitedMs(job) > PREEMPT_ELSEWHERE_AFTER_MS &&
       backlogAhead(spec, capacity) === 0
-      ? places.afterPreemption
-      : places.free;
+      ? slots.afterPreemption
+      : slots.free;
   }
 
   /**
-   * Tasks that the team's limit would let start there, with what this partition does not use of it itself: that follows them.
-   * Work that only its limit keeps from starting went from partition to partition, each having machines free and none a part of
-   * the limit: 7,600 moves in 500 s on a day with limits of a quarter of what was asked.
+   * Tasks that the team's limit allows to start there, including the part of the limit that is unused here and follows the
+   * tasks. Without this check, tasks that only their limit kept from starting moved from partition to partition, each with
+   * free machines and none with a part of the limit: 7,600 moves in 500 s with limits of a quarter of the demand.
    */
-  private allowed(
+  private tasksWithinLimit(
     spec: JobSpec,
     partition: string,
     headroomHere: ResourceUse | undefined,
@@ -292,7 +299,7 @@
     );
   }
 
-  private move(job: JobRun, tasks: RangeSet, to: string): void {
+  private move(job: JobRun, tasks: RangeSet, target: string): void {
     for (const index of tasks)
       if (this.partition.ledger.hasUnconfirmed(job.id, index)) return;
     const value = writeJob({
@@ -301,10 +308,10 @@
         job.view.assignment,
         this.partition.partition,
         tasks,
-        to,
+        target,
       ),
     });
-    // A record in too many pieces would be refused for ever.
+    // With too many separate ranges the record is too large: the store would reject it every time.
     if (bytesOf(value) > this.ctx.settings.state.valueBytes) return;
     job.pendingTransfer = {
       tasks,
@@ -314,13 +321,13 @@
     this.ctx.log("rebalancing waiting tasks", {
       job: job.id,
       tasks: tasks.size,
-      to,
+      to: target,
     });
-    this.send(job);
+    this.sendTransfer(job);
   }
 
-  /** Sends, or sends again, the commit of a job's transfer. */
-  send(job: JobRun): void {
+  /** Sends the commit of a job's pending transfer, or sends it again after a refusal. */
+  sendTransfer(job: JobRun): void {
     const transfer = job.pendingTransfer;
     const key = jobKey(job.id);
     transfer?.change.send(
--- a/src/coordination/scheduling/round-resources.ts
+++ b/src/coordination/scheduling/round-resources.ts
@@ -1,6 +1,6 @@
 /**
- * What a scheduling round has to give: the machines, their free capacity and the teams' use. It is built when a round
- * begins and kept up to date as tasks are placed.
+ * The resources that a scheduling round works with: machines, their free capacity and the teams' use. They are collected
+ * when a round begins and updated as tasks are placed.
  */
 import type { ResourceUse } from "../machines/resource-ledger.js";
 import { freeOn, type Worker } from "../machines/worker-state.js";
@@ -8,15 +8,15 @@
 import type { Resources } from "./placement.js";
 
 export interface RoundResources {
-  /** Machines that tasks may be started on. */
+  /** Machines on which tasks may be started. */
   readonly workers: readonly Worker[];
-  /** Those of them that long tasks may use too. */
+  /** Those of them that long tasks may use, too. */
   readonly unreserved: readonly Worker[];
   /** Ids of the machines that are reserved for short tasks. */
   readonly reservedIds: ReadonlySet<string>;
   /** Free capacity of each machine, less what this round has placed or reserved there. */
   readonly free: Map<Worker, Resources>;
-  /** What each team uses of its limit, with what this round has placed or reserved. */
+  /** What each team uses of its limit, including what this round has placed or reserved. */
   readonly used: Map<string, ResourceUse>;
 }
 
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,5 +1,5 @@
 /**
- * Decides which waiting task starts on which machine of a partition (Pigeon's two queues). Owns the pace of scheduling
+ * Decides which waiting task starts on which machine of a partition (Pigeon's two queues). Owns the timing of scheduling
  * rounds and the turn of the long queue; tasks and machines are in the partition's state.
  */
 import type { Context } from "../context.js";
@@ -30,16 +30,16 @@
 import { isSpreadOverPartitions } from "./spread-gangs.js";
 
 /**
- * Rounds follow each other no faster than this: heartbeats come by the hundred a second in large partitions.
+ * Minimum interval between scheduling rounds: in large partitions, hundreds of heartbeats arrive per second.
  */
-const ROUND_INTERVAL_MS = 60;
-/** With thousands of waiting jobs a round takes longer: the pause grows by 1 ms for so many, so that rounds take little of the time. */
-const JOBS_PER_INTERVAL_MS = 5;
-/** What only time can change (back-offs, machines to avoid, high-priority work that waited) is looked at this often. */
+const MIN_ROUND_INTERVAL_MS = 60;
+/** The interval is at least 1 ms per this many jobs, so that long rounds with thousands of jobs take little of the time. */
+const JOBS_PER_MS_OF_INTERVAL = 5;
+/** Interval of rounds for what changes only with time: back-offs, machines to avoid, high-priority jobs that have waited. */
 const IDLE_ROUND_INTERVAL_MS = 1_000;
-/** A task waits this long before others are stopped for it. */
+/** A job waits at least this long before others are preempted for it. */
 const PREEMPT_AFTER_MS = 2_000;
-/** Jobs without room for which preemption is considered in one round. */
+/** Preemption is considered for at most this many jobs per round. */
 const MAX_PREEMPTING_JOBS = 3;
 const MS_PER_S = 1_000;
 
@@ -48,10 +48,10 @@
   readonly job: JobRun;
 }
 
-/** What came of the attempt to place tasks of a job. */
+/** The result of an attempt to place tasks of a job. */
 type PlacementResult =
   | { readonly kind: "placed"; readonly tasks: number }
-  /** Nothing of the job may start now, whatever room there is. */
+  /** No task of the job may start now, however much room there is. */
   | { readonly kind: "notStartable" }
   /** The machines have no room for it, or the room is reserved for it until it may start. */
   | { readonly kind: "noRoom" };
@@ -60,14 +60,14 @@
 const NO_ROOM: PlacementResult = { kind: "noRoom" };
 
 export class Scheduler {
-  /** Rounds made: tests see by it that heartbeats alone cause none. */
+  /** Number of rounds run so far, by which tests verify that heartbeats alone cause none. */
   rounds = 0;
   private readonly longQueueTurn = { shortTasksSinceLong: 0 };
   private lastRoundMs = -Infinity;
   private readonly attempts: AttemptSequence;
   private readonly gangAssembly: GangAssembly;
   private readonly reservations: GangReservations;
-  private readonly machines: MachineSelector;
+  private readonly machineSelector: MachineSelector;
   private readonly spreadGangs: SpreadGangCoordinator;
 
   constructor(
@@ -80,11 +80,15 @@
     this.attempts = new AttemptSequence(partition);
     this.gangAssembly = new GangAssembly(ctx, partition, quota);
     this.reservations = new GangReservations(partition);
-    this.machines = new MachineSelector(ctx, partition, this.reservations);
+    this.machineSelector = new MachineSelector(
+      ctx,
+      partition,
+      this.reservations,
+    );
     this.spreadGangs = new SpreadGangCoordinator(ctx, partition, this.attempts);
   }
 
-  /** What only time can change is looked at now and then. */
+  /** Requests a round if the last one was long ago, and runs one if it is due. */
   tick(): void {
     if (this.ctx.nowMs - this.lastRoundMs >= IDLE_ROUND_INTERVAL_MS)
       this.partition.needsScheduling = true;
@@ -113,8 +117,8 @@
 
   private isRoundDue(): boolean {
     const intervalMs = Math.max(
-      ROUND_INTERVAL_MS,
-      this.partition.jobs.size / JOBS_PER_INTERVAL_MS,
+      MIN_ROUND_INTERVAL_MS,
+      this.partition.jobs.size / JOBS_PER_MS_OF_INTERVAL,
     );
     return (
       this.partition.needsScheduling &&
@@ -152,21 +156,22 @@
     };
   }
 
-  /** Places tasks until no job can go on; the first jobs that could not are returned. */
+  /** Places tasks until no more can be placed; returns the first jobs without room, which may preempt others. */
   private serveQueues(
     round: SchedulingRound<ReadyJob>,
     resources: RoundResources,
   ): JobRun[] {
-    const preempting = new Set(
+    const jobsWithReservation = new Set(
       resources.workers.map((worker) => worker.reservedFor?.job),
     );
     const unplaceable = new UnplaceableCache();
     const blocked: JobRun[] = [];
     for (let head = round.head(); head; head = round.head()) {
       const { job, precedence } = head;
-      const servesOneTask = precedence === "array";
-      // Room that preemption made for a job is hidden from the others.
-      const isComparable = precedence === "no" && !preempting.has(job.id);
+      const servesOneTask = precedence === "firstTask";
+      // A job for which preemption made room has capacity that others lack, so its result does not apply to them.
+      const isComparable =
+        precedence === "no" && !jobsWithReservation.has(job.id);
       const result = this.placeUnlessUnplaceable(
         job,
         servesOneTask ? 1 : round.maxTasks(),
@@ -186,7 +191,7 @@
     return blocked;
   }
 
-  /** Places tasks of a job unless one that asked for no more found no room; only comparable jobs are judged by that. */
+  /** Places tasks of a job, unless it is comparable and this round had no room for a job that requests no more. */
   private placeUnlessUnplaceable(
     job: JobRun,
     maxTasks: number,
@@ -199,8 +204,8 @@
     const machineClass = `${isShortJob}/${this.reservations.mayBackfill(spec)}`;
     if (isComparable && unplaceable.includes(spec, machineClass))
       return NOT_STARTABLE;
-    const open = isShortJob ? resources.workers : resources.unreserved;
-    const result = this.placeTasks(job, maxTasks, open, resources);
+    const eligible = isShortJob ? resources.workers : resources.unreserved;
+    const result = this.placeTasks(job, maxTasks, eligible, resources);
     if (result.kind === "noRoom") unplaceable.add(spec, machineClass);
     return result;
   }
@@ -211,7 +216,7 @@
   ): void {
     for (const job of blocked)
       if (this.ctx.nowMs - job.waitingSinceMs > PREEMPT_AFTER_MS)
-        this.preemption.consider(job, workers, free, used);
+        this.preemption.preemptFor(job, workers, free, used);
   }
 
   // ---- one job -------------------------------------------------------------------------------------------
@@ -220,32 +225,37 @@
   private placeTasks(
     job: JobRun,
     maxTasks: number,
-    open: readonly Worker[],
+    eligible: readonly Worker[],
     resources: RoundResources,
   ): PlacementResult {
     const { spec } = job.view;
     const isGang = spec.kind === "gang";
     if (isGang && !this.hasEndedLastAttempt(job)) return NOT_STARTABLE;
     const allowed = this.tasksWithinQuota(spec, resources);
-    const want = isGang
+    const taskCount = isGang
       ? job.waiting.size
       : Math.min(maxTasks, allowed, job.waiting.size);
-    if (want === 0) return NOT_STARTABLE;
-    if (allowed < want) {
+    if (taskCount === 0) return NOT_STARTABLE;
+    if (allowed < taskCount) {
       if (this.isAssembling(job))
         this.reservations.reserveQuota(spec, resources.used);
       return NOT_STARTABLE;
     }
-    const indices = this.startableTasks(job, want);
+    const indices = this.startableTasks(job, taskCount);
     if (indices.length === 0) return NOT_STARTABLE;
-    const chosen = this.machines.select(job, indices.length, open, resources);
-    if (chosen.length === 0 || (isGang && chosen.length < want)) {
-      if (isGang && want > 1) this.reserveForGang(job, chosen, resources);
+    const chosen = this.machineSelector.select(
+      job,
+      indices.length,
+      eligible,
+      resources,
+    );
+    if (chosen.length === 0 || (isGang && chosen.length < taskCount)) {
+      if (isGang && taskCount > 1) this.reserveForGang(job, chosen, resources);
       return NO_ROOM;
     }
     const attempt = this.nextAttempt(job);
     if (attempt === null) {
-      // The other parts are not ready yet: its room is reserved until they are.
+      // The other parts of the gang are not ready yet, so the room for this one is reserved until they are.
       this.reservations.reserveFully(chosen, spec, resources.free);
       return NO_ROOM;
     }
@@ -253,7 +263,7 @@
     return { kind: "placed", tasks: chosen.length };
   }
 
-  /** A gang starts anew only when nothing of its last attempt is left; its tasks complete or fail together. */
+  /** Whether no task of a gang's last attempt is left. It starts again only then: its tasks complete or fail together. */
   private hasEndedLastAttempt(job: JobRun): boolean {
     return (
       job.active.size === 0 &&
@@ -265,11 +275,11 @@
   private isAssembling(job: JobRun): boolean {
     return (
       job.view.spec.kind === "gang" &&
-      this.gangAssembly.precedenceOf(job) === "gang"
+      this.gangAssembly.precedenceOf(job) === "assembling"
     );
   }
 
-  /** Tasks of a job that this partition's share of its team's limit has room for. */
+  /** How many tasks of a job fit into what remains of this partition's share of its team's limit. */
   private tasksWithinQuota(spec: JobSpec, { used }: RoundResources): number {
     const teamUse = used.get(spec.team) ?? NO_USE;
     const [cpus, gpus] = this.quota.share(spec.team);
@@ -279,22 +289,22 @@
     });
   }
 
-  /** Up to `want` waiting tasks. Invariant (rule ran_twice): nothing is started that may still be on some machine. */
-  private startableTasks(job: JobRun, want: number): number[] {
+  /** Selects up to `maxTasks` waiting tasks. Invariant (rule ran_twice): no task is started that may still be on some machine. */
+  private startableTasks(job: JobRun, maxTasks: number): number[] {
     const { ledger } = this.partition;
-    const lookAt =
+    const candidateCount =
       job.view.spec.kind === "gang"
-        ? want
-        : want + ledger.unconfirmedOfJob(job.id).size;
-    return [...job.waiting.take(lookAt)]
+        ? maxTasks
+        : maxTasks + ledger.unconfirmedOfJob(job.id).size;
+    return [...job.waiting.take(candidateCount)]
       .filter((index) => !ledger.hasUnconfirmed(job.id, index))
-      .slice(0, want);
+      .slice(0, maxTasks);
   }
 
   /**
-   * Reserves freed room: what a waiting gang could use already is not given to those behind it. Not at once: a large gang
-   * that keeps machines idle delays many small ones, and most of them are done before it starts. `GangAssembly` says
-   * from when on it must, so as to begin in time.
+   * Reserves the room that a waiting gang could already use, so that jobs behind it do not get it. This does not begin at
+   * once, since a large gang that keeps machines idle delays many small ones, most of which would end before it starts.
+   * `GangAssembly` determines when the gang must reserve in order to begin in time.
    */
   private reserveForGang(
     job: JobRun,
@@ -314,7 +324,7 @@
       this.reservations.reserveFully(chosen, spec, free);
   }
 
-  /** The attempt under which tasks of a job start now; null: the other parts of its gang are not ready. */
+  /** The attempt under which tasks of a job start now; null if the other parts of its gang are not ready. */
   private nextAttempt(job: JobRun): number | null {
     const { spec, assignment } = job.view;
     return isSpreadOverPartitions(spec, assignment.size)
@@ -336,8 +346,8 @@
       const index = indices[position];
       if (index === undefined) break;
       this.startTask(job, index, worker, attempt);
-      const room = free.get(worker);
-      if (room) subtract(room, spec);
+      const freeHere = free.get(worker);
+      if (freeHere) subtract(freeHere, spec);
       teamUse.cpus += spec.cpus;
       teamUse.gpus += spec.gpus;
     }
--- a/src/coordination/scheduling/scheduling-round.ts
+++ b/src/coordination/scheduling/scheduling-round.ts
@@ -9,32 +9,32 @@
   PRIORITIES,
 } from "../model.js";
 
-/** Whether a job has to begin now, and what it comes before for that: see `GangAssembly`. */
+/** Whether a job has to begin now, and which other jobs it therefore precedes: see `GangAssembly`. */
 export type Precedence =
-  /** Its turn is as the queues say. */
+  /** It need not begin now: only the order of the queues counts. */
   | "no"
-  /** First of its priority where all its places are free at this moment: nobody's machine stands idle for it. */
-  | "fit"
-  /** First of its priority, and what comes free is reserved for it: its machines are being assembled. */
-  | "gang"
-  /** One task of it before everything else: nothing of it has begun, and that costs nobody more than that task's place. */
-  | "array";
+  /** First of its priority if all its slots are free at this moment; no machine is kept idle for it. */
+  | "whenFitting"
+  /** First of its priority, and freed room is reserved for it: its machines are being assembled. */
+  | "assembling"
+  /** One of its tasks precedes everything else: none has begun yet, and other jobs lose no more than one slot. */
+  | "firstTask";
 
 /** What the queues need to know of a job that has waiting tasks in this partition. */
 export interface QueuedJob {
   spec: JobSpec;
   effectivePriority: Pick<EffectivePriority, "priority" | "readyAt">;
-  /** Tasks that put it back in its queue: see `PartitionState.unfinishedTasks`. */
+  /** Its size, by which it is ordered behind smaller jobs in its queue: see `PartitionState.unfinishedTasks`. */
   remainingTasks: number;
-  /** It can't be done any more by the time that is expected of it; others still can. */
+  /** It can no longer be done in time, so jobs that still can come first: see `isLate`. */
   late: boolean;
-  /** It has to begin now: see `GangAssembly`. */
+  /** Whether it has to begin now: see `GangAssembly`. */
   precedence: Precedence;
 }
 
 /**
- * Pigeon's classes: short tasks may use the reserved machines, long ones may not. What a start takes away is what
- * counts: of a gang that is all its tasks at once, so a large one is long although each of its tasks is not.
+ * Pigeon's classes: short tasks may use the reserved machines, long ones may not. What counts is how much a start
+ * occupies. A gang starts all its tasks at once, so a large gang is long even if each of its tasks is short.
  */
 export function isShort(spec: JobSpec, tuning: Tuning): boolean {
   if (spec.kind === "service") return false;
@@ -44,17 +44,19 @@
 }
 
 /**
- * Priority first; then what can still be in time before what can't; then by age, a job being put back by the work
- * that it still waits for: small jobs pass large ones, and nothing waits for ever.
+ * Orders jobs by priority; then those that can still be in time before those that can't; then by age, where the remaining
+ * work of a job counts against it. So small jobs pass large ones, and no job waits forever.
  */
 function compareJobs(first: QueuedJob, second: QueuedJob): number {
-  return compareByPriority(first, second) || compareByTurn(first, second);
+  return (
+    compareByPriority(first, second) || compareWithinPriority(first, second)
+  );
 }
 
-/** What has to begin now, where that costs others no more than one task's place; then priority; then what is being assembled. */
+/** Arrays whose first task has to start now come first; then higher priorities; then gangs that have to begin now. */
 function compareByPriority(first: QueuedJob, second: QueuedJob): number {
-  const isFirstArray = first.precedence === "array";
-  const isSecondArray = second.precedence === "array";
+  const isFirstArray = first.precedence === "firstTask";
+  const isSecondArray = second.precedence === "firstTask";
   if (isFirstArray !== isSecondArray) return isFirstArray ? -1 : 1;
   return (
     priorityRank(second) - priorityRank(first) ||
@@ -66,27 +68,28 @@
   PRIORITIES.indexOf(effectivePriority.priority);
 
 const PRECEDENCE_ORDER: Record<Precedence, number> = {
-  gang: 2,
-  fit: 1,
+  assembling: 2,
+  whenFitting: 1,
   no: 0,
-  array: 0,
+  firstTask: 0,
 };
 
-function compareByTurn(first: QueuedJob, second: QueuedJob): number {
+function compareWithinPriority(first: QueuedJob, second: QueuedJob): number {
   if (first.late !== second.late) return first.late ? 1 : -1;
   return (
-    turnMs(first) - turnMs(second) || (first.spec.id < second.spec.id ? -1 : 1)
+    jobOrderMs(first) - jobOrderMs(second) ||
+    (first.spec.id < second.spec.id ? -1 : 1)
   );
 }
 
-const turnMs = ({
+const jobOrderMs = ({
   effectivePriority,
   spec,
   remainingTasks,
 }: QueuedJob): number =>
   queueOrderMs(effectivePriority.readyAt, spec, remainingTasks);
 
-/** Whose turn it is, as a time of day in ms: age, less the work that is still to be done. */
+/** Position of a job in its queue, as a time of day in ms: when it became ready, plus the estimate of its remaining work. */
 export const queueOrderMs = (
   readyAt: number,
   spec: JobSpec,
@@ -94,20 +97,20 @@
 ): number => readyAt + spec.estimateS * tasks * MS_PER_S;
 
 const MS_PER_S = 1_000;
-/** Nothing is put back for being late for longer than this. */
-const MAX_LATENESS_MS = 600_000;
+/** A job that became ready longer ago than this no longer counts as late, so that it is not put last forever. */
+const LATENESS_IGNORED_AFTER_MS = 600_000;
 
-/** Estimates are often wrong by half: only a job that half of its estimate can't save is given up. */
+/** Estimates are often wrong by half: a job is late only if even this share of its estimate exceeds the time that is left. */
 const OPTIMISTIC_ESTIMATE_SHARE = 0.5;
 
-/** Whether a job can't be done any more by its deadline, or by what the objectives say of its class. */
+/** Whether a job can no longer be done by its deadline or by the objectives of its class. */
 export function isLate(
   spec: JobSpec,
   priority: EffectivePriority,
   wallMs: number,
   objectives: readonly { kind: string; class?: string; withinS?: number }[],
 ): boolean {
-  if (wallMs - priority.readyAt > MAX_LATENESS_MS) return false;
+  if (wallMs - priority.readyAt > LATENESS_IGNORED_AFTER_MS) return false;
   let { dueAt } = priority;
   for (const { kind, class: jobClass, withinS } of objectives)
     if (
@@ -122,7 +125,7 @@
 /** How a team's use compares with its guarantee, for the order between teams. */
 type TeamRank = (team: string) => { within: boolean; share: number };
 
-/** Between the first jobs of two teams, at equal priority: within its guarantee first, then the smaller share of it. */
+/** Orders the first jobs of two teams: at equal priority, teams within their guarantee first, then by their share of it. */
 function compareAcrossTeams(
   first: QueuedJob,
   second: QueuedJob,
@@ -134,18 +137,18 @@
   const firstRank = rankOf(first.spec.team);
   const secondRank = rankOf(second.spec.team);
   if (firstRank.within !== secondRank.within) return firstRank.within ? -1 : 1;
-  // Both have what they were promised, or both have not yet: for the latter it is age that counts.
+  // If both teams are beyond their guarantee, the smaller share of it comes first; if both are within, the age of the jobs.
   if (!firstRank.within && firstRank.share !== secondRank.share)
     return firstRank.share - secondRank.share;
   return compareJobs(first, second);
 }
 
-/** All jobs are in one queue where teams are not ranked. */
+/** Key of the only list of jobs if teams are not ranked. */
 const ALL_TEAMS = "";
 
-/** One queue of a partition, kept by team inside: who is first follows from what the teams use at that moment. */
+/** One queue of a partition, divided by team: which job is first depends on what the teams use at that moment. */
 class TeamQueue<T extends QueuedJob> {
-  /** Jobs of each team, last to first: taking the first away moves nothing. */
+  /** Jobs of each team in reverse order, so that removing the first one moves none of the others. */
   private readonly jobsByTeam = new Map<string, T[]>();
 
   constructor(private readonly rankOf: TeamRank | null) {}
@@ -179,7 +182,7 @@
     return best;
   }
 
-  /** Takes away the first job of a team. */
+  /** Removes the first job of a team. */
   drop(job: T): void {
     const team = this.teamOf(job);
     const jobs = this.jobsByTeam.get(team);
@@ -193,14 +196,14 @@
 }
 
 /**
- * The short and the long queue of a partition (Pigeon, section 2.2): short first, yet of every W tasks served one
- * comes from the long queue while anything waits there. A job that can't go on now leaves the round, so that
- * what stands behind it may use what it can't.
+ * The short and the long queue of a partition (Pigeon, section 2.2): short first, but one of every W tasks served comes
+ * from the long queue while jobs wait there. A job that can't be placed now leaves the round, so that jobs behind it may
+ * use what it can't.
  */
 export class SchedulingRound<T extends QueuedJob> {
-  private readonly short: TeamQueue<T>;
-  private readonly long: TeamQueue<T>;
-  /** The present head, and its queue: serving it may change whose turn is next. */
+  private readonly shortQueue: TeamQueue<T>;
+  private readonly longQueue: TeamQueue<T>;
+  /** The current head and its queue, kept because serving tasks of it may change which queue is next. */
   private currentQueue: TeamQueue<T>;
   private current: T | undefined;
 
@@ -210,43 +213,45 @@
     private readonly longQueueTurn: { shortTasksSinceLong: number },
     rankOf: TeamRank | null = null,
   ) {
-    this.short = new TeamQueue(rankOf);
-    this.long = new TeamQueue(rankOf);
-    this.currentQueue = this.short;
+    this.shortQueue = new TeamQueue(rankOf);
+    this.longQueue = new TeamQueue(rankOf);
+    this.currentQueue = this.shortQueue;
     for (const job of jobs)
-      (isShort(job.spec, tuning) ? this.short : this.long).add(job);
-    this.short.sort();
-    this.long.sort();
+      (isShort(job.spec, tuning) ? this.shortQueue : this.longQueue).add(job);
+    this.shortQueue.sort();
+    this.longQueue.sort();
   }
 
   private isLongQueueTurn(): boolean {
-    if (this.long.isEmpty) return false;
+    if (this.longQueue.isEmpty) return false;
     return (
-      this.short.isEmpty ||
+      this.shortQueue.isEmpty ||
       this.longQueueTurn.shortTasksSinceLong >= this.tuning.longEvery - 1
     );
   }
 
-  /** The job to serve next; `served` and `skip` are about it. */
+  /** The job to serve next, to which `served` and `skip` refer. */
   head(): T | undefined {
-    this.currentQueue = this.isLongQueueTurn() ? this.long : this.short;
-    // What has to begin now waits for no turn of its queue.
-    const short = this.short.first();
-    const long = this.long.first();
-    if (short && long) {
-      const isShortOrdinary = short.precedence === "no";
-      const isLongOrdinary = long.precedence === "no";
+    this.currentQueue = this.isLongQueueTurn()
+      ? this.longQueue
+      : this.shortQueue;
+    // A job that has to begin now does not wait for the turn of its queue.
+    const firstShort = this.shortQueue.first();
+    const firstLong = this.longQueue.first();
+    if (firstShort && firstLong) {
+      const isShortOrdinary = firstShort.precedence === "no";
+      const isLongOrdinary = firstLong.precedence === "no";
       if (isShortOrdinary !== isLongOrdinary)
-        this.currentQueue = isShortOrdinary ? this.long : this.short;
+        this.currentQueue = isShortOrdinary ? this.longQueue : this.shortQueue;
     }
     return (this.current = this.currentQueue.first());
   }
 
   /** Tasks of the head that may be served before the other queue has its turn. */
   maxTasks(): number {
-    if (this.currentQueue === this.long)
-      return this.short.isEmpty ? Infinity : 1;
-    return this.long.isEmpty
+    if (this.currentQueue === this.longQueue)
+      return this.shortQueue.isEmpty ? Infinity : 1;
+    return this.longQueue.isEmpty
       ? Infinity
       : Math.max(
           1,
@@ -254,15 +259,15 @@
         );
   }
 
-  /** So many tasks of the head were served. */
+  /** Notes that tasks of the head were served. */
   served(tasks: number): void {
     this.longQueueTurn.shortTasksSinceLong =
-      this.currentQueue === this.long
+      this.currentQueue === this.longQueue
         ? 0
         : this.longQueueTurn.shortTasksSinceLong + tasks;
   }
 
-  /** The head can't go on in this round. */
+  /** Removes the head from this round, since no more of its tasks can be placed. */
   skip(): void {
     if (this.current) this.currentQueue.drop(this.current);
   }
--- a/src/coordination/scheduling/spread-gang-coordinator.ts
+++ b/src/coordination/scheduling/spread-gang-coordinator.ts
@@ -18,7 +18,7 @@
     private readonly attempts: AttemptSequence,
   ) {}
 
-  /** The attempt under which this partition's part is to start now; null: not yet. */
+  /** The attempt under which this partition's part starts now; null if it does not start yet. */
   nextAttempt(job: JobRun): number | null {
     if (job.isWritingGangRecord) return null;
     const step = nextGangStep(
@@ -33,27 +33,27 @@
       case "wait":
         return null;
       case "ready":
-        this.writeReady(job, step.after);
+        this.writeReady(job, step.afterAttempt);
         return null;
-      case "call":
-        this.callAttempt(job);
+      case "announce":
+        this.announceAttempt(job);
         return null;
     }
   }
 
-  /** Records that this part is ready to follow an attempt. */
-  private writeReady(job: JobRun, after: number): void {
+  /** Writes that this part is ready for the attempt that follows `afterAttempt`. */
+  private writeReady(job: JobRun, afterAttempt: number): void {
     const key = readyKey(job.id, this.partition.partition);
     const version = this.ctx.cache.latestRevisionOf(key);
     this.commit(job, [{ key, version }], {
       op: "put",
       key,
-      value: { attempt: after },
+      value: { attempt: afterAttempt },
     });
   }
 
-  /** Records the attempt under which all parts are to start. */
-  private callAttempt(job: JobRun): void {
+  /** Writes the attempt under which all parts start. */
+  private announceAttempt(job: JobRun): void {
     this.commit(job, [], {
       op: "put",
       key: gangKey(job.id),
@@ -61,16 +61,16 @@
     });
   }
 
-  /** Conditional on the call that the write follows: one that is carried out late, after the next call, has no effect. */
+  /** Commits on condition that the job is unchanged and no attempt was announced since, so that a late commit has no effect. */
   private commit(job: JobRun, conditions: Condition[], write: Write): void {
-    const alive = { key: jobKey(job.id), version: job.view.revision };
-    const called = {
+    const jobCondition = { key: jobKey(job.id), version: job.view.revision };
+    const gangCondition = {
       key: gangKey(job.id),
       version: this.ctx.cache.gang(job.id).revision,
     };
     job.isWritingGangRecord = true;
     this.partition.commit(
-      [alive, called, ...conditions],
+      [jobCondition, gangCondition, ...conditions],
       [write],
       CallPriority.Leader,
       () => {
--- a/src/coordination/scheduling/spread-gangs.ts
+++ b/src/coordination/scheduling/spread-gangs.ts
@@ -5,18 +5,18 @@
 import type { JobSpec } from "../model.js";
 
 /**
- * The records of a gang that has a part in several partitions: all parts must start under one attempt. Each partition
- * writes that its part is ready: its tasks of the attempt before are gone, and the room is reserved. The first partition
- * by name then writes the next attempt, and each partition starts its part under it, once.
+ * The records of a gang that has parts in several partitions, all of which must start under one attempt. Each partition
+ * writes that its part is ready once its tasks of the previous attempt are gone and the room is reserved. When all parts
+ * are ready, the first partition by name announces the next attempt, and each partition starts its part under it, once.
  */
 export interface GangView {
-  /** The attempt that was called; 0: none yet. */
+  /** The last announced attempt; 0 if there was none yet. */
   attempt: number;
   revision: number;
-  /** By partition: the attempt that it is ready to follow. */
+  /** By partition: the attempt after which its part is ready to start again. */
   readyAfterAttempt: ReadonlyMap<string, number>;
 }
-/** The records of a gang for which nothing is written yet. */
+/** The view of a gang that has no records yet. */
 export const NO_GANG: GangView = {
   attempt: 0,
   revision: 0,
@@ -31,15 +31,15 @@
 
 /** What a partition does next for its part of a gang. */
 type GangStep =
-  | { kind: "ready"; after: number }
-  | { kind: "call" }
+  | { kind: "ready"; afterAttempt: number }
+  | { kind: "announce" }
   | { kind: "start"; attempt: number }
   | { kind: "wait" };
 
 /**
- * What a partition does whose part has room and nothing left on any machine. `lastAttempt`: the one under which its leader
- * has started the part. Invariant (ran_twice): the records only say when to start and under which attempt; that nothing
- * of the part is anywhere is each leader's own knowledge, as for every other job.
+ * What a partition does next whose part has room and no task left on any machine. `lastAttempt` is the attempt under which
+ * its leader last started the part. Invariant (ran_twice): the records only say when to start and under which attempt; as
+ * for every other job, each leader makes sure itself that no task of its part is on a machine.
  */
 export function nextGangStep(
   partitions: readonly string[],
@@ -49,17 +49,17 @@
 ): GangStep {
   const readyAfter = gang.readyAfterAttempt.get(partition);
   if (readyAfter !== gang.attempt) {
-    // Called after this partition said that it was ready: whoever starts late still completes the gang.
-    const isCalled = gang.attempt > 0 && readyAfter !== undefined;
-    return isCalled && lastAttempt !== gang.attempt
+    // The attempt was announced after this partition wrote that it was ready: even a late start completes the gang.
+    const isAnnounced = gang.attempt > 0 && readyAfter !== undefined;
+    return isAnnounced && lastAttempt !== gang.attempt
       ? { kind: "start", attempt: gang.attempt }
-      : { kind: "ready", after: gang.attempt };
+      : { kind: "ready", afterAttempt: gang.attempt };
   }
   const [first] = [...partitions].sort();
   const areAllReady = partitions.every(
     (name) => gang.readyAfterAttempt.get(name) === gang.attempt,
   );
   return first === partition && areAllReady
-    ? { kind: "call" }
+    ? { kind: "announce" }
     : { kind: "wait" };
 }
--- a/test/coordination/components.test.ts
+++ b/test/coordination/components.test.ts
@@ -54,12 +54,12 @@
   dueS: 900,
 };
 const SPEC = (over: Partial<JobSpec> = {}): JobSpec => {
-  const p = parseJob(JSON.stringify(JOB));
-  assert.ok(p.ok);
-  return { ...p.value.spec, ...over };
+  const parsed = parseJob(JSON.stringify(JOB));
+  assert.ok(parsed.ok);
+  return { ...parsed.value.spec, ...over };
 };
 
-test("range sets agree with plain sets", () => {
+test("a RangeSet holds the same numbers as a plain Set after random additions and removals", () => {
   const rng = new Rng(1);
   for (let round = 0; round < 200; round++) {
     const a = RangeSet.empty();
@@ -89,20 +89,20 @@
   }
 });
 
-test("finished ranges fit a value, however scattered, and come back whole", () => {
+test("completion blocks fit the value limit however scattered the finished tasks are, and are read back unchanged", () => {
   const set = RangeSet.empty();
   for (let i = 0; i < 100_000; i += 2) set.add(i);
-  const back = RangeSet.empty();
+  const readBack = RangeSet.empty();
   for (let task = 0; task < 100_000; task += COMPLETION_BLOCK_SIZE) {
     const block = completionBlockOf(task);
     const text = JSON.stringify(writeCompletion(tasksInBlock(set, block)));
     assert.ok(text.length <= 1_024, `${text.length}`);
-    back.addAll(readCompletion(JSON.parse(text), block)!);
+    readBack.addAll(readCompletion(JSON.parse(text), block)!);
   }
-  assert.deepEqual(back.pairs(), set.pairs());
+  assert.deepEqual(readBack.pairs(), set.pairs());
 });
 
-test("a job's record comes back as it was", () => {
+test("a job record is read back as it was written", () => {
   const job = {
     spec: SPEC(),
     acceptedAt: 17,
@@ -116,11 +116,14 @@
     dependsOn: ["req-1", "req-2"],
     releasedAt: null,
   };
-  for (const j of [job, waiting])
-    assert.deepEqual(readJob(JSON.parse(JSON.stringify(writeJob(j)))), j);
+  for (const record of [job, waiting])
+    assert.deepEqual(
+      readJob(JSON.parse(JSON.stringify(writeJob(record)))),
+      record,
+    );
 });
 
-test("jobs: what is missing, ill-typed or out of range is refused, unknown fields are not", () => {
+test("parseJob rejects missing, ill-typed and out-of-range fields and ignores unknown ones", () => {
   assert.ok(parseJob(JSON.stringify({ ...JOB, novel: 1 })).ok);
   const bad: [string, unknown][] = [
     ["id", "req-"],
@@ -146,15 +149,15 @@
     ["awaits", Array.from({ length: 65 }, (_, i) => `req-${i}`)],
   ];
   for (const [field, value] of bad) {
-    const got = parseJob(JSON.stringify({ ...JOB, [field]: value }));
+    const parsed = parseJob(JSON.stringify({ ...JOB, [field]: value }));
     assert.ok(
-      !got.ok && got.error.startsWith(field),
-      `${field}=${String(value)}: ${JSON.stringify(got)}`,
+      !parsed.ok && parsed.error.startsWith(field),
+      `${field}=${String(value)}: ${JSON.stringify(parsed)}`,
     );
   }
   const awaits = (list: unknown): unknown => {
-    const got = parseJob(JSON.stringify({ ...JOB, awaits: list }));
-    return got.ok ? got.value.dependsOn : got.error;
+    const parsed = parseJob(JSON.stringify({ ...JOB, awaits: list }));
+    return parsed.ok ? parsed.value.dependsOn : parsed.error;
   };
   assert.deepEqual(
     [
@@ -169,7 +172,7 @@
     assert.ok(!parseJob(text).ok, text);
 });
 
-test("reports: malformed ones are refused", () => {
+test("parseHeartbeat rejects malformed heartbeats", () => {
   const good = {
     berth: "n-1",
     address: "10.1.0.2:9000",
@@ -182,9 +185,11 @@
     recallS: null,
     shards: [{ shard: "req-1/3", try: 2, status: "exited", cause: "done" }],
   };
-  const r = parseHeartbeat(JSON.stringify(good));
-  assert.ok(r.ok && r.value.tasks[0]!.index === 3 && r.value.token === 4);
-  // A start without a task number once came back in a report and had every node refuse it: see queues.ts.
+  const parsed = parseHeartbeat(JSON.stringify(good));
+  assert.ok(
+    parsed.ok && parsed.value.tasks[0]!.index === 3 && parsed.value.token === 4,
+  );
+  // A start command without a task number once came back in a heartbeat, which every controller then rejected.
   for (const over of [
     { berth: "" },
     { watch: -1 },
@@ -198,7 +203,7 @@
     );
 });
 
-test("frames survive any cutting, and what is no frame is refused", () => {
+test("frames are read however the stream is divided, and data that is no frame is rejected", () => {
   const rng = new Rng(3);
   const all = Buffer.concat([
     encodeFrame(Frame.Ping, 0, Buffer.alloc(0)),
@@ -232,7 +237,7 @@
   assert.equal(
     new FrameReader().push(Buffer.from("GET / HTTP/1.1\r\n")),
     null,
-    "not ours",
+    "not a frame",
   );
 });
 
@@ -244,7 +249,7 @@
   precedence: "no" as const,
 });
 
-test("of every W tasks one comes from a waiting long queue, and only the head that was served is skipped", () => {
+test("one of every W tasks comes from the long queue while jobs wait there, and skip removes only the current head", () => {
   const round = new SchedulingRound(
     [queued("req-1", 10, 1), queued("req-2", 10, 2), queued("req-3", 900, 0)],
     { ...DEFAULTS, longEvery: 3 },
@@ -266,7 +271,7 @@
     "req-1",
     "req-3",
   ]);
-  // Serving may change whose turn it is; the head that can't go on is still the one that was asked for.
+  // Serving may change which queue is next, but `skip` still refers to the head that was returned last.
   const two = new SchedulingRound(
     [queued("req-1", 10, 1), queued("req-2", 10, 2), queued("req-3", 900, 0)],
     { ...DEFAULTS, longEvery: 2 },
@@ -280,7 +285,7 @@
   assert.equal(two.head()!.spec.id, "req-2");
 });
 
-test("zones without a controller are dealt out alike on every node", () => {
+test("every controller assigns zones without a controller to the same partitions", () => {
   const nodes = [
     ["n1", "a"],
     ["n2", "b"],
@@ -297,9 +302,9 @@
         zones: ["z", "a", "y", "b", "c"],
       }),
   );
-  for (const g of views)
+  for (const view of views)
     assert.deepEqual(
-      ["a", "b", "c", "y", "z", "unheard-of"].map((z) => g.partitionOf(z)),
+      ["a", "b", "c", "y", "z", "unheard-of"].map((z) => view.partitionOf(z)),
       ["n1", "n2", "n3", "n1", "n2", views[0]!.partitionOf("unheard-of")],
     );
 });
@@ -319,7 +324,7 @@
   },
 ];
 
-test("splits: every task once, gangs whole, spread capped, weighted by written room", () => {
+test("partitionJob assigns each task once, keeps gangs whole, limits spread jobs and weights by reported capacity", () => {
   const partitions = new PartitionMap({
     label: "a",
     area: "a",
@@ -343,14 +348,14 @@
       spread: false,
     });
     if (spec.kind !== "gang" && !spec.samePlace) spec.spread = rng.chance(0.4);
-    const rooms = new Map(
-      partitions.names.map((g) => [
-        g,
+    const capacities = new Map(
+      partitions.names.map((partition) => [
+        partition,
         {
           rows: [
             {
               type: "m",
-              zone: g,
+              zone: partition,
               spot: false,
               machines: 4,
               free: Array.from(
@@ -378,28 +383,28 @@
     const split = partitionJob(
       spec,
       capablePartitions(spec, TYPES, partitions),
-      rooms,
+      capacities,
       TYPES,
       true,
       new Map(),
     );
     const all = RangeSet.empty();
-    let n = 0;
-    for (const r of split.values()) {
-      all.addAll(r);
-      n += r.size;
+    let taskCount = 0;
+    for (const tasks of split.values()) {
+      all.addAll(tasks);
+      taskCount += tasks.size;
       if (spec.spread)
         assert.ok(
-          r.size <= Math.ceil(spec.tasks / 2),
-          `${r.size} of ${spec.tasks}`,
+          tasks.size <= Math.ceil(spec.tasks / 2),
+          `${tasks.size} of ${spec.tasks}`,
         );
     }
     assert.deepEqual(all.pairs(), [[0, spec.tasks - 1]]);
-    assert.equal(n, spec.tasks);
+    assert.equal(taskCount, spec.tasks);
     if (spec.kind === "gang" || spec.samePlace) assert.equal(split.size, 1);
   }
-  // Waiting accelerator tasks say nothing about room for plain ones: once they sent every job to one group.
-  const room = (free: number) => ({
+  // Waiting accelerator tasks do not reduce the room for plain ones. When they did, every job went to one partition.
+  const capacityWith = (free: number) => ({
     rows: [
       {
         type: "m",
@@ -426,9 +431,9 @@
       partitions,
     ),
     new Map([
-      ["a", room(4)],
-      ["b", room(16)],
-      ["c", room(4)],
+      ["a", capacityWith(4)],
+      ["b", capacityWith(16)],
+      ["c", capacityWith(4)],
     ]),
     TYPES,
     true,
@@ -437,36 +442,36 @@
   assert.deepEqual([...one.keys()], ["b"]);
 });
 
-test("the hold ends before the leases where these are long enough, and always in time for cancellations", () => {
-  // A controller hung for 30 s: with a hold as long as cancel_s allows, its peers took over only after its workers'
-  // leases had ended (docs/incidents/tremorline-hung-controller.md).
-  for (const [cancelS, leaseS, reportS, want] of [
+test("the store lease ends before the worker leases where these are long enough, and always in time for cancellations", () => {
+  // With a store lease as long as cancel_s allows, the peers of a controller that hung for 30 s took over only after the
+  // leases of its workers had ended (docs/incidents/tremorline-hung-controller.md).
+  for (const [cancelS, leaseS, reportS, ttlMs] of [
     [57, 27, 3, 18_250],
     [40, 10, 1, 28_000],
     [20, 12, 1, 6_000],
   ] as const) {
-    assert.equal(storeLeaseTtlMs({ cancelS, leaseS, reportS }), want);
-    assert.ok(want + leaseS * 1000 < cancelS * 1000);
+    assert.equal(storeLeaseTtlMs({ cancelS, leaseS, reportS }), ttlMs);
+    assert.ok(ttlMs + leaseS * 1000 < cancelS * 1000);
   }
 });
 
-test("less urgent calls leave part of a limit to users, and all of them go in the end", async () => {
-  // Masters' writes had used up the limit, and each user's submission waited for its next part.
+test("calls of lower priority leave part of a rate limit to user requests, and all calls are sent in the end", async () => {
+  // Writes of partition leaders used to exhaust the limit, so that each user's submission waited for it to refill.
   const limiter = new RateLimiter([200], [5], 500, [0, 0, 0.25, 0.5]);
   const ran: number[] = [];
-  const add = (urgent: number, cost: number): void =>
+  const add = (priority: number, cost: number): void =>
     limiter.add({
-      priority: urgent,
+      priority,
       cost: [cost],
       deadlineMs: performance.now() + 60_000,
-      run: () => ran.push(urgent),
+      run: () => ran.push(priority),
       refuse: () => assert.fail("refused"),
     });
   for (let i = 0; i < 20; i++) add(3, 4);
-  const before = ran.length;
-  assert.ok(before < 3, `${before} went at once`);
+  const sentAtOnce = ran.length;
+  assert.ok(sentAtOnce < 3, `${sentAtOnce} were sent at once`);
   add(1, 1);
-  assert.equal(ran.at(-1), 1, "the user's goes at once");
+  assert.equal(ran.at(-1), 1, "the user's call is sent at once");
   while (ran.length < 21) await new Promise((r) => setTimeout(r, 5));
 });
 
@@ -496,7 +501,7 @@
 list_lag_s = 3.0
 `;
 
-test("settings: limits that are to come hold from the start, where they are lower", () => {
+test("parseSettings applies announced limits from the start where they are lower", () => {
   const limits = (next: string): number[] => {
     const { state } = parseSettings(
       TOML.replace("[cluster.cloud]", `${next}\n[cluster.cloud]`),
@@ -525,7 +530,7 @@
   );
 });
 
-test("settings: one clear line for a mistake, in either file", async () => {
+test("a mistake in either settings file is reported in one clear line", async () => {
   assert.equal(parseSettings(TOML, "f").leaseS, 10);
   assert.throws(
     () =>
--- a/test/coordination/scheduling/rebalancer.test.ts
+++ b/test/coordination/scheduling/rebalancer.test.ts
@@ -6,7 +6,7 @@
 import { plainJob } from "../../scenarios/stage.js";
 import { World } from "../../simulation/world.js";
 
-/** An array of two CPUs a task, each of which runs for half a minute. */
+/** An array whose tasks need two CPUs each and run for half a minute. */
 function arrayOf(world: World, id: number, over: Partial<JobSpec>): JobSpec {
   const spec: JobSpec = {
     ...plainJob(world, id),
@@ -26,7 +26,7 @@
   return spec.id;
 }
 
-/** The same without a user who may cancel it. */
+/** Submits an array like `submitArray`, but without a user who may cancel it. */
 function submitUncancelled(
   world: World,
   id: number,
@@ -41,7 +41,7 @@
   return spec.id;
 }
 
-/** Two groups and nothing to rent: one machine in the zone of the second, six in that of the first from 8 s on. */
+/** Two partitions and nothing to rent: one machine in the second's zone, and six in the first's from 8 s on. */
 function twoPartitions(): World {
   const world = new World(5, undefined, [], 2);
   world.capacity = 0;
@@ -60,31 +60,35 @@
 }
 
 /**
- * First `waits`, which goes to the group that gets idle machines later; then work that keeps the other group busy, and an array of
- * which a part lands behind it: it has to be done in time all the same.
+ * Submits `waiting`, which goes to the partition that gets idle machines later, then work that keeps the other partition busy,
+ * and then an array, part of which is queued behind `waiting`. Checks that the array is done in time nevertheless.
  */
-function expectArrayDoneBeside(waits: Partial<JobSpec>): void {
+function expectArrayDoneBeside(waiting: Partial<JobSpec>): void {
   const world = twoPartitions();
-  let late = "";
-  world.at(2_500, () => submitArray(world, 3, { ...waits, zone: "east" }));
+  let arrayId = "";
+  world.at(2_500, () => submitArray(world, 3, { ...waiting, zone: "east" }));
   world.at(4_000, () =>
     submitArray(world, 1, { team: "red", tasks: 40, zone: "mid" }),
   );
   world.at(5_000, () => {
-    late = submitArray(world, 2, { team: "red", tasks: 60 });
+    arrayId = submitArray(world, 2, { team: "red", tasks: 60 });
   });
   world.run(160_000);
   assert.deepEqual(world.checker.broken, [], describeWorkload(world));
-  assert.equal(world.checker.told.get(late), "done", describeWorkload(world));
+  assert.equal(
+    world.checker.told.get(arrayId),
+    "done",
+    describeWorkload(world),
+  );
 }
 
-test("tasks that only their team's limit keeps waiting don't keep other work from the idle machines of their group", () => {
-  // More of them than the other group has places: they wait for their limit all the time.
+test("tasks that only their team's limit keeps waiting don't keep other jobs from the idle machines of their partition", () => {
+  // More tasks than the other partition has slots for; they wait for their team's limit throughout.
   expectArrayDoneBeside({ team: "blue", tasks: 400 });
 });
 
-test("a gang that does not fit keeps no other work from the idle machines of its group", () => {
-  // Seven tasks of a whole machine each, where there are six machines.
+test("a gang that does not fit doesn't keep other jobs from the idle machines of its partition", () => {
+  // Seven tasks that need a whole machine each, where there are six machines.
   expectArrayDoneBeside({
     team: "red",
     kind: "gang",
@@ -94,7 +98,7 @@
   });
 });
 
-test("a longer queue that only its own zone can serve keeps no other group from giving tasks to idle machines", () => {
+test("a longer queue that only its own zone can run doesn't keep another partition from moving tasks to idle machines", () => {
   const world = new World(5, undefined, [], 3);
   world.capacity = 0;
   world.runFactor = 4;
@@ -109,13 +113,13 @@
     world.at(atMs, () => ids.push(submitUncancelled(world, ids.length, over)));
   submitAt(2_500, { team: "blue", tasks: 400, zone: "east" });
   submitAt(3_500, { team: "red", tasks: 8, zone: "mid" });
-  // Most of it goes to the third group, which has nothing else to do.
+  // Most of these tasks go to the third partition, which has no other work.
   submitAt(5_000, { team: "red", tasks: 60 });
   world.at(11_000, () => {
-    const waiting = world.nodes.get("node-c")!.core.leaders.get("node-c")!;
+    const leader = world.nodes.get("node-c")!.core.leaders.get("node-c")!;
     assert.ok(
-      waiting.state.backlog().plain > 40,
-      "it waits in the third group",
+      leader.state.backlog().plain > 40,
+      "the tasks wait in the third partition",
     );
   });
   world.run(150_000);
