--- a/src/coordination/scheduling/gang-assembly.ts
+++ b/src/coordination/scheduling/gang-assembly.ts
@@ -161,7 +161,7 @@
     const unreserved = usable.filter((worker) => !reserved.has(worker.id));
     const slotsByRequest = new Map<string, Map<string, number[]>>();
     /** Slots of each zone that older gangs take first. */
-    const taken = new Map<string, number>();
+    const takenByZone = new Map<string, number>();
     const firstOfZone = new Map<string, { job: JobRun; inS: number }>();
     const assembling = new Map<string, number>();
     for (const job of gangs) {
@@ -170,11 +170,11 @@
       const slots =
         slotsByRequest.get(key) ?? this.slotsBecomingFree(spec, unreserved);
       slotsByRequest.set(key, slots);
-      const forecast = soonestAssembly(spec.tasks, slots, taken);
+      const forecast = soonestAssembly(spec.tasks, slots, takenByZone);
       // The partition has too few slots, so that reserving does not help: the gang moves, or machines are rented.
       if (!forecast) continue;
       const { zone, inS } = forecast;
-      taken.set(zone, (taken.get(zone) ?? 0) + spec.tasks);
+      takenByZone.set(zone, (takenByZone.get(zone) ?? 0) + spec.tasks);
       const first = firstOfZone.get(zone) ?? { job, inS };
       firstOfZone.set(zone, first);
       if (this.mustReserveNow(job, inS))
@@ -246,11 +246,11 @@
 function soonestAssembly(
   tasks: number,
   slotsByZone: ReadonlyMap<string, readonly number[]>,
-  taken: ReadonlyMap<string, number>,
+  takenByZone: ReadonlyMap<string, number>,
 ): AssemblyForecast | null {
   let soonest: AssemblyForecast | null = null;
   for (const [zone, slots] of slotsByZone) {
-    const inS = slots[(taken.get(zone) ?? 0) + tasks - 1];
+    const inS = slots[(takenByZone.get(zone) ?? 0) + tasks - 1];
     if (inS !== undefined && inS < (soonest?.inS ?? Infinity))
       soonest = { zone, inS };
   }
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -14,7 +14,7 @@
 
 export class GangReservations {
   /** Resources reserved for gangs that are being assembled. Tasks that end before the assembly may still use them. */
-  private readonly reservedOn = new Map<Worker, Resources>();
+  private readonly reservedByWorker = new Map<Worker, Resources>();
   /** Expected seconds until the first of the gangs with reservations is assembled. */
   private soonestAssemblyS = Infinity;
 
@@ -23,7 +23,7 @@
   /** Drops all reservations at the beginning of a round. */
   clear(): void {
     this.partition.workersReservedForGangs.clear();
-    this.reservedOn.clear();
+    this.reservedByWorker.clear();
     this.soonestAssemblyS = Infinity;
   }
 
@@ -47,8 +47,8 @@
     assembledInS: number,
   ): void {
     for (const worker of chosen) {
-      const reserved = this.reservedOn.get(worker);
-      this.reservedOn.set(worker, {
+      const reserved = this.reservedByWorker.get(worker);
+      this.reservedByWorker.set(worker, {
         cpus: (reserved?.cpus ?? 0) + spec.cpus,
         gpus: (reserved?.gpus ?? 0) + spec.gpus,
         memGb: (reserved?.memGb ?? 0) + spec.memGb,
@@ -70,7 +70,7 @@
   /** Whether a job's tasks are expected to end before any gang with reservations is assembled. */
   mayBackfill(spec: JobSpec): boolean {
     return (
-      this.reservedOn.size > 0 &&
+      this.reservedByWorker.size > 0 &&
       spec.kind === "array" &&
       spec.estimateS > 0 &&
       spec.estimateS * BACKFILL_ESTIMATE_FACTOR < this.soonestAssemblyS
@@ -79,7 +79,7 @@
 
   /** The part of a machine's free capacity that a job may use. */
   availableTo(spec: JobSpec, worker: Worker, free: Resources): Resources {
-    const reserved = this.reservedOn.get(worker);
+    const reserved = this.reservedByWorker.get(worker);
     if (!reserved || this.mayBackfill(spec)) return free;
     return {
       cpus: free.cpus - reserved.cpus,
--- a/src/coordination/scheduling/machine-selector.ts
+++ b/src/coordination/scheduling/machine-selector.ts
@@ -165,20 +165,20 @@
   tasksByZone: ReadonlyMap<string, number>,
 ): Worker[] {
   const zoneLimit = maxTasksPerZone(spec);
-  const counts = new Map(tasksByZone);
+  const tasksInZone = new Map(tasksByZone);
   const selection: Worker[] = [];
   const bestFirst = [...candidates].sort(
     (first, second) => second.score - first.score,
   );
   for (const { worker, count } of bestFirst) {
     if (selection.length === taskCount) break;
-    const inZone = counts.get(worker.zone) ?? 0;
+    const inZone = tasksInZone.get(worker.zone) ?? 0;
     const slots = Math.max(
       0,
       Math.min(count, taskCount - selection.length, zoneLimit - inZone),
     );
     for (let slot = 0; slot < slots; slot++) selection.push(worker);
-    counts.set(worker.zone, inZone + slots);
+    tasksInZone.set(worker.zone, inZone + slots);
   }
   return selection;
 }
--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -246,7 +246,7 @@
     return STALE_ANSWER;
   }
 
-  /** Names are unique and machines do not change, so a heartbeat that contradicts the known machine is ignored, whoever sent it. */
+  /** Machine names are unique and machines don't change, so a heartbeat that contradicts the known machine is ignored. */
   private answerToContradiction(worker: Worker, heartbeat: Heartbeat): Answer {
     const { type, zone, spot } = heartbeat;
     this.contradictions.warn(
@@ -266,7 +266,7 @@
     if (this.deliveries.mayInspect(worker, false))
       this.inspection.inspect(worker);
     // Invariant (ran_twice): an incarnation that is not known yet gets no commands. If it carried out a start, the task would
-    // be considered lost with the incarnation before.
+    // be considered lost with the previous incarnation and started again.
     if (heartbeat.incarnation > worker.incarnation)
       return {
         kind: "retryLater",
@@ -304,7 +304,7 @@
     const id = heartbeat.worker;
     const worker = newWorker(heartbeat, {
       type: this.ctx.catalog?.find((t) => t.name === heartbeat.type) ?? null,
-      // The heartbeat of an unknown machine may be a late copy from one that is gone: it must first prove that it receives.
+      // The heartbeat of an unknown machine may be a late copy from one that is gone, so it first has to prove that it receives.
       isProven: registry.has(id) || this.autoscaler.scaleOut.booting.has(id),
       isReturning: registry.isReturnWritten(id),
       nowMs: this.ctx.nowMs,
@@ -426,7 +426,7 @@
   }
 }
 
-/** Whether a heartbeat matches its known machine: a name belongs to one machine only, whose type, zone and kind never change. */
+/** Whether a heartbeat matches the known machine: names are unique, and a machine's type, zone and kind never change. */
 function isSameMachine(worker: Worker, heartbeat: Heartbeat): boolean {
   return (
     worker.typeName === heartbeat.type &&
--- a/src/coordination/scheduling/partition-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -1,6 +1,6 @@
 /**
- * The state that all components of a partition's leader share: workers, jobs, the ledger of used resources, the machine registry
- * and the failover fence.
+ * The state that all components of a partition's leader share: workers, jobs, the ledger of used resources, the machine
+ * registry and the failover fence.
  */
 
 import type { Condition, Write } from "../../protocol/state.js";
@@ -359,7 +359,7 @@
     const usable: Worker[] = [];
     for (const worker of this.workers.values())
       if (this.isUsable(worker)) usable.push(worker);
-    // The reserved machines follow from the usable ones, which seldom change between the several calls per second.
+    // The reserved machines depend only on the usable ones, which seldom change between calls (several per second).
     const last = this.lastUsable;
     const isUnchanged =
       usable.length === last.usable.length &&
@@ -493,7 +493,7 @@
     if (this.failoverFence && this.ctx.nowMs - this.startedMs > leaseMs)
       this.expireFence(this.failoverFence);
     for (const worker of this.workers.values())
-      if (this.isLeaseOver(worker, leaseMs)) this.expireLease(worker);
+      if (this.isLeaseExpiryDue(worker, leaseMs)) this.expireLease(worker);
   }
 
   private expireFence(fence: FailoverFence): void {
@@ -509,7 +509,7 @@
    * was its first, and then carries out a start command that was sent directly to it. That lease began before the command
    * ended, so the machine's lease counts from the end of its last such command at the earliest.
    */
-  private isLeaseOver(worker: Worker, leaseMs: number): boolean {
+  private isLeaseExpiryDue(worker: Worker, leaseMs: number): boolean {
     if (worker.leaseExpired || worker.commandInFlight) return false;
     const renewedMs = Math.max(
       worker.lastAnsweredMs,
@@ -539,7 +539,7 @@
   );
 }
 
-/** Adds `tasks` tasks that each need `need` to what a team uses. */
+/** Adds `taskCount` tasks that each need `need` to what a team uses. */
 function addUse(
   used: Map<string, ResourceUse>,
   team: string,
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -121,14 +121,14 @@
 
   /**
    * Tasks to stop on one machine so that one of the job's fits, those that lose the least work first; null if that is not
-   * possible there. `left`: amounts that may still be reclaimed from each team; what the victims use is deducted.
+   * possible there. `remaining`: amounts that may still be reclaimed from each team; what the victims use is deducted.
    */
   private victimsOn(
     worker: Worker,
     job: JobRun,
     free: Resources,
     reclaimable: ReclaimableTeams,
-    left: Map<string, ResourceAmounts>,
+    remaining: Map<string, ResourceAmounts>,
   ): Victims | null {
     const spec = job.view.spec;
     const available = { ...free };
@@ -141,7 +141,7 @@
           this.lostCpuSecondsOf(first) - this.lostCpuSecondsOf(second),
       )) {
       if (fits(spec, available)) break;
-      if (!this.charge(task, job, left)) continue;
+      if (!this.charge(task, job, remaining)) continue;
       victims.push(task);
       lostCpuS += this.lostCpuSecondsOf(task);
       addTo(available, task.job.view.spec);
@@ -155,19 +155,19 @@
   private charge(
     task: TaskRun,
     job: JobRun,
-    left: Map<string, ResourceAmounts>,
+    remaining: Map<string, ResourceAmounts>,
   ): boolean {
     const { spec, priority } = task.job.view;
     if (PRIORITIES.indexOf(job.view.priority) > PRIORITIES.indexOf(priority))
       return true;
-    const teamAmounts = left.get(spec.team);
-    if (!teamAmounts) return false;
-    const [cpus, gpus] = teamAmounts;
+    const teamRemaining = remaining.get(spec.team);
+    if (!teamRemaining) return false;
+    const [cpus, gpus] = teamRemaining;
     // The last task may exceed the amount, so that no guarantee stays unmet only because of the size of a task.
-    const isAnyLeft =
+    const hasRemaining =
       (spec.cpus > 0 && cpus > EPSILON) || (spec.gpus > 0 && gpus > EPSILON);
-    if (!isAnyLeft) return false;
-    left.set(spec.team, [cpus - spec.cpus, gpus - spec.gpus]);
+    if (!hasRemaining) return false;
+    remaining.set(spec.team, [cpus - spec.cpus, gpus - spec.gpus]);
     return true;
   }
 
@@ -297,9 +297,9 @@
   ): Candidate | null {
     const victimsOn = (
       worker: Worker,
-      left: Map<string, ResourceAmounts>,
+      remaining: Map<string, ResourceAmounts>,
     ): Victims | null =>
-      this.victimsOn(worker, job, free.get(worker)!, reclaimable, left);
+      this.victimsOn(worker, job, free.get(worker)!, reclaimable, remaining);
     const options = eligible
       .filter((worker) => !withRoom.includes(worker))
       .flatMap((worker) => {
@@ -309,7 +309,7 @@
       .sort((first, second) => first.lostCpuS - second.lostCpuS);
     if (options.length < missingSlots) return null;
     // The search above judged each machine alone; here what is reclaimed from a team adds up over all machines.
-    const left = new Map(reclaimable);
+    const remaining = new Map(reclaimable);
     const candidate: Candidate = {
       workers: [...withRoom],
       victims: [],
@@ -318,7 +318,7 @@
     let freed = 0;
     for (const { worker } of options) {
       if (freed === missingSlots) break;
-      const found = victimsOn(worker, left);
+      const found = victimsOn(worker, remaining);
       if (!found) continue;
       freed++;
       candidate.workers.push(worker);
