--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -111,7 +111,10 @@
 export const maxTasksPerZone = (spec: JobSpec): number =>
   spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
 
-/** Whether a partition takes all tasks of a job or none: gangs start together, and `samePlace` requires one zone. */
+/**
+ * Whether a job stays undivided in one partition: gangs start together, and `samePlace` requires one zone. The exception is a
+ * gang with `spread` for which no partition has enough zones.
+ */
 export const startsWhole = (spec: JobSpec): boolean =>
   spec.kind === "gang" || spec.samePlace;
 
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -29,9 +29,7 @@
 import { SpreadGangCoordinator } from "./spread-gang-coordinator.js";
 import { isSpreadOverPartitions } from "./spread-gangs.js";
 
-/**
- * Minimum interval between scheduling rounds: in large partitions, hundreds of heartbeats arrive per second.
- */
+/** Minimum interval between scheduling rounds: in large partitions, hundreds of heartbeats arrive per second. */
 const MIN_ROUND_INTERVAL_MS = 60;
 /** The interval is at least 1 ms per this many jobs, so that long rounds with thousands of jobs take little of the time. */
 const JOBS_PER_MS_OF_INTERVAL = 5;
