--- a/src/coordination/machines/autoscaler.ts
+++ b/src/coordination/machines/autoscaler.ts
@@ -1,6 +1,6 @@
 /**
- * Scale in: decides which machines of a partition go back to the cloud, from their use, their reports and the cloud's list.
- * Ties together the parts that follow machines: scale out, returns, warm capacity and the list.
+ * The autoscaler of a partition. Decides which machines are returned to the cloud, from their use, their heartbeats and the
+ * cloud's machine list, and drives scale-out, machine returns, warm capacity and the polling of the list.
  */
 import { type Context, CLOCK_DRIFT_FACTOR } from "../context.js";
 import type { JobSpec, ListedMachine } from "../model.js";
@@ -15,20 +15,20 @@
 import { WarmCapacityTracker } from "./warm-capacity.js";
 import type { Worker } from "./worker-state.js";
 
-/** The boot time of a type that the catalog does not name. */
-const UNKNOWN_BOOT_S = 60;
-/** A new machine has this long beyond its boot to send its first report. */
+/** Assumed boot time of a type that the catalog lacks. */
+const DEFAULT_BOOT_S = 60;
+/** Time that a new machine has after its boot to send its first heartbeat. */
 const FIRST_REPORT_GRACE_MS = 5_000;
-/** How much longer than its lag the list may leave out a machine that boots. */
+/** How long beyond its lag the list may omit a booting machine before that machine is forgotten. */
 const UNLISTED_BOOTING_GRACE_MS = 30_000;
-/** How much longer than its lag the list may leave out a machine whose lease expired. */
+/** How long beyond its lag the list may omit a machine with an expired lease before that machine is returned. */
 const UNLISTED_EXPIRED_GRACE_MS = 60_000;
-/** Late copies of reports come well over a lease after they were made. */
-const RETURNED_MEMORY_MS = 900_000;
-/** The list's lag may be this many times what the settings say. */
+/** How long returned machines are remembered: late copies of heartbeats may arrive well over a lease after they were made. */
+const RETURNED_RETENTION_MS = 900_000;
+/** The list's actual lag may be this many times the configured one. */
 const LIST_LAG_FACTOR = 2;
 
-/** The machines of one partition: rents what waiting work needs and returns what nothing needs. */
+/** Rents the machines that a partition's waiting work needs, and returns those that are not needed or do not work. */
 export class Autoscaler {
   readonly scaleOut: ScaleOut;
   private readonly returns: MachineReturns;
@@ -50,45 +50,45 @@
     );
   }
 
-  /** Does nothing before the catalog of machine types is known. */
+  /** Does nothing until the catalog of machine types has been read. */
   tick(): void {
     if (!this.context.catalog) return;
     this.listPoller.tick();
     this.warmCapacity.noteUse();
     this.returnUnneeded();
-    this.returns.send();
-    this.scaleOut.tick(() => this.warmCapacity.placesToKeepFree());
+    this.returns.sendDue();
+    this.scaleOut.tick(() => this.warmCapacity.capacityToKeepFree());
   }
 
-  /** A machine reported for the first time under this leader. */
+  /** Handles the first heartbeat of a machine under this leader. */
   onMachineUp(worker: Worker): void {
     const isRented = this.scaleOut.booting.delete(worker.id);
     if (!isRented) this.warmCapacity.noteFoundMachine(worker.typeName);
     if (worker.isReturning)
-      this.returnWorker(worker, "marked for return by a former master");
+      this.returnWorker(worker, "marked for return by a former leader");
   }
 
-  /** Remembers what jobs of its class need, for the capacity that is kept free. */
+  /** Remembers the requirements of the job's class, for the warm capacity. */
   noteJob(spec: JobSpec): void {
     this.warmCapacity.noteJob(spec);
   }
 
-  /** Whether the cloud has confirmed that the machine went back: whatever still comes from it is late. */
+  /** Whether the cloud has confirmed the machine's return, so that later messages from it are late. */
   isReturned(id: string): boolean {
     return this.returns.isReturned(id);
   }
 
-  /** Returns a machine that has reported; `reason` goes to the log. */
+  /** Returns a machine that has sent a heartbeat. `reason` is logged. */
   returnWorker(worker: Worker, reason: string): void {
     this.returns.returnWorker(worker, reason);
   }
 
-  /** Returns a machine that may never have reported; `reason` goes to the log. */
+  /** Returns a machine that may never have sent a heartbeat. `reason` is logged. */
   returnMachine(id: string, type: string, reason: string): void {
     this.returns.returnMachine(id, type, reason);
   }
 
-  /** Zones of this partition where the cloud has machines, sorted. */
+  /** Zones of this partition in which the catalog offers machines, sorted. */
   private zones(): string[] {
     const zones = new Set<string>();
     for (const machineType of this.context.catalog ?? [])
@@ -99,34 +99,36 @@
   }
 
   private bootS(type: string): number {
-    return machineTypeOf(this.context, type)?.bootS ?? UNKNOWN_BOOT_S;
+    return machineTypeOf(this.context, type)?.bootS ?? DEFAULT_BOOT_S;
   }
 
-  // ---- machines that nothing needs or that don't work -----------------------------------------------------
+  // ---- machines that are not needed or do not work --------------------------------------------------------
 
   private returnUnneeded(): void {
     this.returnIdle();
     this.returnSilent();
     this.returnUnreachable();
-    this.returnNeverUp();
+    this.returnNeverReported();
   }
 
   /**
-   * Idle machines are justified in two ways: by the most that were in use at once of late, where some class is expected to
-   * start sooner than such a machine boots; else for as long as booting another would take.
+   * Returns machines that have been idle for too long and that no waiting job can use. If an objective expects jobs to start
+   * sooner than such a machine boots, only the surplus over the recent peak use and the warm capacity is returned.
    */
   private returnIdle(): void {
-    const isWanted = memoizeByOffer((worker) => this.isWanted(worker));
-    const isExpected = memoizeByOffer((worker) =>
-      this.warmCapacity.isExpectedSoonerThan(
+    const isUsableByWaitingJob = memoizeByOffer((worker) =>
+      this.isUsableByWaitingJob(worker),
+    );
+    const isWarmCapacity = memoizeByOffer((worker) =>
+      this.warmCapacity.hasWaitObjectiveBelow(
         worker,
         this.bootS(worker.typeName),
       ),
     );
     const surplusByType = new Map<string, number>();
-    for (const worker of this.longestIdleFirst()) {
-      if (isWanted(worker)) continue;
-      if (isExpected(worker)) {
+    for (const worker of this.returnableIdleWorkers()) {
+      if (isUsableByWaitingJob(worker)) continue;
+      if (isWarmCapacity(worker)) {
         const type = worker.typeName;
         const surplus =
           surplusByType.get(type) ?? this.warmCapacity.countSurplus(type);
@@ -137,8 +139,8 @@
     }
   }
 
-  /** Machines that have been idle for longer than booting another would take. */
-  private longestIdleFirst(): Worker[] {
+  /** Machines that have been idle for about as long as booting another would take, the longest idle first. */
+  private returnableIdleWorkers(): Worker[] {
     const { nowMs, tuning } = this.context;
     const maxIdleMs = memoizeByOffer(
       ({ typeName }) =>
@@ -158,7 +160,7 @@
   }
 
   /** Whether some waiting task could use the machine. */
-  private isWanted(worker: Worker): boolean {
+  private isUsableByWaitingJob(worker: Worker): boolean {
     const { type, typeName, zone, spot } = worker;
     if (!type) return false;
     for (const job of this.state.jobs.values()) {
@@ -181,17 +183,17 @@
         worker.leaseExpired &&
         this.isSilentReturnDue(worker.lastAnsweredMs)
       )
-        this.returnWorker(worker, "silent for too long");
+        this.returnWorker(worker, "no heartbeat for too long");
   }
 
-  /** Machines that report but receive nothing, a few at a time. */
+  /** Returns machines whose heartbeats arrive but that receive nothing, a few at a time. */
   private returnUnreachable(): void {
     const unreachable = this.state.unreachableMachines();
-    const beingReplaced = this.state.maxConcurrentReplacements();
-    for (const worker of unreachable.slice(0, beingReplaced)) {
+    const maxReplacements = this.state.maxConcurrentReplacements();
+    for (const worker of unreachable.slice(0, maxReplacements)) {
       const sinceMs = worker.delivery.unreachableSinceMs;
       if (sinceMs !== null && this.isSilentReturnDue(sinceMs))
-        this.returnWorker(worker, "does not receive");
+        this.returnWorker(worker, "receives no messages");
     }
   }
 
@@ -200,13 +202,13 @@
     return nowMs - sinceMs > tuning.silentReturnS * 1000;
   }
 
-  private returnNeverUp(): void {
+  private returnNeverReported(): void {
     const { nowMs, tuning } = this.context;
     for (const [id, { type, rentedMs }] of this.scaleOut.booting) {
       const bootMs = this.bootS(type) * 1000;
       const maxBootMs = bootMs * tuning.bootPatience + FIRST_REPORT_GRACE_MS;
       if (nowMs - rentedMs > maxBootMs)
-        this.returnMachine(id, type, "never came up");
+        this.returnMachine(id, type, "no heartbeat after boot");
     }
   }
 
@@ -216,7 +218,7 @@
     const lagMs = this.context.settings.cloud.listLagS * 1000 * LIST_LAG_FACTOR;
     this.state.noteMachineList(list, startedMs - lagMs * CLOCK_DRIFT_FACTOR);
     for (const machine of list.values()) this.onListed(machine);
-    this.returns.forgetOlderThan(2 * lagMs + RETURNED_MEMORY_MS);
+    this.returns.forgetOlderThan(2 * lagMs + RETURNED_RETENTION_MS);
     this.forgetUnlistedBooting(list, lagMs);
     this.returnUnlisted(list, lagMs);
   }
@@ -231,8 +233,8 @@
     }
     const { booting } = this.scaleOut;
     if (this.state.workers.has(id) || booting.has(id)) return;
-    // A rental of a former leader, or one carried out late: used like any other once it comes up.
-    // One that runs already may be cut off: it has as long as a new one to send a report.
+    // Rented by a former leader, or by a request that was carried out late: used like any other machine once it is up.
+    // If it is already running, it may be disconnected: it has as long as a new machine to send a heartbeat.
     const rentedMs = state === "starting" ? nowMs - ageS * 1000 : nowMs;
     booting.set(id, { type, zone, spot, rentedMs });
   }
@@ -245,7 +247,7 @@
         booting.delete(id);
   }
 
-  /** Machines that the cloud took: their lease expired and the list does not show them. */
+  /** Returns machines that the cloud has taken away: their lease has expired and the list does not show them. */
   private returnUnlisted(list: MachineList, lagMs: number): void {
     const maxUnlistedMs = lagMs + UNLISTED_EXPIRED_GRACE_MS;
     for (const worker of this.state.workers.values())
--- a/src/coordination/machines/capacity-offers.ts
+++ b/src/coordination/machines/capacity-offers.ts
@@ -1,6 +1,6 @@
 /**
- * What the cloud may still have for this partition: offers (a machine type in a zone, spot or ordinary), which of them are
- * sold out, and how many machines a refused rental says there can be at most. Owns the memory of refusals.
+ * Tracks what the cloud can still provide to this partition. An offer is a machine type in a zone, spot or on-demand ("ordinary").
+ * Owns what refused rentals taught: which offers are sold out, and how many machines of an offer there can be at most.
  */
 import type { Context } from "../context.js";
 import type { PartitionState } from "../scheduling/partition-state.js";
@@ -13,27 +13,27 @@
   type Resources,
 } from "../scheduling/placement.js";
 
-/** Machines of a type in a zone, spot or ordinary. */
+/** Machines of one type in one zone, either spot or ordinary. */
 export interface CapacityOffer {
   type: string;
   zone: string;
   spot: boolean;
 }
 
-/** A machine that was rented and has not reported yet. */
+/** A rented machine that has not sent a heartbeat yet. */
 export interface BootingMachine extends CapacityOffer {
-  /** When it was rented, by the partition leader's clock. */
+  /** When it was rented, on the partition leader's steady clock. */
   rentedMs: number;
 }
 
-/** Free resources on a machine that is there or will be. Planning takes from `free` in place. */
-export interface Place extends CapacityOffer {
-  /** Only short jobs may use it. */
+/** Free resources of one machine, either running, booting or planned. Planning subtracts from `free` in place. */
+export interface MachineCapacity extends CapacityOffer {
+  /** Whether the machine is reserved for short jobs. */
   isReserved: boolean;
   free: Resources;
 }
 
-/** Machines that a plan asks the cloud for. */
+/** Machines of one offer that a plan requests from the cloud. */
 export interface PlannedRental extends CapacityOffer {
   count: number;
 }
@@ -43,37 +43,37 @@
   machineType: MachineType;
   zone: string;
   spot: boolean;
-  /** Infinity where nothing is known of the cloud's stock. */
+  /** Machines that can still be rented; Infinity if the cloud's stock is unknown. */
   maxMachines: number;
 }
 
-/** The most machines of an offer that this partition can expect to have, learned from a refusal. */
+/** The maximum number of machines of an offer that this partition can have, learned from a refused rental. */
 interface OfferCeiling extends CapacityOffer {
-  machines: number;
+  maxMachines: number;
   untilMs: number;
 }
 
-/** The least time for which a sold-out offer is not asked for again. */
+/** A sold-out offer is not requested again for at least this long. */
 const MIN_SOLD_OUT_PAUSE_MS = 15_000;
-/** A ceiling learned from a refusal is believed for this long: the cloud's stock changes. */
+/** A ceiling learned from a refusal expires after this time, because the cloud's stock changes. */
 const CEILING_LIFETIME_MS = 300_000;
-/** A sold-out offer is still reported to other partitions this long after its pause. */
+/** A sold-out offer is reported to other partitions until this long after its pause has ended. */
 const SOLD_OUT_REPORT_MS = 30_000;
-/** Each type in a zone is offered as spot and as ordinary machines. */
+/** Each machine type is offered in each zone as spot and as ordinary machines. */
 const OFFERS_PER_TYPE_AND_ZONE = 2;
 
-/** Whether both name the same type, zone and kind. */
+/** Whether both are the same type in the same zone, and both spot or both ordinary. */
 export const isSameOffer = (a: CapacityOffer, b: CapacityOffer): boolean =>
   a.type === b.type && a.zone === b.zone && a.spot === b.spot;
 
-/** The catalog's entry of this name; undefined before the catalog is known or when it lacks the type. */
+/** The catalog's entry for this type name; undefined before the catalog was read or if it lacks the type. */
 export const machineTypeOf = (
   context: Context,
   name: string,
 ): MachineType | undefined =>
   context.catalog?.find((machineType) => machineType.name === name);
 
-/** The offers of one partition's zones, as far as refusals tell what is left of them. */
+/** The offers in one partition's zones, and what refused rentals tell about their remaining stock. */
 export class CapacityOffers {
   private readonly soldOutUntilMs = new Map<string, number>();
   private readonly ceilings = new Map<string, OfferCeiling>();
@@ -85,14 +85,15 @@
     private readonly zones: () => string[],
   ) {}
 
-  /** The cloud granted machines of this offer: what an earlier refusal said of its size is out of date. */
+  /** The cloud granted machines of this offer, so a ceiling learned from an earlier refusal is out of date. */
   noteGranted({ type, zone, spot }: CapacityOffer): void {
     this.ceilings.delete(offerKey(type, zone, spot));
   }
 
   /**
-   * The cloud had fewer machines than asked for. The offer then rests for no less than it takes this partition to ask for
-   * all its offers within half its part of the cloud's rate limit: asking for what is not there must not delay what is.
+   * The cloud had fewer machines than requested. The offer is then paused for at least the time that this partition needs to
+   * request all its offers with half of its share of the cloud's rate limit, so that requests for sold-out offers do not
+   * delay requests for available ones.
    */
   noteSoldOut({ type, zone, spot }: CapacityOffer): void {
     const key = offerKey(type, zone, spot);
@@ -101,7 +102,7 @@
       type,
       zone,
       spot,
-      machines: this.machinesHeld({ type, zone, spot }),
+      maxMachines: this.countMachinesHeld({ type, zone, spot }),
       untilMs: nowMs + CEILING_LIFETIME_MS,
     });
     const requestsPerS = settings.cloud.rps / partitions.names.length;
@@ -114,8 +115,8 @@
     this.soldOutUntilMs.set(key, nowMs + pauseMs);
   }
 
-  /** Machines of an offer that the partition has, or that are booting. */
-  private machinesHeld(offer: CapacityOffer): number {
+  /** The number of the partition's machines of an offer: those running with a valid lease and those booting. */
+  private countMachinesHeld(offer: CapacityOffer): number {
     let count = 0;
     for (const worker of this.state.workers.values())
       if (
@@ -130,21 +131,21 @@
     return count;
   }
 
-  /** How many more machines there may be, by offer key; only offers that a refusal told something of. */
-  remaining(): Map<string, number> {
-    const remaining = new Map<string, number>();
+  /** How many more machines can be rented, by offer key. Contains only offers with a ceiling. */
+  remainingByOffer(): Map<string, number> {
+    const remainingByKey = new Map<string, number>();
     for (const [key, ceiling] of this.ceilings) {
       if (ceiling.untilMs < this.context.nowMs) this.ceilings.delete(key);
       else
-        remaining.set(
+        remainingByKey.set(
           key,
-          Math.max(0, ceiling.machines - this.machinesHeld(ceiling)),
+          Math.max(0, ceiling.maxMachines - this.countMachinesHeld(ceiling)),
         );
     }
-    return remaining;
+    return remainingByKey;
   }
 
-  /** Keys of the offers that the cloud refused of late. */
+  /** Keys of the offers that are sold out or were until `SOLD_OUT_REPORT_MS` ago. */
   recentlySoldOut(): string[] {
     const keys: string[] = [];
     for (const [key, untilMs] of this.soldOutUntilMs)
@@ -157,7 +158,7 @@
     return untilMs > this.context.nowMs;
   }
 
-  /** Whether the job may run on machines of this offer, and does not waste their accelerators. */
+  /** Whether the job may run on machines of this offer and would not waste their accelerators. */
   serves(spec: JobSpec, { type, zone, spot }: CapacityOffer): boolean {
     const machineType = machineTypeOf(this.context, type) ?? null;
     return (
@@ -167,13 +168,13 @@
   }
 
   /**
-   * Offers of these zones that the job may use and that may have machines left beyond those already planned, in the
-   * order of the catalog, then of the zones, spot before ordinary.
+   * Offers in these zones that the job may use and that may have more machines than already planned. Ordered by the catalog,
+   * then by zone, spot before ordinary.
    */
-  *rentable(
+  *rentableOffers(
     spec: JobSpec,
     zones: readonly string[],
-    remaining: ReadonlyMap<string, number>,
+    remainingByKey: ReadonlyMap<string, number>,
     planned: readonly PlannedRental[],
   ): Generator<RentableOffer> {
     const { catalog } = this.context;
@@ -190,9 +191,9 @@
           const plannedCount =
             planned.find((rental) => isSameOffer(rental, { type, zone, spot }))
               ?.count ?? 0;
-          // A remainder of 0 counts as unknown (`||`): the pause after the refusal is over, there may be any number by now.
+          // A remainder of 0 counts as unknown (`||`): the pause after the refusal is over, so the stock may have changed.
           const maxMachines =
-            (remaining.get(offerKey(type, zone, spot)) || Infinity) -
+            (remainingByKey.get(offerKey(type, zone, spot)) || Infinity) -
             plannedCount;
           if (maxMachines > 0) yield { machineType, zone, spot, maxMachines };
         }
--- a/src/coordination/machines/catalog-refresh.ts
+++ b/src/coordination/machines/catalog-refresh.ts
@@ -1,22 +1,22 @@
-/** Keeps the catalog of machine types up to date: one call to the cloud platform at a time. */
+/** Keeps the catalog of machine types up to date, with at most one call to the cloud platform in flight. */
 import type { Clock, CloudCalls, MachineCatalog } from "../context.js";
 import { CallPriority } from "../effects.js";
 
-/** The catalog is read anew after this time. */
+/** Interval between a successful read of the catalog and the next read. */
 const REFRESH_INTERVAL_MS = 60_000;
-/** After a failed read it is read again after this time. */
+/** Delay before a failed read is retried. */
 const RETRY_MS = 10_000;
-/** The same while there is no catalog at all: no job can be placed until then. */
+/** Retry delay while there is no catalog at all, because no job can be placed without one. */
 const FIRST_READ_RETRY_MS = 1_000;
 
-/** Reads the catalog again when its time has come. */
+/** Reads the catalog periodically into the shared context. */
 export class CatalogRefresh {
   private nextReadMs = 0;
   private isReading = false;
 
   constructor(private readonly ctx: Clock & CloudCalls & MachineCatalog) {}
 
-  /** Starts a read if it is time; after a failed one the catalog stays as it is. */
+  /** Starts a read if one is due. A failed read leaves the catalog unchanged. */
   tick(): void {
     if (this.isReading || this.ctx.nowMs < this.nextReadMs) return;
     this.isReading = true;
--- a/src/coordination/machines/command-sender.ts
+++ b/src/coordination/machines/command-sender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends commands to workers without waiting for their next heartbeat. Owns no state of its own: whether a message is in
- * flight and which starts are unanswered is kept with each worker.
+ * Sends commands to workers without waiting for their next heartbeat. Keeps no state of its own: each `Worker` records whether
+ * a message is in flight and which starts are unanswered.
  */
 
 import type { Context } from "../context.js";
@@ -10,25 +10,25 @@
 import type { DeliveryTracker } from "./delivery-tracker.js";
 import { attemptKey, type Worker } from "./worker-state.js";
 
-/** A message to a worker whose reply is awaited. */
+/** A message to a worker that has not been answered yet. */
 interface SentMessage {
-  /** Incarnation of the worker that it was sent to. */
+  /** The worker's incarnation when the message was sent. */
   incarnation: number;
-  /** Attempts that it starts. */
+  /** Keys of the attempts that the message starts. */
   startKeys: readonly string[];
 }
 
-/** Sends commands directly, at most one message to a worker at a time. */
+/** Sends commands directly to workers, with at most one message in flight per worker. */
 export class CommandSender {
   constructor(
     private readonly ctx: Context,
     private readonly state: PartitionState,
     private readonly deliveries: DeliveryTracker,
-    /** All commands that apply to a worker now. */
+    /** Returns all commands that currently apply to a worker. */
     private readonly commandsFor: (worker: Worker) => Command[],
   ) {}
 
-  /** Sends commands that workers have not received yet, one message to each; the rest waits for their heartbeats. */
+  /** Sends each worker its pending commands in one message. What may not be sent directly waits for the next heartbeat. */
   sendUndelivered(): void {
     for (const worker of this.state.workersWithPendingCommands) {
       this.state.workersWithPendingCommands.delete(worker);
@@ -53,7 +53,7 @@
   private send(worker: Worker, commands: Command[]): void {
     const startKeys = commands
       .filter((command) => command.op === "start")
-      .map((command) => commandKey(command));
+      .map((command) => attemptKeyOf(command));
     const message = { incarnation: worker.incarnation, startKeys };
     for (const key of startKeys) addUnansweredStart(worker, key);
     worker.commandInFlight = true;
@@ -75,9 +75,9 @@
     if (message.startKeys.length > 0)
       worker.delivery.lastCommandMs = this.ctx.nowMs;
     if (reply.kind === "answered") this.deliveries.noteAnswered(worker);
-    const isSettled =
+    const isConclusive =
       reply.kind !== "unknown" && worker.incarnation === message.incarnation;
-    if (!isSettled) return;
+    if (!isConclusive) return;
     for (const key of message.startKeys) {
       removeUnansweredStart(worker, key);
       if (reply.kind === "answered" && reply.sequence !== null)
@@ -86,21 +86,24 @@
   }
 }
 
-/** Neither `forget` nor a start that is to be stopped at once: both belong in answers to heartbeats, which can't be late. */
+/**
+ * Excludes `forget`, and starts of tasks that are to be stopped: both are sent only in answers to heartbeats, because a direct
+ * message may arrive late and such an answer can't.
+ */
 function mayBeSentDirectly(worker: Worker, command: Command): boolean {
   if (command.op === "forget") return false;
   if (command.op !== "start") return true;
-  return !worker.tasks.get(commandKey(command))?.stop;
+  return !worker.tasks.get(attemptKeyOf(command))?.stop;
 }
 
-const commandKey = (command: Command): string =>
+const attemptKeyOf = (command: Command): string =>
   attemptKey(command.job, command.index, command.attempt);
 
 function addUnansweredStart(worker: Worker, key: string): void {
   worker.unansweredStarts.set(key, (worker.unansweredStarts.get(key) ?? 0) + 1);
 }
 
-/** The machine has carried the start out: only statuses that it made after this answer tell what became of it. */
+/** The machine has carried out the start, so only statuses made after this answer show what became of the task. */
 function noteStartAnswered(
   worker: Worker,
   key: string,
--- a/src/coordination/machines/delivery-tracker.ts
+++ b/src/coordination/machines/delivery-tracker.ts
@@ -1,27 +1,33 @@
 /**
- * Judges heartbeats: which are older than what is known, and what they say of whether a machine receives answers and
- * commands. Its state is the `DeliveryState` of each worker.
+ * Detects stale heartbeats, and derives from heartbeats whether a machine receives answers and commands. Keeps its state in the
+ * `DeliveryState` of each worker.
  */
 
 import type { Context } from "../context.js";
 import type { Heartbeat } from "../model.js";
 import { newDeliveryState, type Worker } from "./worker-state.js";
 
-/** Heartbeats in a row that may contradict delivery before a machine counts as unreachable; any network may lose one answer. */
-const MAX_MISSED = 2;
-/** How long the incarnations and sequences of a machine's former life are distinguished from those of its present one, in leases. */
-const FORMER_LIFE_LEASES = 10;
-/** Sequences rise with heartbeats, at most two a second, and with commands: so many more are believed. */
+/**
+ * A machine counts as unreachable after more than this many consecutive heartbeats that show no effect of the answers sent to it.
+ * Any network may lose a single answer.
+ */
+const MAX_CONSECUTIVE_MISSES = 2;
+/** How long, in leases, late heartbeats from before a machine's restart are told apart from new ones. */
+const PREVIOUS_LIFETIME_LEASES = 10;
+/**
+ * Together these bound how far a worker's sequence can have risen since its last accepted heartbeat. It rises with each
+ * heartbeat, at most two a second, and with each command.
+ */
 const SEQUENCE_SLACK = 5;
 const SEQUENCES_PER_S = 2.2;
-/** Status queries to one machine follow each other no faster than this. */
+/** Minimum interval between status queries to one machine. */
 const INSPECT_INTERVAL_MS = 2_000;
 /** Interval between status queries to a machine that counts as unreachable. */
 const PROBE_INTERVAL_MS = 10_000;
 
 /**
- * Heartbeats arrive late, doubled and out of order, from seconds to several leases after they were made, and a machine
- * whose heartbeats arrive may receive neither answers nor commands. docs/design.md has the table of what a heartbeat may
+ * Heartbeats may arrive late, duplicated and out of order, seconds to several leases after they were made. A machine whose
+ * heartbeats arrive may still receive neither answers nor commands. The table in docs/design.md lists what a heartbeat may
  * establish.
  */
 export class DeliveryTracker {
@@ -35,9 +41,10 @@
   }
 
   /**
-   * A heartbeat that is no newer than what is known, or that a former life of the machine sent. Invariant (ran_twice): the
-   * highest token that a worker has seen never falls within its life, whatever its incarnation: a heartbeat with a lower one
-   * than it has shown is older or of another life, and what it does not list may run there.
+   * Whether a heartbeat is no newer than the last one accepted, or was sent before the machine restarted. Invariant (ran_twice):
+   * the highest token that a worker has seen never decreases until it restarts, across all its incarnations. A heartbeat with a
+   * lower token than the worker has already shown is therefore older or from before a restart, and tasks that it does not list
+   * may be running there.
    */
   isStale(worker: Worker, heartbeat: Heartbeat): boolean {
     if (
@@ -47,58 +54,59 @@
         (heartbeat.sequence <= worker.sequence || worker.leaseExpired))
     )
       return true;
-    const { formerLife: former, incarnationSinceMs: incarnationMs } =
+    const { previousLifetime: previous, incarnationSinceMs: incarnationMs } =
       worker.delivery;
-    if (!former || this.ctx.nowMs > former.untilMs) return false;
-    // It restarted a while ago: incarnations take a lease each, sequences a while. What is beyond that its former life had.
+    if (!previous || this.ctx.nowMs > previous.untilMs) return false;
+    // After a restart, each new incarnation takes a lease, and sequences rise slowly. Values higher than could have been reached
+    // since then come from before the restart.
     if (
       (heartbeat.incarnation - worker.incarnation) * this.leaseMs >
       this.ctx.nowMs - incarnationMs + this.leaseMs / 2
     )
       return true;
-    return heartbeat.sequence > this.maxSequence(worker);
+    return heartbeat.sequence > this.maxPossibleSequence(worker);
   }
 
   /**
-   * A heartbeat that the machine's former life may have sent as well as its present one: both had this incarnation and
-   * sequence. It says that something is there, and nothing of what is on it; for that the machine itself is queried.
+   * Whether a heartbeat may have been sent before or after the machine's restart, because its incarnation and sequence are
+   * possible for both. It shows that the machine exists but not which tasks it has; for that the machine is queried directly.
    */
   isAmbiguous(worker: Worker, heartbeat: Heartbeat): boolean {
-    const { formerLife: former } = worker.delivery;
+    const { previousLifetime: previous } = worker.delivery;
     return (
-      former !== null &&
-      this.ctx.nowMs < former.untilMs &&
+      previous !== null &&
+      this.ctx.nowMs < previous.untilMs &&
       !worker.leaseExpired &&
       heartbeat.token >= worker.token &&
       heartbeat.incarnation >= worker.incarnation &&
-      heartbeat.incarnation <= former.incarnation &&
-      heartbeat.sequence <= former.sequence
+      heartbeat.incarnation <= previous.incarnation &&
+      heartbeat.sequence <= previous.sequence
     );
   }
 
   /**
-   * Whether to query the status of a machine: nothing new was heard of it for longer than heartbeats and retries take, and
-   * yet something comes. Without `mustBeQuiet` it may have been heard a moment ago.
+   * Whether to query the status of a machine whose latest heartbeat was not accepted. With `mustBeSilent`, only if none has been
+   * accepted for longer than a heartbeat interval and its retries take.
    */
-  mayInspect(worker: Worker, mustBeQuiet = true): boolean {
-    const quietMs = (this.ctx.settings.reportS * 1.25 + 1) * 1000;
+  mayInspect(worker: Worker, mustBeSilent = true): boolean {
+    const maxSilenceMs = (this.ctx.settings.reportS * 1.25 + 1) * 1000;
     return (
-      !worker.delivery.inspecting &&
-      (!mustBeQuiet || this.ctx.nowMs - worker.lastHeardMs > quietMs) &&
+      !worker.delivery.isInspecting &&
+      (!mustBeSilent || this.ctx.nowMs - worker.lastHeardMs > maxSilenceMs) &&
       this.ctx.nowMs - worker.delivery.lastInspectedMs > INSPECT_INTERVAL_MS
     );
   }
 
-  /** Whether it is time to query a machine that does not receive, to see if it does again. */
+  /** Whether an unreachable machine is due for a status query, which shows whether it is reachable again. */
   mayProbe(worker: Worker): boolean {
     return (
       worker.delivery.unreachableSinceMs !== null &&
-      !worker.delivery.inspecting &&
+      !worker.delivery.isInspecting &&
       this.ctx.nowMs - worker.delivery.lastInspectedMs > PROBE_INTERVAL_MS
     );
   }
 
-  /** Notes what a heartbeat that is news says of delivery, before the rest of it is looked at. */
+  /** Updates the delivery state from an accepted heartbeat, before the rest of the heartbeat is processed. */
   noteHeartbeat(
     worker: Worker,
     heartbeat: Heartbeat,
@@ -110,10 +118,13 @@
     }
     this.noteToken(worker, heartbeat);
     if (this.hasRenewedLease(worker))
-      this.markReachable(worker, "its lease goes on");
+      this.markReachable(worker, "its lease was renewed");
   }
 
-  /** A worker whose lease expired although a heartbeat of it was answered within the last half of one receives no answers. */
+  /**
+   * A worker begins a new incarnation when its lease expires. If one of its heartbeats was answered less than half a lease ago,
+   * it cannot have received that answer.
+   */
   private noteNewIncarnation(worker: Worker): void {
     worker.delivery.incarnationSinceMs = this.ctx.nowMs;
     const wasAnswered =
@@ -122,7 +133,7 @@
     if (wasAnswered)
       this.markUnreachable(
         worker,
-        "its lease ended although its reports are answered",
+        "its lease expired although its heartbeats are answered",
       );
   }
 
@@ -130,15 +141,18 @@
     const { delivery } = worker;
     if (heartbeat.token === this.token) {
       if (worker.token === this.token) delivery.isProven = true;
-      else this.markReachable(worker, "it has seen this master's token");
+      else this.markReachable(worker, "it has seen this leader's token");
       return;
     }
-    // Answered several times under this token, and it still has not seen it.
-    if (worker.token < this.token && ++delivery.missed > MAX_MISSED)
-      this.markUnreachable(worker, "it does not see this master's token");
+    // Its heartbeats were answered under this token several times, yet it still reports a lower one.
+    if (
+      worker.token < this.token &&
+      ++delivery.consecutiveMisses > MAX_CONSECUTIVE_MISSES
+    )
+      this.markUnreachable(worker, "it does not receive this leader's token");
   }
 
-  /** An unreachable worker of the same incarnation for longer than a lease must have received an answer. */
+  /** An unreachable worker that keeps its incarnation for longer than a lease must have received an answer. */
   private hasRenewedLease(worker: Worker): boolean {
     const { unreachableSinceMs, incarnationSinceMs } = worker.delivery;
     if (unreachableSinceMs === null) return false;
@@ -146,68 +160,79 @@
     return this.ctx.nowMs - sinceMs > this.leaseMs * 1.1 + 1_000;
   }
 
-  /** What a heartbeat shows of the starts that answers before it contained: some that should be there are not, or all are. */
-  noteCommands(worker: Worker, missing: boolean, shown: boolean): void {
-    if (shown) this.markReachable(worker, "it has carried out an order");
-    else if (missing && ++worker.delivery.missed > MAX_MISSED)
+  /** Updates the delivery state from what a heartbeat shows about the starts contained in earlier answers. */
+  noteStartEvidence(
+    worker: Worker,
+    isStartMissing: boolean,
+    isStartCarriedOut: boolean,
+  ): void {
+    if (isStartCarriedOut)
+      this.markReachable(worker, "it has carried out a start");
+    else if (
+      isStartMissing &&
+      ++worker.delivery.consecutiveMisses > MAX_CONSECUTIVE_MISSES
+    )
       this.markUnreachable(
         worker,
-        "it does not carry out what answers to it say",
+        "it does not carry out the starts sent to it",
       );
   }
 
-  /** A command or a status query was answered by the machine itself. */
+  /** The machine answered a direct command or status query. */
   noteAnswered(worker: Worker): void {
     if (worker.delivery.timesUnreachable <= 1)
-      this.markReachable(worker, "it answers");
+      this.markReachable(worker, "it answers directly");
   }
 
-  private markUnreachable(worker: Worker, why: string): void {
+  private markUnreachable(worker: Worker, reason: string): void {
     const { delivery } = worker;
-    delivery.missed = 0;
+    delivery.consecutiveMisses = 0;
     if (delivery.unreachableSinceMs !== null) return;
     delivery.unreachableSinceMs = this.ctx.nowMs;
     delivery.timesUnreachable++;
     this.ctx.log("machine unreachable", {
       worker: worker.id,
-      reason: why,
+      reason,
       occurrences: delivery.timesUnreachable,
       tasks: worker.tasks.size,
     });
   }
 
-  private markReachable(worker: Worker, why: string): void {
+  private markReachable(worker: Worker, reason: string): void {
     const { delivery } = worker;
     delivery.isProven = true;
-    delivery.missed = 0;
+    delivery.consecutiveMisses = 0;
     if (delivery.unreachableSinceMs === null) return;
     this.ctx.log("machine reachable again", {
       worker: worker.id,
-      reason: why,
+      reason,
       afterMs: Math.round(this.ctx.nowMs - delivery.unreachableSinceMs),
     });
     delivery.unreachableSinceMs = null;
   }
 
-  /** The highest sequence that the present life of a worker may have reached by now. */
-  private maxSequence(worker: Worker): number {
-    const quietS = (this.ctx.nowMs - worker.lastHeardMs) / 1000;
-    return worker.sequence + SEQUENCE_SLACK + quietS * SEQUENCES_PER_S;
+  /** The highest sequence that the worker can have reached by now if it has not restarted. */
+  private maxPossibleSequence(worker: Worker): number {
+    const silentS = (this.ctx.nowMs - worker.lastHeardMs) / 1000;
+    return worker.sequence + SEQUENCE_SLACK + silentS * SEQUENCES_PER_S;
   }
 
-  /** Its answer to a status query is of a later life than what is known. */
+  /** The worker's answer to a status query shows that it restarted since its last accepted heartbeat. */
   noteRestart(worker: Worker): void {
-    const earlier = worker.delivery.formerLife;
-    const former = {
+    const earlier = worker.delivery.previousLifetime;
+    const previousLifetime = {
       incarnation: Math.max(worker.incarnation, earlier?.incarnation ?? 0),
-      sequence: Math.max(this.maxSequence(worker), earlier?.sequence ?? 0),
-      untilMs: this.ctx.nowMs + FORMER_LIFE_LEASES * this.leaseMs,
+      sequence: Math.max(
+        this.maxPossibleSequence(worker),
+        earlier?.sequence ?? 0,
+      ),
+      untilMs: this.ctx.nowMs + PREVIOUS_LIFETIME_LEASES * this.leaseMs,
     };
     worker.delivery = {
       ...newDeliveryState(true, this.ctx.nowMs),
       lastInspectedMs: worker.delivery.lastInspectedMs,
       timesUnreachable: worker.delivery.timesUnreachable,
-      formerLife: former,
+      previousLifetime,
     };
   }
 }
--- a/src/coordination/machines/failover-fence.ts
+++ b/src/coordination/machines/failover-fence.ts
@@ -1,6 +1,6 @@
 /**
- * Machines on which a former leader's tasks may still run after a failover. Owns the set of those that are not accounted for,
- * and whether the cloud's machine list is still to complete it.
+ * Machines on which a former leader's tasks may still run after a failover. Owns the set of machines that are not accounted for
+ * yet, and whether that set is still to be completed from the cloud's machine list.
  */
 
 import type { RegistryEntry } from "../../storage/records.js";
@@ -8,15 +8,15 @@
 import type { ResourceUse } from "./resource-ledger.js";
 import type { Worker } from "./worker-state.js";
 
-/** What a machine of unknown size may use at most, in CPUs and in accelerators: more than any limit. */
+/** Assumed CPUs and accelerators of a machine whose type is unknown. Exceeds every quota limit. */
 const UNKNOWN_MACHINE_SIZE = 1e9;
 
 /**
- * Invariant (rules ran_twice, quota, wrong_place): whatever a former leader may have started counts as running until every
- * machine it could have used has reported under this leader's token or is past its lease.
+ * Invariant (rules ran_twice, quota, wrong_place): every task that a former leader may have started counts as running until each
+ * machine that it could have used has sent a heartbeat with this leader's token or is past its lease.
  */
 export class FailoverFence {
-  /** Types of the machines that are not accounted for, by machine. */
+  /** Type names of the machines that are not accounted for, by machine id. */
   private readonly unaccounted = new Map<string, string>();
 
   constructor(
@@ -26,17 +26,17 @@
     for (const [id, { type }] of registered) this.unaccounted.set(id, type);
   }
 
-  /** The registry may lack machines: the fence also waits for a list of the cloud that names them. */
+  /** Whether the registry may lack machines, so that the fence also waits for the cloud's machine list. */
   get awaitsMachineList(): boolean {
     return this.isListMissing;
   }
 
-  /** Nothing is waited for any more. */
+  /** Whether every machine is accounted for and no machine list is awaited. */
   get isCleared(): boolean {
     return this.unaccounted.size === 0 && !this.isListMissing;
   }
 
-  /** Machines that are not accounted for, as a copy. */
+  /** Ids of the machines that are not accounted for, as a copy. */
   unaccountedMachines(): string[] {
     return [...this.unaccounted.keys()];
   }
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Completes the fence from the cloud's list and returns how many machines that added. Invariant (ran_twice, quota): what
-   * the former leader may have started runs on machines that were up before this leader began, so this list names them,
-   * whether the registry does or not. A machine that stopped of its own accord runs nothing.
+   * Completes the fence from the cloud's machine list and returns how many machines were added. Invariant (ran_twice, quota):
+   * tasks that the former leader may have started run on machines that were up before this leader began, so this list contains
+   * them even if the registry does not. A machine that is listed as failed has stopped by itself and runs nothing.
    */
   addListed(
     machines: ReadonlyMap<string, ListedMachine>,
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Adds to `sum` what may run unseen: a silent machine may run tasks of any team, also of jobs that are over, and one whose
-   * heartbeat may be a late copy may run more than that lists.
+   * Adds to `sum` what unreported tasks may use. A silent machine may run tasks of any team, including tasks of jobs that are
+   * over. A machine whose heartbeat may be a late copy may run more tasks than the heartbeat lists.
    */
   addPossibleUse(
     sum: ResourceUse,
@@ -76,11 +76,11 @@
   ): void {
     for (const [id, typeName] of this.unaccounted) {
       const type = catalog?.find(({ name }) => name === typeName);
-      const known = knownUseOn(workers.get(id));
+      const knownUse = knownUseOn(workers.get(id));
       const cpus = type?.cpus ?? UNKNOWN_MACHINE_SIZE;
       const gpus = type?.gpus ?? UNKNOWN_MACHINE_SIZE;
-      sum.cpus += Math.max(0, cpus - known.cpus);
-      sum.gpus += Math.max(0, gpus - known.gpus);
+      sum.cpus += Math.max(0, cpus - knownUse.cpus);
+      sum.gpus += Math.max(0, gpus - knownUse.gpus);
     }
     if (!this.isListMissing) return;
     sum.cpus += UNKNOWN_MACHINE_SIZE;
@@ -88,7 +88,7 @@
   }
 }
 
-/** What the tasks take that a machine is known to have. */
+/** Resources used by the tasks that are known to be on a machine, including unconfirmed ones. */
 function knownUseOn(worker: Worker | undefined): ResourceUse {
   const sum = { cpus: 0, gpus: 0 };
   for (const { job } of worker?.tasks.values() ?? []) {
--- a/src/coordination/machines/failure-tracker.ts
+++ b/src/coordination/machines/failure-tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Tells faulty jobs from faulty machines by where tasks fail. Its state is kept with the jobs and workers themselves.
+ * Distinguishes faulty jobs from faulty machines by where tasks fail. Keeps its state in the `JobRun` and `Worker` objects.
  */
 
 import type { Context } from "../context.js";
@@ -7,80 +7,83 @@
 import { taskKey } from "../model.js";
 import type { JobRun, TaskRun, Worker } from "./worker-state.js";
 
-/** Failures of one job within this time count as one attempt: a gang's tasks fail together. */
-const SAME_ATTEMPT_MS = 5_000;
-/** Machines on which a job must have failed, and nothing of it completed, before the job is quarantined. */
+/** Failures of a job that follow each other within this time count as one, because a gang's tasks fail together. */
+const FAILURE_BURST_MS = 5_000;
+/** A job is quarantined once it has failed on this many machines without completing a task. */
 const QUARANTINE_AFTER_MACHINES = 2;
-/** The same where other tasks of it have run for longer without failing. */
+/** Required number of machines instead if other tasks of the job have been running for longer without failing. */
 const QUARANTINE_AFTER_MACHINES_DESPITE_RUNNING = 5;
 /** Longest backoff between retries of a quarantined job. */
 const MAX_BACKOFF_MS = 60_000;
-/** A machine on which so many jobs failed that are not quarantined is returned to the cloud. */
-const RETURN_AFTER_JOBS = 2;
+/** A machine is returned to the cloud once this many jobs that are not quarantined have failed on it. */
+const RETURN_AFTER_FAILED_JOBS = 2;
 
 /**
- * A failure is mostly the machine's fault, but a job that was submitted with a mistake fails on every machine. It is
- * quarantined once it has failed on two machines and nothing of it has ever completed: then its failures count against no
- * machine any more, nothing is scaled out, reserved, moved or preempted for it, and it is retried with growing backoff.
+ * Most failures are the machine's fault, but a faulty job fails on every machine. A job is quarantined once it has failed on two
+ * machines and none of its tasks has ever completed. While it is quarantined, its failures count against no machine, it is
+ * retried with growing backoff, and nothing is scaled out, reserved, moved or preempted for it.
  */
 export class FailureTracker {
   constructor(
     private readonly ctx: Context,
     private readonly state: PartitionState,
     /** Returns a machine to the cloud. */
-    private readonly returnWorker: (worker: Worker, why: string) => void,
+    private readonly returnWorker: (worker: Worker, reason: string) => void,
   ) {}
 
-  /** A task ended with an error. */
-  onFailed(task: TaskRun): void {
+  /** Handles a task that ended with an error. */
+  onTaskFailed(task: TaskRun): void {
     const { job, worker } = task;
-    const now = this.ctx.nowMs;
+    const nowMs = this.ctx.nowMs;
     job.failuresByMachine.set(
       worker.id,
       (job.failuresByMachine.get(worker.id) ?? 0) + 1,
     );
-    if (now - job.lastFailureMs > SAME_ATTEMPT_MS) job.failedTries++;
-    job.lastFailureMs = now;
-    if (this.seemsFaulty(task)) this.quarantineJob(job);
-    else this.blameMachine(worker, task);
-    if (worker.failedJobs.size >= RETURN_AFTER_JOBS && !worker.isReturning)
+    if (nowMs - job.lastFailureMs > FAILURE_BURST_MS) job.failureBurstCount++;
+    job.lastFailureMs = nowMs;
+    if (this.isJobProbablyFaulty(task)) this.quarantineJob(job);
+    else this.recordMachineFailure(worker, task);
+    if (
+      worker.failedJobs.size >= RETURN_AFTER_FAILED_JOBS &&
+      !worker.isReturning
+    )
       this.returnWorker(worker, "tasks of several jobs failed on it");
   }
 
-  /** Something of a job has completed: it has no mistake, and what failed before were machines. */
-  onCompleted(job: JobRun): void {
+  /** Handles a completed task: its job is not faulty, so earlier failures were the machines' fault. */
+  onTaskCompleted(job: JobRun): void {
     if (job.quarantinedSinceMs === null) return;
     job.quarantinedSinceMs = null;
-    job.failedTries = 0;
+    job.failureBurstCount = 0;
     job.backoffUntilMs = 0;
     job.failuresByMachine.clear();
     this.ctx.log("job recovered after failures", { job: job.id });
   }
 
-  private seemsFaulty(task: TaskRun): boolean {
+  private isJobProbablyFaulty(task: TaskRun): boolean {
     const { job } = task;
     const hasCompleted =
       job.finished.size > 0 || this.ctx.cache.finishedCount(job.id) > 0;
     if (hasCompleted) return false;
-    const needed = this.othersRunLonger(task)
+    const minMachines = this.doOthersRunLonger(task)
       ? QUARANTINE_AFTER_MACHINES_DESPITE_RUNNING
       : QUARANTINE_AFTER_MACHINES;
-    return job.failuresByMachine.size >= needed;
+    return job.failuresByMachine.size >= minMachines;
   }
 
-  /** Others of the job that have run for longer than this one did count in favor of the job, but not for ever. */
-  private othersRunLonger(task: TaskRun): boolean {
-    const now = this.ctx.nowMs;
-    const ranMs = task.phase === "running" ? now - task.phaseSinceMs : 0;
+  /** Whether other tasks of the job have been running for longer than this one ran, which suggests that the job is not faulty. */
+  private doOthersRunLonger(task: TaskRun): boolean {
+    const nowMs = this.ctx.nowMs;
+    const ranMs = task.phase === "running" ? nowMs - task.phaseSinceMs : 0;
     return [...task.job.active.values()].some(
       (other) =>
         other !== task &&
         other.phase === "running" &&
-        now - other.phaseSinceMs > ranMs * 1.2 + 1_000,
+        nowMs - other.phaseSinceMs > ranMs * 1.2 + 1_000,
     );
   }
 
-  private blameMachine(worker: Worker, task: TaskRun): void {
+  private recordMachineFailure(worker: Worker, task: TaskRun): void {
     worker.failedJobs.add(task.job.id);
     worker.avoidUntilMs = Math.max(
       worker.avoidUntilMs,
@@ -94,17 +97,17 @@
   }
 
   private quarantineJob(job: JobRun): void {
-    const now = this.ctx.nowMs;
-    const backoffMs = 1_000 * 2 ** Math.min(10, job.failedTries);
+    const nowMs = this.ctx.nowMs;
+    const backoffMs = 1_000 * 2 ** Math.min(10, job.failureBurstCount);
     job.backoffUntilMs = Math.max(
       job.backoffUntilMs,
-      now + Math.min(MAX_BACKOFF_MS, backoffMs),
+      nowMs + Math.min(MAX_BACKOFF_MS, backoffMs),
     );
     if (job.quarantinedSinceMs !== null) return;
-    job.quarantinedSinceMs = now;
+    job.quarantinedSinceMs = nowMs;
     for (const worker of this.state.workers.values())
       if (worker.failedJobs.delete(job.id) && worker.failedJobs.size === 0)
-        worker.avoidUntilMs = Math.min(worker.avoidUntilMs, now);
+        worker.avoidUntilMs = Math.min(worker.avoidUntilMs, nowMs);
     this.ctx.log("job fails on every machine, retrying with backoff", {
       job: job.id,
       class: job.view.spec.jobClass,
--- a/src/coordination/machines/heartbeat-router.ts
+++ b/src/coordination/machines/heartbeat-router.ts
@@ -1,18 +1,18 @@
 /**
- * Where a heartbeat is answered: by this controller if it leads the worker's partition, else by the partition's leader, to which the
- * worker is redirected or, if the worker cannot reach it, the heartbeat is relayed.
+ * Decides where a heartbeat is answered. If this controller leads the worker's partition, it answers itself. Otherwise it redirects
+ * the worker to the partition's leader, or relays the heartbeat if the worker cannot reach that leader.
  */
 import type { Clock, Configuration, StoreView } from "../context.js";
 import type { Answer } from "../effects.js";
 import type { Heartbeat } from "../model.js";
 import { maxRedirects, Redirects } from "./redirects.js";
 
-/** What answers the heartbeats of a partition. */
+/** Answers the heartbeats of one partition's workers. */
 interface HeartbeatHandler {
   handleHeartbeat(heartbeat: Heartbeat): Answer;
 }
 
-/** Answers heartbeats of led partitions, and sends the others where they belong. */
+/** Passes heartbeats to the leaders on this controller, and redirects or relays the others. */
 export class HeartbeatRouter {
   private readonly redirects: Redirects;
 
@@ -24,11 +24,11 @@
     this.redirects = new Redirects(maxRedirects(ctx.settings.memMb));
   }
 
-  /** `relayed`: a peer has passed it on for the worker; it is not passed on again. */
-  answer(heartbeat: Heartbeat, relayed: boolean): Answer {
+  /** `isRelayed`: a peer has relayed the heartbeat for the worker, so it must not be relayed again. */
+  answer(heartbeat: Heartbeat, isRelayed: boolean): Answer {
     const partition = this.ctx.partitions.partitionOf(heartbeat.zone);
     const leader = this.leaders.get(partition);
-    if (!leader) return this.redirect(heartbeat, partition, relayed);
+    if (!leader) return this.redirect(heartbeat, partition, isRelayed);
     return this.leadership.mayAct()
       ? leader.handleHeartbeat(heartbeat)
       : { kind: "retryLater", afterS: 1, reason: "no permit" };
@@ -37,17 +37,17 @@
   private redirect(
     { worker, token }: Heartbeat,
     partition: string,
-    relayed: boolean,
+    isRelayed: boolean,
   ): Answer {
     const record = this.ctx.cache.partitions.get(partition);
-    if (!record || record.owner === this.ctx.settings.label || relayed)
+    if (!record || record.owner === this.ctx.settings.label || isRelayed)
       return { kind: "redirect", leader: null };
     const { owner, version } = record;
-    // It has been served under this very token, or was sent there a moment ago, and yet it comes here: its leader is out of its reach.
-    const isLeaderOutOfReach =
+    // The worker has seen this leader's token, or was redirected to it just now, and still sent its heartbeat here.
+    const isLeaderUnreachable =
       token === version ||
       this.redirects.wasJustRedirected(worker, version, this.ctx.nowMs);
-    if (isLeaderOutOfReach) return { kind: "relay", leader: owner };
+    if (isLeaderUnreachable) return { kind: "relay", leader: owner };
     this.redirects.note(worker, version, this.ctx.nowMs);
     return { kind: "redirect", leader: owner };
   }
--- a/src/coordination/machines/inspection.ts
+++ b/src/coordination/machines/inspection.ts
@@ -1,6 +1,6 @@
 /**
- * Direct status queries to machines whose heartbeats only seem to be late copies: a machine that restarted begins with a
- * lower incarnation and sequence than its former life had reached. Whether a query is in flight is kept with each worker.
+ * Direct status queries to machines whose heartbeats look stale but may not be: after a restart, a machine begins with a lower
+ * incarnation and sequence than it had reached before. Each `Worker` records whether a query is in flight.
  */
 
 import type { Context } from "../context.js";
@@ -10,7 +10,7 @@
 import type { Reconciliation } from "./reconciliation.js";
 import type { Worker } from "./worker-state.js";
 
-/** Finds out by a status query whether a machine restarted, and releases what ran there if it did. */
+/** Finds out by a status query whether a machine restarted. If it did, releases the tasks that ran there. */
 export class MachineInspection {
   constructor(
     private readonly ctx: Context,
@@ -20,21 +20,21 @@
   ) {}
 
   /**
-   * Queries the status of a machine. The answer is of a moment after the query: if it is older by incarnation and sequence
-   * than what is known, the worker process or the whole machine has restarted, and all that ran there is gone.
+   * Queries the status of a machine. The status is made after the query. If it is nevertheless older than the known state by its
+   * incarnation and sequence, the worker process or the whole machine has restarted, and every task that ran there is gone.
    */
   inspect(worker: Worker): void {
-    const askedMs = this.ctx.nowMs;
-    worker.delivery.inspecting = true;
-    worker.delivery.lastInspectedMs = askedMs;
+    const queriedMs = this.ctx.nowMs;
+    worker.delivery.isInspecting = true;
+    worker.delivery.lastInspectedMs = queriedMs;
     this.ctx.inspect(worker.address, (status) => {
-      worker.delivery.inspecting = false;
+      worker.delivery.isInspecting = false;
       if (!status || !this.isCurrent(worker, status)) return;
-      this.onStatus(worker, status, askedMs);
+      this.onStatus(worker, status, queriedMs);
     });
   }
 
-  /** Whether the answer came from this worker, and this leader still acts for it. */
+  /** Whether the answer came from this worker, and this leader is still responsible for it. */
   private isCurrent(worker: Worker, status: Heartbeat): boolean {
     return (
       status.worker === worker.id &&
@@ -43,21 +43,24 @@
     );
   }
 
-  private onStatus(worker: Worker, status: Heartbeat, askedMs: number): void {
+  private onStatus(worker: Worker, status: Heartbeat, queriedMs: number): void {
     this.deliveries.noteAnswered(worker);
-    if (worker.lastHeardMs > askedMs) return;
+    if (worker.lastHeardMs > queriedMs) return;
     const isNewerInPresentLife =
       this.deliveries.isAmbiguous(worker, status) &&
       status.sequence > worker.sequence;
     if (isNewerInPresentLife) this.applyStatus(worker, status);
     else if (
-      !mayHoldLaterStart(worker, status, askedMs) &&
+      !mayMissLaterStart(worker, status, queriedMs) &&
       this.deliveries.isStale(worker, status)
     )
       this.onRestart(worker, status);
   }
 
-  /** Takes over a status of the present life that a heartbeat with the same numbers could not have shown to be one. */
+  /**
+   * Applies a status from after the restart. A heartbeat with the same incarnation and sequence would have been ambiguous, but
+   * the answer to a query is known to be current.
+   */
   private applyStatus(worker: Worker, status: Heartbeat): void {
     if (status.incarnation > worker.incarnation)
       this.state.startIncarnation(worker, status.incarnation);
@@ -97,18 +100,18 @@
 }
 
 /**
- * A start on its way to the machine may still be carried out by its new life: until it is known what became of that, the
- * worker's lease counts. A start that was answered since the query may have been carried out after this status was made,
- * which then does not show it.
+ * Whether the machine may have carried out, or may still carry out, a start that this status does not show. A start in flight may
+ * be carried out after the restart, so the worker's lease still counts until its outcome is known. A start that was answered
+ * since the query may have been carried out after the status was made.
  */
-function mayHoldLaterStart(
+function mayMissLaterStart(
   worker: Worker,
   status: Heartbeat,
-  askedMs: number,
+  queriedMs: number,
 ): boolean {
   return (
     worker.commandInFlight ||
-    worker.delivery.lastCommandMs >= askedMs ||
+    worker.delivery.lastCommandMs >= queriedMs ||
     (status.incarnation === worker.incarnation &&
       worker.unansweredStarts.size > 0)
   );
--- a/src/coordination/machines/machine-registry.ts
+++ b/src/coordination/machines/machine-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The stored registry of a partition's machines, kept in one or more records of bounded size. Owns the wanted and the written
- * contents of these records and the commits that bring one to the other.
+ * The stored registry of a partition's machines, kept in one or more records of bounded size. Owns the desired and the stored
+ * contents of these records, and the commits that bring the store to the desired contents.
  */
 
 import {
@@ -13,46 +13,47 @@
 import type { Condition, Write } from "../../protocol/state.js";
 import type { TransactionOutcome, Context } from "../context.js";
 
-/** Left free in each record, for what a return mark or another machine type adds. */
+/** Left free in each record for the bytes that a return mark or a new machine type adds. */
 const RESERVED_BYTES = 100;
-/** Delay before a commit that failed is sent again. */
+/** Delay before a failed commit is retried. */
 const RETRY_MS = 300;
-/** Bytes that an entry takes at least beyond the machine's name. */
+/** Minimum size of an entry beyond the machine's id. */
 const MIN_ENTRY_BYTES = 7;
 
-/** What is to be written, by machine. */
+/** Entries of one record, by machine id. */
 type Entries = Map<string, RegistryEntry>;
 
-/** A record that has space for one more machine. */
+/** A record that has space for one more machine. `chunk` is the record's number. */
 interface RecordWithSpace {
   chunk: number;
-  /** Bytes that the record takes with it; absent: not computed. */
-  size?: number;
+  /** Size of the record including that machine; absent if not computed. */
+  bytes?: number;
 }
 
-/** Bytes that a record of these machines takes once it is marked as complete. */
+/** Size of a record of these machines once it is marked as complete. */
 const bytesOfMarked = (machines: Entries): number =>
   bytesOf(writeRegistry({ machines, complete: true }));
 
 /**
- * The machines that a partition may have started tasks on. A machine is committed before its first start, so that after a
- * failover the new leader knows which to wait for; a machine to be returned is marked first, so that no later leader uses it.
+ * The machines on which a partition's leaders may have started tasks. A machine is committed before its first task is started, so
+ * that after a failover the new leader knows which machines to wait for. A machine to be returned is marked before the request
+ * is sent, so that no later leader uses it.
  */
 export class MachineRegistry {
-  /** Contents that each record is to have, by its number. */
-  private readonly wanted = new Map<number, Entries>();
-  /** Machines that are known to be in a record of the store, with what it says of them. */
-  private readonly written = new Map<string, RegistryEntry>();
-  /** Bytes that a record takes, computed once for as long as nobody changes it. */
-  private readonly sizes = new Map<number, number>();
-  /** Records whose wanted contents differ from what was last sent. */
-  private readonly dirty = new Set<number>();
-  /** Records between which machines were moved: they are committed together or not at all. */
+  /** Desired contents of each record, by record number. */
+  private readonly desired = new Map<number, Entries>();
+  /** Entries that are known to be in a record of the store, by machine id. */
+  private readonly stored = new Map<string, RegistryEntry>();
+  /** Cached size of each record, by record number; dropped when the record changes. */
+  private readonly recordBytes = new Map<number, number>();
+  /** Records whose desired contents differ from what was last sent. */
+  private readonly dirtyChunks = new Set<number>();
+  /** Records to commit in one transaction. Several if machines were moved between them. */
   private chunksToCommit: ReadonlySet<number> = new Set();
-  /** Records that are not marked as complete: the earlier version that wrote them may have left out machines. */
-  private readonly unconfirmed = new Set<number>();
-  /** Whatever these records may lack has been heard of since, or is gone. */
-  private isComplete = false;
+  /** Records that are not marked as complete: an earlier version of the software wrote them and may have omitted machines. */
+  private readonly incompleteChunks = new Set<number>();
+  /** Whether every machine that these records may lack has been listed since, or is gone. */
+  private isConfirmedComplete = false;
   private isCommitting = false;
   private retryAtMs = 0;
 
@@ -62,61 +63,61 @@
     private readonly commit: (
       conditions: Condition[],
       writes: Write[],
-      done: (end: TransactionOutcome) => void,
+      done: (outcome: TransactionOutcome) => void,
     ) => void,
     private readonly onWritten: () => void,
   ) {
     for (const [chunk, record] of ctx.cache.registries.get(partition) ?? []) {
       const { machines, complete } = record;
-      this.wanted.set(chunk, new Map(machines));
-      for (const [id, entry] of machines) this.written.set(id, entry);
-      if (!complete) this.unconfirmed.add(chunk);
-      if (!this.fits(machines)) this.dirty.add(chunk);
+      this.desired.set(chunk, new Map(machines));
+      for (const [id, entry] of machines) this.stored.set(id, entry);
+      if (!complete) this.incompleteChunks.add(chunk);
+      if (!this.fits(machines)) this.dirtyChunks.add(chunk);
     }
   }
 
   /**
-   * Whether machines on which tasks run may be missing. An earlier version replaces a record whatever it holds by then, so an
-   * indeterminate commit of it may have taken machines off the registry after these began tasks.
+   * Whether machines on which tasks run may be missing from the registry. An earlier version of the software replaces a record
+   * unconditionally, so an indeterminate commit of it may have removed machines after they began tasks.
    */
   get mayLackMachines(): boolean {
-    return this.unconfirmed.size > 0;
+    return this.incompleteChunks.size > 0;
   }
 
   /**
-   * Every machine that may run tasks of a former leader is listed or gone. The records are marked as complete once all that
-   * was added to them is written.
+   * Called once every machine that may run tasks of a former leader is listed or gone. The records are marked as complete once
+   * all added machines are stored.
    */
   confirmComplete(): void {
-    this.isComplete = true;
+    this.isConfirmedComplete = true;
     this.flush();
   }
 
-  /** Machines that are in a record of the store. */
+  /** Entries that are in a record of the store, by machine id. */
   machines(): ReadonlyMap<string, RegistryEntry> {
-    return this.written;
+    return this.stored;
   }
 
   /** Whether a machine is in a record of the store, so that tasks may be started on it. */
   has(id: string): boolean {
-    return this.written.has(id);
+    return this.stored.has(id);
   }
 
-  /** Whether the store says that a machine is to be returned. */
+  /** Whether a machine's return mark is in a record of the store. */
   isReturnWritten(id: string): boolean {
-    return this.written.get(id)?.isReturning === true;
+    return this.stored.get(id)?.isReturning === true;
   }
 
   private chunkOf(id: string): number | undefined {
-    for (const [chunk, entries] of this.wanted)
+    for (const [chunk, entries] of this.desired)
       if (entries.has(id)) return chunk;
     return undefined;
   }
 
-  /** What a record is to contain; a record that does not exist yet begins empty. */
-  private wantedIn(chunk: number): Entries {
-    let entries = this.wanted.get(chunk);
-    if (!entries) this.wanted.set(chunk, (entries = new Map()));
+  /** Desired contents of a record. A record that does not exist yet starts empty. */
+  private desiredIn(chunk: number): Entries {
+    let entries = this.desired.get(chunk);
+    if (!entries) this.desired.set(chunk, (entries = new Map()));
     return entries;
   }
 
@@ -124,121 +125,127 @@
     return bytesOfMarked(machines) <= this.ctx.settings.state.valueBytes;
   }
 
-  private sizeOf(chunk: number, entries: Entries): number {
-    let size = this.sizes.get(chunk);
-    if (size === undefined)
-      this.sizes.set(chunk, (size = bytesOfMarked(entries)));
-    return size;
+  private bytesOfRecord(chunk: number, entries: Entries): number {
+    let bytes = this.recordBytes.get(chunk);
+    if (bytes === undefined)
+      this.recordBytes.set(chunk, (bytes = bytesOfMarked(entries)));
+    return bytes;
   }
 
-  /** The first record, from `from` on, that has space for this machine. */
+  /** The first record, from `firstChunk` on, that has space for this machine. */
   private recordWithSpace(
     id: string,
     entry: RegistryEntry,
-    from = 0,
+    firstChunk = 0,
   ): RecordWithSpace {
     const maxBytes = this.ctx.settings.state.valueBytes - RESERVED_BYTES;
-    for (let chunk = from; ; chunk++) {
-      const entries = this.wanted.get(chunk);
+    for (let chunk = firstChunk; ; chunk++) {
+      const entries = this.desired.get(chunk);
       if (!entries) {
-        this.wanted.set(chunk, new Map());
+        this.desired.set(chunk, new Map());
         return { chunk };
       }
-      // Most records are full, and known to be: these are passed over without computing their size anew.
-      const minSize = this.sizeOf(chunk, entries) + id.length + MIN_ENTRY_BYTES;
-      if (minSize > maxBytes) continue;
-      const size = bytesOfMarked(new Map(entries).set(id, entry));
-      if (size <= maxBytes) return { chunk, size };
+      // Most records are full. The cached size is enough to skip them without serializing them again.
+      const minBytes =
+        this.bytesOfRecord(chunk, entries) + id.length + MIN_ENTRY_BYTES;
+      if (minBytes > maxBytes) continue;
+      const bytes = bytesOfMarked(new Map(entries).set(id, entry));
+      if (bytes <= maxBytes) return { chunk, bytes };
     }
   }
 
-  /** Adds a machine, or changes what the registry says of it. */
+  /** Adds a machine or replaces its entry. */
   set(id: string, entry: RegistryEntry): void {
-    const known = this.chunkOf(id);
-    const { chunk, size }: RecordWithSpace =
-      known === undefined ? this.recordWithSpace(id, entry) : { chunk: known };
-    const entries = this.wantedIn(chunk);
+    const knownChunk = this.chunkOf(id);
+    const { chunk, bytes }: RecordWithSpace =
+      knownChunk === undefined
+        ? this.recordWithSpace(id, entry)
+        : { chunk: knownChunk };
+    const entries = this.desiredIn(chunk);
     if (isSameEntry(entries.get(id), entry)) return;
     entries.set(id, entry);
-    if (size === undefined) this.sizes.delete(chunk);
-    else this.sizes.set(chunk, size);
-    this.dirty.add(chunk);
+    if (bytes === undefined) this.recordBytes.delete(chunk);
+    else this.recordBytes.set(chunk, bytes);
+    this.dirtyChunks.add(chunk);
     this.flush();
   }
 
-  /** Takes a machine off the registry. */
+  /** Removes a machine from the registry. */
   remove(id: string): void {
     const chunk = this.chunkOf(id);
     if (chunk === undefined) return;
-    this.wantedIn(chunk).delete(id);
-    this.sizes.delete(chunk);
-    // At once: a machine that comes back is not to be used before a commit that names it again, whatever becomes of
-    // the one that leaves it out.
-    this.written.delete(id);
-    this.dirty.add(chunk);
+    this.desiredIn(chunk).delete(id);
+    this.recordBytes.delete(chunk);
+    // Dropped before the commit: a machine that comes back must not be used until a new commit includes it again, whatever the
+    // outcome of the commit that removes it.
+    this.stored.delete(id);
+    this.dirtyChunks.add(chunk);
     this.flush();
   }
 
   /**
-   * Moves machines out of a record that exceeds the size limit of the store, as an earlier version may have written: whole,
-   * it would be refused for ever, and its machines neither marked nor returned. Invariant (ran_twice): at every moment each
-   * machine is in one record, so what moves goes in one transaction with the record that it leaves.
+   * Moves machines out of a record that exceeds the store's size limit. An earlier version of the software may have written one;
+   * undivided, the store would always refuse it, and its machines could be neither marked nor returned. Invariant (ran_twice):
+   * each machine is in one record at every moment, so a machine is moved in the same transaction that changes the record that
+   * it leaves. Returns the records that belong to this transaction.
    */
   private splitRecord(chunk: number): ReadonlySet<number> {
-    const parts = new Set([chunk]);
-    const source = this.wantedIn(chunk);
+    const chunks = new Set([chunk]);
+    const source = this.desiredIn(chunk);
     let lastTarget = 0;
     for (const [id, entry] of [...source].reverse()) {
       if (this.fits(source)) break;
-      // Never the record itself: it has no space while it does not fit.
+      // Never the source itself, which has no space as long as it exceeds the limit.
       const target = this.recordWithSpace(id, entry, lastTarget).chunk;
-      if (!parts.has(target) && parts.size >= this.ctx.settings.state.txnOps)
+      if (!chunks.has(target) && chunks.size >= this.ctx.settings.state.txnOps)
         break;
       source.delete(id);
-      this.wantedIn(target).set(id, entry);
-      this.sizes.delete(chunk);
-      this.sizes.delete(target);
-      parts.add(target);
+      this.desiredIn(target).set(id, entry);
+      this.recordBytes.delete(chunk);
+      this.recordBytes.delete(target);
+      chunks.add(target);
       lastTarget = target;
     }
     this.ctx.log("splitting oversized registry record", {
       partition: this.partition,
       chunk,
-      parts: [...parts],
+      parts: [...chunks],
     });
-    return parts;
+    return chunks;
   }
 
-  /** The record to write next: one that changed, or else one to be marked as complete. */
+  /** The next record to write: a changed one, otherwise one to be marked as complete. */
   private nextChunk(): number | undefined {
-    const changed = this.dirty.values().next().value;
-    if (changed !== undefined || !this.isComplete) return changed;
-    return this.unconfirmed.values().next().value;
+    const dirtyChunk = this.dirtyChunks.values().next().value;
+    if (dirtyChunk !== undefined || !this.isConfirmedComplete)
+      return dirtyChunk;
+    return this.incompleteChunks.values().next().value;
   }
 
-  /** Records as they are to be written now, and whether they may be marked as complete. */
+  /** The records to send now, each with its contents and whether it is marked as complete. */
   private recordsToSend(): Map<number, RegistryRecord> {
-    for (const chunk of this.chunksToCommit) this.dirty.delete(chunk);
-    // Invariant (ran_twice): while a machine that was added is in no record yet, some record has to say that one may be missing.
-    const allWritten = this.isComplete && this.dirty.size === 0;
+    for (const chunk of this.chunksToCommit) this.dirtyChunks.delete(chunk);
+    // Invariant (ran_twice): while an added machine is in no stored record yet, some record must be marked as incomplete.
+    const mayMarkComplete =
+      this.isConfirmedComplete && this.dirtyChunks.size === 0;
     const records = new Map<number, RegistryRecord>();
     for (const chunk of this.chunksToCommit) {
-      const complete = allWritten || !this.unconfirmed.has(chunk);
+      const complete = mayMarkComplete || !this.incompleteChunks.has(chunk);
       records.set(chunk, {
-        machines: new Map(this.wantedIn(chunk)),
+        machines: new Map(this.desiredIn(chunk)),
         complete,
       });
     }
     return records;
   }
 
-  /** Commits what changed, one transaction at a time; may be called at any time. */
+  /** Commits changed records, one transaction at a time. May be called at any time. */
   flush(): void {
     if (this.isCommitting || this.ctx.nowMs < this.retryAtMs) return;
     if (this.chunksToCommit.size === 0) {
       const chunk = this.nextChunk();
       if (chunk === undefined) return;
-      this.chunksToCommit = this.fits(this.wantedIn(chunk))
+      this.chunksToCommit = this.fits(this.desiredIn(chunk))
         ? new Set([chunk])
         : this.splitRecord(chunk);
     }
@@ -247,8 +254,8 @@
 
   private commitRecords(records: ReadonlyMap<number, RegistryRecord>): void {
     this.isCommitting = true;
-    // Conditional on what this leader last knew of them: a commit without an answer that is carried out after a later
-    // one would take machines off the registry on which tasks run.
+    // Conditional on the revisions that this leader last saw: an unanswered commit that the store carries out after a later one
+    // would remove machines on which tasks run.
     const conditions = [...records.keys()].map((chunk) => {
       const key = registryKey(this.partition, chunk);
       return { key, version: this.ctx.cache.latestRevisionOf(key) };
@@ -267,29 +274,29 @@
   }
 
   private onCommitFailed(records: ReadonlyMap<number, RegistryRecord>): void {
-    for (const chunk of records.keys()) this.dirty.add(chunk);
+    for (const chunk of records.keys()) this.dirtyChunks.add(chunk);
     this.retryAtMs = this.ctx.nowMs + RETRY_MS;
   }
 
   private onCommitted(records: ReadonlyMap<number, RegistryRecord>): void {
     this.chunksToCommit = new Set();
     for (const [chunk, { machines, complete }] of records) {
-      if (complete) this.unconfirmed.delete(chunk);
-      // Taken off since, or listed elsewhere by now: only a commit that names it there counts.
+      if (complete) this.incompleteChunks.delete(chunk);
+      // Skips machines that were removed or moved since: only a commit of their present record confirms those.
       for (const [id, entry] of machines)
-        if (this.wantedIn(chunk).has(id)) this.written.set(id, entry);
+        if (this.desiredIn(chunk).has(id)) this.stored.set(id, entry);
     }
     this.onWritten();
   }
 }
 
 function isSameEntry(
-  known: RegistryEntry | undefined,
+  current: RegistryEntry | undefined,
   entry: RegistryEntry,
 ): boolean {
   return (
-    known !== undefined &&
-    known.isReturning === entry.isReturning &&
-    known.type === entry.type
+    current !== undefined &&
+    current.isReturning === entry.isReturning &&
+    current.type === entry.type
   );
 }
--- a/src/coordination/machines/machine-returns.ts
+++ b/src/coordination/machines/machine-returns.ts
@@ -1,8 +1,8 @@
 /**
- * Gives machines back to the cloud. Owns which machines are being returned and which the cloud has taken back.
+ * Returns machines to the cloud. Owns the sets of machines that are being returned and that the cloud has confirmed as returned.
  *
- * A machine is marked in the registry before the request may leave, its tasks are stopped with time to save, and only then is
- * the request sent, again and again until the cloud confirms it.
+ * A machine is first marked in the registry, then its tasks are stopped with time to save a checkpoint, and only then is the
+ * request sent. It is retried until the cloud confirms it.
  */
 import type { Context } from "../context.js";
 import { CallPriority, type CloudReply } from "../effects.js";
@@ -12,20 +12,20 @@
 
 /** The return of one machine, until the cloud confirms it. */
 interface PendingReturn {
-  sent: boolean;
-  retryMs: number;
+  isSent: boolean;
+  retryAtMs: number;
 }
 
-/** PROTOCOL: most machines of one return; the rest go with the next, at the pace of the cloud's limit. */
+/** PROTOCOL: maximum number of machines per return request. Others follow in later requests, within the cloud's rate limit. */
 const MAX_RETURNED_AT_ONCE = 100;
-/** A return that failed is sent again after this time. */
+/** Delay before a failed return is sent again. */
 const RETURN_RETRY_MS = 2_000;
 
-/** The returns of one partition leader. */
+/** The machine returns of one partition leader. */
 export class MachineReturns {
   private readonly pending = new Map<string, PendingReturn>();
-  /** When the cloud confirmed each return: a list that lags may show the machine for a while. */
-  private readonly returnedMs = new Map<string, number>();
+  /** When the cloud confirmed each return, by machine id. The cloud's list lags and may still show the machine for a while. */
+  private readonly returnedAtMs = new Map<string, number>();
 
   constructor(
     private readonly context: Context,
@@ -33,46 +33,46 @@
     private readonly booting: Map<string, BootingMachine>,
   ) {}
 
-  /** The cloud has said that it is gone. Names are never given twice: whatever still comes from it is late. */
+  /** Whether the cloud has confirmed the return. Machine ids are never reused, so later messages from the machine are late. */
   isReturned(id: string): boolean {
-    return this.returnedMs.has(id);
+    return this.returnedAtMs.has(id);
   }
 
-  /** Whether it is to go back or has gone. */
+  /** Whether the machine is being returned or has been returned. */
   isReturningOrReturned(id: string): boolean {
-    return this.pending.has(id) || this.returnedMs.has(id);
+    return this.pending.has(id) || this.returnedAtMs.has(id);
   }
 
-  /** Forgets returns that were confirmed longer ago than this. */
+  /** Forgets returns that were confirmed longer ago than `ageMs`. */
   forgetOlderThan(ageMs: number): void {
-    for (const [id, returnedMs] of this.returnedMs)
-      if (this.context.nowMs - returnedMs > ageMs) this.returnedMs.delete(id);
+    for (const [id, returnedMs] of this.returnedAtMs)
+      if (this.context.nowMs - returnedMs > ageMs) this.returnedAtMs.delete(id);
   }
 
-  /** Returns a machine that has reported. */
+  /** Returns a machine that has sent a heartbeat. */
   returnWorker(worker: Worker, reason: string): void {
     worker.isReturning = true;
     this.returnMachine(worker.id, worker.typeName, reason);
   }
 
-  /** Returns a machine that may never have reported. Does nothing if it is being returned already. */
+  /** Returns a machine that may never have sent a heartbeat. Does nothing if it is already being returned. */
   returnMachine(id: string, type: string, reason: string): void {
     if (this.pending.has(id)) return;
     this.context.log("scaling in", { worker: id, type, reason });
-    this.pending.set(id, { retryMs: 0, sent: false });
+    this.pending.set(id, { retryAtMs: 0, isSent: false });
     this.booting.delete(id);
-    // Marked before the request can leave: a return that is carried out late must find the machine unused.
+    // Marked before the request is sent: if the return is carried out late, no leader may be using the machine.
     this.state.registry.set(id, { isReturning: true, type });
   }
 
-  /** Sends the returns that are due and stops the tasks that hold others up. */
-  send(): void {
+  /** Sends the returns that are due, and stops the tasks on machines whose return has to wait for them. */
+  sendDue(): void {
     const ids: string[] = [];
     for (const [id, pendingReturn] of this.pending) {
       if (ids.length >= MAX_RETURNED_AT_ONCE) break;
       if (!this.isDue(id, pendingReturn) || this.stopTasks(id)) continue;
       ids.push(id);
-      pendingReturn.sent = true;
+      pendingReturn.isSent = true;
     }
     if (ids.length === 0) return;
     this.context.callCloud(
@@ -82,42 +82,42 @@
     );
   }
 
-  private isDue(id: string, { sent, retryMs }: PendingReturn): boolean {
+  private isDue(id: string, { isSent, retryAtMs }: PendingReturn): boolean {
     return (
-      !sent &&
-      this.context.nowMs >= retryMs &&
+      !isSent &&
+      this.context.nowMs >= retryAtMs &&
       this.state.registry.isReturnWritten(id)
     );
   }
 
-  /** Stops the tasks of a machine that can be reached, with time to save; returns whether there were any. */
+  /** Stops the tasks of a machine with a valid lease, with time to save a checkpoint. Returns whether there were any. */
   private stopTasks(id: string): boolean {
     const worker = this.state.workers.get(id);
     if (!worker || worker.leaseExpired || worker.tasks.size === 0) return false;
     for (const task of worker.tasks.values())
-      this.state.stop(task, saveTimeS(task), "machine goes back");
+      this.state.stop(task, saveTimeS(task), "machine is being returned");
     return true;
   }
 
   private onReply(ids: readonly string[], reply: CloudReply): void {
     if (reply.kind === "returned") this.noteReturned(ids);
-    else this.retry(ids);
+    else this.scheduleRetry(ids);
   }
 
   private noteReturned(ids: readonly string[]): void {
     for (const id of ids) {
       this.pending.delete(id);
-      this.returnedMs.set(id, this.context.nowMs);
+      this.returnedAtMs.set(id, this.context.nowMs);
     }
     this.state.removeMachines(ids);
   }
 
-  private retry(ids: readonly string[]): void {
+  private scheduleRetry(ids: readonly string[]): void {
     for (const id of ids) {
       const pendingReturn = this.pending.get(id);
       if (!pendingReturn) continue;
-      pendingReturn.sent = false;
-      pendingReturn.retryMs = this.context.nowMs + RETURN_RETRY_MS;
+      pendingReturn.isSent = false;
+      pendingReturn.retryAtMs = this.context.nowMs + RETURN_RETRY_MS;
     }
   }
 }
--- a/src/coordination/machines/memoize-by-offer.ts
+++ b/src/coordination/machines/memoize-by-offer.ts
@@ -1,13 +1,13 @@
-/** Saves repeating work that gives the same result for all machines of one offer: there are hundreds of machines and few offers. */
+/** Avoids repeating work whose result is the same for all machines of an offer, since hundreds of machines share a few offers. */
 import type { Worker } from "./worker-state.js";
 
-/** Remembers what `compute` returned for the first machine of each offer. Meant for one step: results are never dropped. */
+/** Caches what `compute` returned for the first machine of each offer. Only for use within one step: results are never dropped. */
 export function memoizeByOffer<Result>(
   compute: (worker: Worker) => Result,
 ): (worker: Worker) => Result {
   const results = new Map<string, Result>();
   return (worker) => {
-    // A machine whose type the catalog did not name when it came up is not like others of its offer.
+    // A machine whose type is unknown, because the catalog lacked it, may differ from others of its offer.
     const key = worker.type ? worker.offerKey : `?${worker.offerKey}`;
     let result = results.get(key);
     if (result === undefined) {
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -1,5 +1,5 @@
 /**
- * Brings what the leader knows of a worker's tasks in line with the status that the worker reports. Keeps no state but a count.
+ * Reconciles the leader's view of a worker's tasks with the status that the worker reports. Keeps no state except a counter.
  */
 
 import type { Context } from "../context.js";
@@ -16,22 +16,26 @@
   type Worker,
 } from "./worker-state.js";
 
-/** For so long no task is placed on a machine that refused one for lack of resources, nor one of a job that is unknown there. */
-const REFUSED_PAUSE_MS = 2_000;
+/**
+ * How long nothing is placed on a machine that refused a task for lack of resources, and nothing is started of a job that was
+ * unknown to a machine.
+ */
+const PAUSE_AFTER_REFUSAL_MS = 2_000;
 
-/** Reported tasks by job, index and attempt. */
+/** Reported tasks by `attemptKey`. */
 type ReportedTasks = ReadonlyMap<string, ReportedTask>;
 
-/** What a heartbeat says of the starts that answers before it contained. */
-interface CommandEvidence {
-  /** One that should be there is not. */
-  missing: boolean;
-  carriedOut: boolean;
+/** What a heartbeat shows about the starts contained in earlier answers. */
+interface StartEvidence {
+  /** A started task is missing from the heartbeat. */
+  isStartMissing: boolean;
+  /** A started task appears in a heartbeat for the first time. */
+  isStartCarriedOut: boolean;
 }
 
-/** Reconciles the known tasks of a worker with those that it reports, and handles those that ended or vanished. */
+/** Matches a worker's known tasks with those that it reports, and handles tasks that ended or are missing. */
 export class Reconciliation {
-  /** Times that a heartbeat said nothing of a task because the answer to its start had overtaken it. */
+  /** How often a heartbeat lacked a task because it was made before the start, whose answer had overtaken it. */
   overtakenHeartbeats = 0;
 
   constructor(
@@ -43,68 +47,75 @@
   ) {}
 
   /**
-   * `ordered`: the status was made after every answer before it, as heartbeats are. The answer to a status query is not: a
-   * command may reach the machine after that, so that an ordered task which it does not show may still start.
+   * `followsAnswers`: the status was made after the worker received or discarded every earlier answer, as heartbeats are. The
+   * reply to a status query is not: a command may reach the machine later, so a task that it does not show may still start.
    */
   reconcile(
     worker: Worker,
     tasks: readonly ReportedTask[],
-    ordered = true,
+    followsAnswers = true,
   ): void {
-    const shown = new Map<string, ReportedTask>();
+    const reported = new Map<string, ReportedTask>();
     for (const task of tasks)
-      shown.set(attemptKey(task.job, task.index, task.attempt), task);
+      reported.set(attemptKey(task.job, task.index, task.attempt), task);
     worker.exited = [];
     const unconfirmed = new Map(worker.unconfirmedTasks);
     this.state.ledger.clearUnconfirmed(worker);
-    const seen = this.reconcileKnown(worker, shown, ordered);
-    for (const [key, task] of shown) {
+    const evidence = this.reconcileKnown(worker, reported, followsAnswers);
+    for (const [key, task] of reported) {
       if (task.state === "exited") this.noteExited(worker, key, task);
       else if (!worker.tasks.has(key) && !this.adopt(worker, task))
         this.addUnconfirmed(worker, task, unconfirmed.get(key));
     }
-    this.deliveries.noteCommands(worker, seen.missing, seen.carriedOut);
-    // What is gone from a machine has freed resources, or was what a waiting task had to wait for.
+    this.deliveries.noteStartEvidence(
+      worker,
+      evidence.isStartMissing,
+      evidence.isStartCarriedOut,
+    );
+    // An unconfirmed task that is gone has freed resources, or a waiting task that had to wait for it may start now.
     for (const key of unconfirmed.keys())
       if (!worker.unconfirmedTasks.has(key)) this.state.needsScheduling = true;
   }
 
-  /** The tasks that are known to be, or were ordered to be, on the machine. */
+  /** Reconciles the tasks that this leader knows or has ordered to start on the machine. */
   private reconcileKnown(
     worker: Worker,
-    shown: ReportedTasks,
-    ordered: boolean,
-  ): CommandEvidence {
-    const seen: CommandEvidence = { missing: false, carriedOut: false };
+    reported: ReportedTasks,
+    followsAnswers: boolean,
+  ): StartEvidence {
+    const evidence: StartEvidence = {
+      isStartMissing: false,
+      isStartCarriedOut: false,
+    };
     for (const [key, task] of [...worker.tasks]) {
-      const reported = shown.get(key);
-      if (!reported) {
-        if (this.reconcileAbsent(worker, key, task, ordered))
-          seen.missing = true;
+      const reportedTask = reported.get(key);
+      if (!reportedTask) {
+        if (this.reconcileAbsent(worker, key, task, followsAnswers))
+          evidence.isStartMissing = true;
         continue;
       }
-      if (task.phase === "ordered") seen.carriedOut = true;
-      if (reported.state === "exited")
-        this.onExited(task, reported.cause, reported.checkpointed);
-      else this.notePhase(worker, task, reported.state);
+      if (task.phase === "ordered") evidence.isStartCarriedOut = true;
+      if (reportedTask.state === "exited")
+        this.onExited(task, reportedTask.cause, reportedTask.checkpointed);
+      else this.notePhase(worker, task, reportedTask.state);
     }
-    return seen;
+    return evidence;
   }
 
-  /** Whether a start that was sent to the machine is missing. */
+  /** Handles a known task that the status does not show. Returns whether this is a missing start that was sent in an answer. */
   private reconcileAbsent(
     worker: Worker,
     key: string,
     task: TaskRun,
-    ordered: boolean,
+    followsAnswers: boolean,
   ): boolean {
     if (task.phase !== "ordered") {
       this.onVanished(task);
       return false;
     }
-    // A start that no later heartbeat shows was not carried out, and if it was part of an answer it never will be: the
-    // worker drops answers that it no longer waits for. One sent straight to it may still arrive.
-    if (!ordered) return false;
+    // A start that a later heartbeat does not show was not carried out. If it was sent in an answer it never will be, since the
+    // worker discards answers that it no longer waits for. A start sent directly may still arrive.
+    if (!followsAnswers) return false;
     if (this.isOlderThanStart(worker, task)) {
       this.noteOvertaken(worker, task);
       return false;
@@ -114,7 +125,7 @@
       return false;
     }
     if (task.timesSent === 0) return false;
-    // What a machine that receives nothing was to start goes elsewhere as soon as it can't be carried out any more.
+    // A start for an unreachable machine is placed elsewhere as soon as the machine can't carry it out any more.
     if (
       worker.delivery.unreachableSinceMs !== null &&
       !worker.unansweredStarts.has(key)
@@ -124,8 +135,9 @@
   }
 
   /**
-   * Invariant (quota, ran_twice): the answer to a command overtakes a heartbeat that was made before it and is still on its
-   * way. That heartbeat says nothing of what the command started (docs/incidents/heartbeat-overtaken.md).
+   * Whether the worker's last heartbeat was made before it carried out the task's start. Invariant (quota, ran_twice): the answer
+   * to a command may overtake a heartbeat that was made before the command. Such a heartbeat does not show whether the command's
+   * tasks run (docs/incidents/heartbeat-overtaken.md).
    */
   isOlderThanStart(worker: Worker, task: TaskRun): boolean {
     return worker.sequence < task.startAnsweredSequence;
@@ -147,17 +159,17 @@
     task: TaskRun,
     state: TaskRun["phase"],
   ): void {
-    const now = this.ctx.nowMs;
+    const nowMs = this.ctx.nowMs;
     if (task.phase !== state) {
       this.ctx.log("task phase changed", {
         task: taskKey(task.job.id, task.index),
         worker: worker.id,
         from: task.phase,
         to: state,
-        afterMs: Math.round(now - task.phaseSinceMs),
+        afterMs: Math.round(nowMs - task.phaseSinceMs),
       });
       task.phase = state;
-      task.phaseSinceMs = now;
+      task.phaseSinceMs = nowMs;
     }
     if (state === "running" || state === "waiting")
       this.noteImage(worker, task);
@@ -175,20 +187,20 @@
       cause: reported.cause,
     });
     if (!worker.tasks.has(key) && reported.cause === "done")
-      this.onFoundDone(reported);
+      this.onReportedDone(reported);
   }
 
-  /** A task that this leader did not start and may not adopt: it is stopped, and counts until it is gone. */
+  /** Records a task that is not expected here and can't be adopted. It is stopped, and its resources count until it is gone. */
   private addUnconfirmed(
     worker: Worker,
     reported: ReportedTask,
-    before: UnconfirmedTask | undefined,
+    previous: UnconfirmedTask | undefined,
   ): void {
     const spec = (
       this.state.jobs.get(reported.job)?.view ??
       this.ctx.cache.jobs.get(reported.job)
     )?.spec;
-    const known = spec && {
+    const knownNeed = spec && {
       team: spec.team,
       cpus: spec.cpus,
       gpus: spec.gpus,
@@ -199,8 +211,8 @@
       job: reported.job,
       index: reported.index,
       attempt: reported.attempt,
-      need: known ?? before?.need ?? null,
-      sinceMs: before?.sinceMs ?? this.ctx.nowMs,
+      need: knownNeed ?? previous?.need ?? null,
+      firstReportedMs: previous?.firstReportedMs ?? this.ctx.nowMs,
     });
   }
 
@@ -208,19 +220,19 @@
     const { image, imageGb } = task.job.view.spec;
     if (!image) return;
     worker.images.delete(image);
-    worker.images.set(image, { gb: imageGb, usedMs: this.ctx.nowMs });
-    let total = 0;
-    for (const cached of worker.images.values()) total += cached.gb;
+    worker.images.set(image, { sizeGb: imageGb, lastUsedMs: this.ctx.nowMs });
+    let totalGb = 0;
+    for (const cached of worker.images.values()) totalGb += cached.sizeGb;
     for (const [name, cached] of worker.images) {
-      const isWithin = total <= (worker.type?.cacheGb ?? 0);
+      const isWithin = totalGb <= (worker.type?.cacheGb ?? 0);
       if (isWithin || worker.images.size === 1) break;
       worker.images.delete(name);
-      total -= cached.gb;
+      totalGb -= cached.sizeGb;
     }
   }
 
-  /** A result that was reported under another attempt counts all the same. */
-  private onFoundDone(reported: ReportedTask): void {
+  /** A task counts as done even if it was completed under another attempt. */
+  private onReportedDone(reported: ReportedTask): void {
     const job = this.state.jobs.get(reported.job);
     if (
       !job ||
@@ -229,12 +241,12 @@
       job.finished.has(reported.index)
     )
       return;
-    const running = job.active.get(reported.index);
+    const activeTask = job.active.get(reported.index);
     this.completion.completeTask(job, reported.index);
-    if (running) this.state.stop(running, 0, "done elsewhere");
+    if (activeTask) this.state.stop(activeTask, 0, "done elsewhere");
   }
 
-  /** Takes over a task that a former leader started, or whose start was taken for lost, if it may run here. */
+  /** Takes over a task that a former leader started, or whose start was considered lost, if it may run here. */
   private adopt(worker: Worker, reported: ReportedTask): boolean {
     const job = this.state.jobs.get(reported.job);
     if (
@@ -294,13 +306,13 @@
       this.completion.completeTask(job, task.index);
     if (cause === "done") {
       worker.failedJobs.clear();
-      this.failures.onCompleted(job);
+      this.failures.onTaskCompleted(job);
     }
-    if (cause === "error") this.failures.onFailed(task);
+    if (cause === "error") this.failures.onTaskFailed(task);
     if (cause === "no_room" || cause === "busy")
-      worker.avoidUntilMs = this.ctx.nowMs + REFUSED_PAUSE_MS;
+      worker.avoidUntilMs = this.ctx.nowMs + PAUSE_AFTER_REFUSAL_MS;
     if (cause === "no_such")
-      job.backoffUntilMs = this.ctx.nowMs + REFUSED_PAUSE_MS;
+      job.backoffUntilMs = this.ctx.nowMs + PAUSE_AFTER_REFUSAL_MS;
     this.state.requeue(task, "exited");
   }
 }
--- a/src/coordination/machines/redirects.ts
+++ b/src/coordination/machines/redirects.ts
@@ -1,33 +1,36 @@
 /**
- * Remembers which workers were redirected to another controller a moment ago. Owns a bounded map from worker to redirect.
+ * Remembers which workers were recently redirected to another controller. Owns a bounded map from worker id to redirect.
  */
 
-/** A worker that comes back within this time has not reached the controller that it was sent to: heartbeats come more often than that. */
-const REMEMBERED_MS = 12_000;
-/** Part of the memory that the redirects may take: names of workers come from whoever connects. */
+/**
+ * A worker that returns within this time did not reach the controller that it was redirected to. Heartbeats are sent more often
+ * than this.
+ */
+const RECENT_REDIRECT_MS = 12_000;
+/** Share of the memory that redirects may take. Bounded because any client can connect with arbitrary worker ids. */
 const MEMORY_SHARE = 0.03;
-/** One redirect with a name of usual length, measured generously. */
+/** Memory of one redirect with a worker id of usual length, rounded up generously. */
 const REDIRECT_KIB = 0.25;
-/** However little memory there is: twice the machines that a controller is built for. */
+/** Lower bound regardless of memory: twice the number of machines that a controller is designed for. */
 const MIN_REDIRECTS = 8_000;
 
 interface Redirect {
-  /** Fencing token of the leader that it was redirected to. */
+  /** Fencing token of the leader that the worker was redirected to. */
   token: number;
-  /** Steady time. */
-  atMs: number;
+  /** When the redirect was sent, on the steady clock. */
+  redirectedMs: number;
 }
 
-/** Most redirects that are remembered; beyond it the oldest is forgotten. */
+/** Maximum number of remembered redirects; beyond it the oldest is forgotten. */
 export const maxRedirects = (memMb: number): number =>
   Math.max(
     MIN_REDIRECTS,
     Math.floor((memMb * MEMORY_SHARE * 1024) / REDIRECT_KIB),
   );
 
-/** Workers that were redirected to the controller that leads their partition: one that comes back at once can't reach it. */
+/** Recent redirects of workers to the leader of their partition. A worker that returns at once can't reach that leader. */
 export class Redirects {
-  /** By worker, oldest first. */
+  /** By worker id, oldest first. */
   private readonly redirects = new Map<string, Redirect>();
 
   constructor(private readonly maxSize: number) {}
@@ -36,27 +39,27 @@
     return this.redirects.size;
   }
 
-  /** Whether this worker was redirected under this token a moment ago. */
+  /** Whether this worker was redirected to the leader with this token within `RECENT_REDIRECT_MS`. */
   wasJustRedirected(worker: string, token: number, nowMs: number): boolean {
     const redirect = this.redirects.get(worker);
     return (
       redirect !== undefined &&
       redirect.token === token &&
-      nowMs - redirect.atMs < REMEMBERED_MS
+      nowMs - redirect.redirectedMs < RECENT_REDIRECT_MS
     );
   }
 
-  /** Notes that a worker is redirected now. */
+  /** Records that a worker is being redirected. */
   note(worker: string, token: number, nowMs: number): void {
     this.redirects.delete(worker);
-    this.redirects.set(worker, { token, atMs: nowMs });
+    this.redirects.set(worker, { token, redirectedMs: nowMs });
     this.evict(nowMs);
   }
 
-  /** Drops redirects that are too old to matter, and the oldest beyond the bound. */
+  /** Drops redirects that are no longer recent, and the oldest ones beyond the bound. */
   private evict(nowMs: number): void {
-    for (const [worker, { atMs }] of this.redirects) {
-      const isRecent = nowMs - atMs < REMEMBERED_MS;
+    for (const [worker, { redirectedMs }] of this.redirects) {
+      const isRecent = nowMs - redirectedMs < RECENT_REDIRECT_MS;
       if (isRecent && this.redirects.size <= this.maxSize) return;
       this.redirects.delete(worker);
     }
--- a/src/coordination/machines/rental-plan.ts
+++ b/src/coordination/machines/rental-plan.ts
@@ -1,6 +1,6 @@
 /**
- * One plan of what to rent: the places that are there, booting or planned, and the rentals planned so far. Owns both lists
- * while the plan is made; jobs take their places from it in turn.
+ * One plan of machines to rent. Owns the list of machines (running, booting or planned) and the rentals planned so far, while
+ * jobs take their slots from it one after the other. A slot is the capacity for one task.
  */
 import type { Context } from "../context.js";
 import type { EffectivePriority, JobSpec, MachineType } from "../model.js";
@@ -8,72 +8,75 @@
 import {
   isSameOffer,
   type CapacityOffers,
-  type Place,
+  type MachineCapacity,
   type PlannedRental,
   type RentableOffer,
 } from "./capacity-offers.js";
 import { isOnlySpotWorthwhile } from "./rental-timing.js";
 import { subtract } from "./worker-state.js";
 
-/** All that a machine of this type can hold. */
+/** The total resources of a machine of this type. */
 export const resourcesOf = ({ cpus, gpus, memGb }: MachineType): Resources => ({
   cpus,
   gpus,
   memGb,
 });
 
-/** How many tasks of the job fit on these places in all. */
-export const countFitting = (spec: JobSpec, places: readonly Place[]): number =>
-  places.reduce((sum, place) => sum + fitCount(spec, place.free), 0);
+/** How many tasks of the job fit on these machines in total. */
+export const countSlots = (
+  spec: JobSpec,
+  machines: readonly MachineCapacity[],
+): number =>
+  machines.reduce((sum, machine) => sum + fitCount(spec, machine.free), 0);
 
-/** Takes places for `taskCount` tasks, first come first; returns how many tasks found none. */
-export function takePlaces(
+/** Takes slots for `taskCount` tasks from the machines in order. Returns how many tasks found no slot. */
+export function takeSlots(
   spec: JobSpec,
   taskCount: number,
-  places: readonly Place[],
+  machines: readonly MachineCapacity[],
 ): number {
-  let lacking = taskCount;
-  for (const place of places) {
-    if (lacking === 0) break;
-    const taken = Math.min(lacking, fitCount(spec, place.free));
-    for (let i = 0; i < taken; i++) subtract(place.free, spec);
-    lacking -= taken;
+  let unplaced = taskCount;
+  for (const machine of machines) {
+    if (unplaced === 0) break;
+    const takenCount = Math.min(unplaced, fitCount(spec, machine.free));
+    for (let i = 0; i < takenCount; i++) subtract(machine.free, spec);
+    unplaced -= takenCount;
   }
-  return lacking;
+  return unplaced;
 }
 
-/** What to rent, worked out job by job. */
+/** The rentals of one plan, computed job by job. */
 export class RentalPlan {
-  /** In the order in which they are to be asked for. */
+  /** In the order in which they are to be requested. */
   readonly rentals: PlannedRental[] = [];
-  /** How many more machines of each offer there may be, where that is known. */
-  private readonly remaining: ReadonlyMap<string, number>;
+  /** How many more machines of an offer can be rented, by offer key; only offers for which this is known. */
+  private readonly remainingByOffer: ReadonlyMap<string, number>;
 
-  /** `places`: those there are or that are booting; planned machines are added to them. */
+  /** `machines`: running and booting machines. Planned machines are added to the list. */
   constructor(
     private readonly context: Context,
     private readonly offers: CapacityOffers,
-    readonly places: Place[],
+    readonly machines: MachineCapacity[],
   ) {
-    this.remaining = offers.remaining();
+    this.remainingByOffer = offers.remainingByOffer();
   }
 
-  /** All places that the job may use, those without free resources too. */
-  placesServing(spec: JobSpec): Place[] {
-    return this.places.filter((place) => this.offers.serves(spec, place));
+  /** All machines that the job may use, including those without free resources. */
+  machinesServing(spec: JobSpec): MachineCapacity[] {
+    return this.machines.filter((machine) => this.offers.serves(spec, machine));
   }
 
-  /** How many tasks of the job could run on machines that may still be rented in these zones. */
+  /** How many tasks of the job could run on machines that can still be rented in these zones. */
   countRentable(spec: JobSpec, zones: readonly string[]): number {
     let taskCount = 0;
-    for (const offer of this.rentable(spec, zones))
+    for (const offer of this.rentableOffers(spec, zones))
       taskCount += offer.maxMachines * fitCount(spec, offer.machineType);
     return taskCount;
   }
 
   /**
-   * Plans machines for `taskCount` tasks where a place for a task costs least; returns whether any were to be had.
-   * `priority`: null for capacity that is kept free for jobs to come.
+   * Plans machines for `taskCount` tasks, from the offers with the lowest cost per slot. Returns whether any could be planned.
+   * `priority`: null for warm capacity.
    */
   rentFor(
     spec: JobSpec,
@@ -82,36 +85,41 @@
     zones: readonly string[],
   ): boolean {
     const spotOnly = isOnlySpotWorthwhile(this.context, spec, priority);
-    let lacking = taskCount;
-    while (lacking > 0) {
-      const offer = this.cheapest(spec, lacking, zones, spotOnly);
+    let unplaced = taskCount;
+    while (unplaced > 0) {
+      const offer = this.cheapestOffer(spec, unplaced, zones, spotOnly);
       if (!offer) break;
-      lacking = this.add(spec, lacking, offer);
+      unplaced = this.addRental(spec, unplaced, offer);
     }
-    return lacking < taskCount;
+    return unplaced < taskCount;
   }
 
-  private rentable(
+  private rentableOffers(
     spec: JobSpec,
     zones: readonly string[],
   ): Generator<RentableOffer> {
-    return this.offers.rentable(spec, zones, this.remaining, this.rentals);
+    return this.offers.rentableOffers(
+      spec,
+      zones,
+      this.remainingByOffer,
+      this.rentals,
+    );
   }
 
-  private cheapest(
+  private cheapestOffer(
     spec: JobSpec,
-    lacking: number,
+    unplaced: number,
     zones: readonly string[],
     spotOnly: boolean,
   ): RentableOffer | null {
     let cheapest: RentableOffer | null = null;
     let lowestCost = Infinity;
-    for (const offer of this.rentable(spec, zones)) {
+    for (const offer of this.rentableOffers(spec, zones)) {
       if (spotOnly && !offer.spot) continue;
       const { machineType } = offer;
       const price = offer.spot ? machineType.spotPrice : machineType.price;
       const costPerTask =
-        price / Math.min(fitCount(spec, machineType), lacking);
+        price / Math.min(fitCount(spec, machineType), unplaced);
       if (costPerTask < lowestCost) {
         cheapest = offer;
         lowestCost = costPerTask;
@@ -120,28 +128,32 @@
     return cheapest;
   }
 
-  /** Plans machines of this offer for as many of the tasks as it allows; returns how many tasks still lack a place. */
-  private add(spec: JobSpec, lacking: number, offer: RentableOffer): number {
+  /** Plans machines of this offer for as many tasks as it allows. Returns how many tasks still lack a slot. */
+  private addRental(
+    spec: JobSpec,
+    unplaced: number,
+    offer: RentableOffer,
+  ): number {
     const { machineType, zone, spot, maxMachines } = offer;
     const tasksPerMachine = fitCount(spec, machineType);
     const rental: PlannedRental = {
       type: machineType.name,
       zone,
       spot,
-      count: Math.min(maxMachines, Math.ceil(lacking / tasksPerMachine)),
+      count: Math.min(maxMachines, Math.ceil(unplaced / tasksPerMachine)),
     };
-    const earlier = this.rentals.find((other) => isSameOffer(other, rental));
-    if (earlier) earlier.count += rental.count;
+    const existing = this.rentals.find((other) => isSameOffer(other, rental));
+    if (existing) existing.count += rental.count;
     else this.rentals.push(rental);
-    // What its tasks leave free of the new machines is there for the jobs behind it.
-    const added = Array.from({ length: rental.count }, () => ({
+    // Later jobs may use the slots that this job's tasks leave free on the new machines.
+    const addedMachines = Array.from({ length: rental.count }, () => ({
       type: rental.type,
       zone,
       spot,
       isReserved: false,
       free: resourcesOf(machineType),
     }));
-    for (const place of added) this.places.push(place);
-    return takePlaces(spec, lacking, added);
+    for (const machine of addedMachines) this.machines.push(machine);
+    return takeSlots(spec, unplaced, addedMachines);
   }
 }
--- a/src/coordination/machines/rental-requests.ts
+++ b/src/coordination/machines/rental-requests.ts
@@ -1,6 +1,6 @@
 /**
- * Sends rental requests to the cloud, one at a time, and takes in the answers. Owns the request that is under way; machines
- * that it granted go to the map of booting machines.
+ * Sends rental requests to the cloud, one at a time, and processes the replies. Owns the pending request. Granted machines are
+ * added to the shared map of booting machines.
  */
 import type { Context } from "../context.js";
 import { CallPriority, type CloudReply } from "../effects.js";
@@ -11,16 +11,16 @@
   PlannedRental,
 } from "./capacity-offers.js";
 
-/** A request that was sent at least once: its id stands for this offer and count from then on. */
+/** A rental request. Its id identifies this offer and count for good, so that the request can be retried safely. */
 export interface RentalRequest extends PlannedRental {
   readonly id: string;
-  sent: boolean;
-  retryMs: number;
+  isSent: boolean;
+  retryAtMs: number;
 }
 
-/** PROTOCOL: most machines of one request. */
+/** PROTOCOL: maximum number of machines per request. */
 const MAX_MACHINES_PER_REQUEST = 50;
-/** A request without a clear answer is sent again after this time. */
+/** Delay before a request without a conclusive reply is sent again. */
 const RENTAL_RETRY_MS = 1_500;
 
 /** The rental requests of one partition leader. */
@@ -36,21 +36,21 @@
     private readonly onAnswered: () => void,
   ) {}
 
-  /** The request whose answer is not known yet. */
-  get underWay(): Readonly<RentalRequest> | null {
+  /** The request whose outcome is not known yet; null if there is none. */
+  get pendingRequest(): Readonly<RentalRequest> | null {
     return this.pending;
   }
 
   /**
-   * Sends what is due, taking from `planned` when no request is under way. What is not sent yet is planned anew once the
-   * answer is known: with a small rate limit, requests that wait in line ask for what is not needed any more.
+   * Sends the pending request if it is due, or takes the next one from `planned` if there is none. Rentals that are not sent yet
+   * are planned anew after each reply: with a low rate limit, queued requests would rent machines that are no longer needed.
    */
-  send(planned: PlannedRental[]): void {
+  sendDue(planned: PlannedRental[]): void {
     this.pending ??= this.nextRequest(planned);
     const request = this.pending;
-    if (!request || request.sent || this.context.nowMs < request.retryMs)
+    if (!request || request.isSent || this.context.nowMs < request.retryAtMs)
       return;
-    request.sent = true;
+    request.isSent = true;
     const { id, type, zone, spot, count } = request;
     this.context.callCloud(
       { op: "rent", request: id, type, zone, spot, count },
@@ -66,17 +66,17 @@
       ...rental,
       count: Math.min(rental.count, MAX_MACHINES_PER_REQUEST),
     };
-    // Invariant: a request id is never used again by anyone. The token belongs to one leader of one partition.
+    // Invariant: no request id is ever used twice. The token belongs to one leader of one partition.
     const id = `${this.context.settings.label}-${this.state.token}-${++this.requestCount}`;
     this.context.log("scaling out", { rentalRequestId: id, ...capped });
-    return { ...capped, id, sent: false, retryMs: 0 };
+    return { ...capped, id, isSent: false, retryAtMs: 0 };
   }
 
   private onReply(request: RentalRequest, reply: CloudReply): void {
     if (reply.kind !== "rented" && reply.kind !== "noCapacity") {
-      // Sent again under the same id: whatever became of the request, the cloud rents once.
-      request.sent = false;
-      request.retryMs = this.context.nowMs + RENTAL_RETRY_MS;
+      // Retried under the same id: whether or not the first request was carried out, the cloud rents only once.
+      request.isSent = false;
+      request.retryAtMs = this.context.nowMs + RENTAL_RETRY_MS;
       return;
     }
     this.pending = null;
@@ -95,12 +95,12 @@
     const { type, zone, spot } = request;
     const rentedMs = this.context.nowMs;
     for (const id of granted)
-      // A machine may report before the cloud's answer arrives.
+      // A machine may send a heartbeat before the cloud's reply arrives.
       if (!this.state.workers.has(id))
         this.booting.set(id, { type, zone, spot, rentedMs });
   }
 
-  private noteSoldOut(request: RentalRequest, granted: number): void {
+  private noteSoldOut(request: RentalRequest, grantedCount: number): void {
     const { type, zone, spot, count } = request;
     this.offers.noteSoldOut(request);
     this.context.log("cloud capacity exhausted", {
@@ -108,7 +108,7 @@
       zone,
       spot,
       requested: count,
-      granted,
+      granted: grantedCount,
     });
   }
 }
--- a/src/coordination/machines/rental-timing.ts
+++ b/src/coordination/machines/rental-timing.ts
@@ -1,15 +1,18 @@
 /**
- * Times that decide whether a machine is worth renting: how long until a job's deadline, until nothing is expected of it any
- * more, and until a machine asked for now could run a task. Owns no state.
+ * Times that decide whether a machine is worth renting for a job: until the job's deadline, until its last objective can't be met
+ * any more, and until a machine requested now could run a task. Owns no state.
  */
 import type { Context } from "../context.js";
 import type { EffectivePriority, JobSpec } from "../model.js";
 import { canRunOn } from "../scheduling/placement.js";
 
-/** Estimates and boot times are often this much too short. */
+/** Actual run and boot times are often longer than estimated by about this factor. */
 export const ESTIMATE_FACTOR = 1.4;
 
-/** Seconds until the job's own deadline, not that of jobs which depend on it: those make it no cheaper to be late. */
+/**
+ * Seconds until the job is due; Infinity for a job without a deadline of its own. Deadlines of jobs that depend on it make it no
+ * cheaper for such a job to be late.
+ */
 export function timeToDeadlineS(
   context: Context,
   spec: JobSpec,
@@ -19,7 +22,10 @@
   return (priority.dueAt - context.wallMs) / 1000;
 }
 
-/** Seconds until a machine that is asked for now runs a task: its boot, as slow as most are, and fetching the image. */
+/**
+ * Seconds until a machine requested now could run a task: a boot that is as slow as most are, and fetching the image. The fastest
+ * suitable machine type counts; 0 if there is none.
+ */
 export function timeToReadyS(context: Context, spec: JobSpec): number {
   let readyS = Infinity;
   for (const machineType of context.catalog ?? [])
@@ -34,8 +40,8 @@
 }
 
 /**
- * Seconds until nothing is expected of the job any more: beside its own deadline, its class may have a time by which most
- * jobs are to be done. By the deadline alone, late jobs waited for spot machines that were sold out
+ * Seconds until the last of the job's objectives: its own deadline, or the time within which jobs of its class should be finished.
+ * When only the deadline counted, late jobs waited for spot machines that were sold out
  * (docs/incidents/claimdesk-fleet-late-jobs.md).
  */
 function timeToLastObjectiveS(
@@ -59,8 +65,8 @@
 }
 
 /**
- * Whether only spot machines are worth renting for the job: it can still wait for one and be in time on an ordinary machine,
- * or it is too late for all that is expected of it, and an ordinary machine would save nothing.
+ * Whether only spot machines are worth renting for the job. Either it can wait for one and would still meet its deadline on an
+ * ordinary machine, or it is too late for all its objectives, so that an ordinary machine would gain nothing.
  */
 export function isOnlySpotWorthwhile(
   context: Context,
--- a/src/coordination/machines/request-kinds.ts
+++ b/src/coordination/machines/request-kinds.ts
@@ -1,6 +1,6 @@
 /**
- * Groups waiting jobs by what they ask of a place while machines are planned. Thousands of jobs ask for few different
- * things: looking through the places of hundreds of machines for each job took longer than a tick may. Lives for one plan.
+ * Groups waiting jobs by their requirements while rentals are planned. Thousands of jobs have only a few different requirements,
+ * and searching hundreds of machines for each job took longer than a tick may. Exists for one plan.
  */
 import type { JobSpec, Tuning } from "../model.js";
 import {
@@ -9,90 +9,96 @@
   startsWhole,
 } from "../scheduling/placement.js";
 import { isShort } from "../scheduling/scheduling-round.js";
-import type { Place } from "./capacity-offers.js";
+import type { MachineCapacity } from "./capacity-offers.js";
 
-/** Jobs of one plan that ask for the same. */
+/** The jobs of one plan that have the same requirements. */
 export interface RequestKind {
-  /** The last job of this kind found neither a free place nor an offer: the next need not look. */
+  /** The last job of this kind found neither a free slot nor an offer, so the next one need not search. */
   foundNothing: boolean;
-  /** Places where a task of this kind still fits. */
-  placesWithRoom(spec: JobSpec, places: readonly Place[]): readonly Place[];
+  /** Machines on which a task of this kind still fits. */
+  machinesWithSlots(
+    spec: JobSpec,
+    machines: readonly MachineCapacity[],
+  ): readonly MachineCapacity[];
 }
 
-/** Candidate places of one request, and how many of the plan's places were looked at to find them. */
+/** Candidate machines of one kind, and how many of the plan's machines were examined to find them. */
 interface Candidates {
-  seen: number;
-  places: Place[];
+  examinedCount: number;
+  machines: MachineCapacity[];
 }
 
-/** The request kinds met while one plan is made. The list of places may only grow, and their free resources only shrink. */
+/** The request kinds of one plan. While it is made, machines may only be added, and their free resources may only shrink. */
 export class RequestKinds {
   private readonly kinds = new Map<string, RequestKind>();
   private readonly candidates = new Map<string, Candidates>();
 
   constructor(
     private readonly tuning: Tuning,
-    private readonly serves: (spec: JobSpec, place: Place) => boolean,
+    private readonly serves: (
+      spec: JobSpec,
+      machine: MachineCapacity,
+    ) => boolean,
   ) {}
 
   /**
-   * The kind of a job that asks for `taskCount` places. `activeCount`: its tasks that run now, which may bind the rest to
-   * their zone.
+   * The kind of a job that needs `taskCount` slots. `activeCount`: the number of its tasks that are already on machines, which
+   * may bind the rest to their zones.
    */
   kindOf(spec: JobSpec, taskCount: number, activeCount: number): RequestKind {
-    const short = isShort(spec, this.tuning);
-    const placeKey = `${requestKeyOf(spec)}/${short}`;
+    const isShortJob = isShort(spec, this.tuning);
+    const machineKey = `${requestKeyOf(spec)}/${isShortJob}`;
     const shapeKey = shapeKeyOf(spec, taskCount, activeCount);
-    // What jobs with a deadline ask for depends on the work that is due: their kind is never marked as `foundNothing`.
-    const key = `${placeKey}/${spec.deadlineS === null}/${shapeKey}`;
+    // The demand of jobs with a deadline depends on the work that is due, so their kind is never marked as `foundNothing`.
+    const key = `${machineKey}/${spec.deadlineS === null}/${shapeKey}`;
     let kind = this.kinds.get(key);
     if (!kind) {
       kind = {
         foundNothing: false,
-        placesWithRoom: (askingSpec, places) =>
-          this.placesWithRoom(askingSpec, short, placeKey, places),
+        machinesWithSlots: (jobSpec, machines) =>
+          this.findMachinesWithSlots(jobSpec, isShortJob, machineKey, machines),
       };
       this.kinds.set(key, kind);
     }
     return kind;
   }
 
-  private placesWithRoom(
+  private findMachinesWithSlots(
     spec: JobSpec,
-    short: boolean,
-    placeKey: string,
-    places: readonly Place[],
-  ): readonly Place[] {
-    let candidates = this.candidates.get(placeKey);
+    isShortJob: boolean,
+    machineKey: string,
+    machines: readonly MachineCapacity[],
+  ): readonly MachineCapacity[] {
+    let candidates = this.candidates.get(machineKey);
     if (!candidates) {
-      candidates = { seen: 0, places: [] };
-      this.candidates.set(placeKey, candidates);
+      candidates = { examinedCount: 0, machines: [] };
+      this.candidates.set(machineKey, candidates);
     }
-    const fitting = candidates.places.filter(
-      (place) => fitCount(spec, place.free) > 0,
+    const fitting = candidates.machines.filter(
+      (machine) => fitCount(spec, machine.free) > 0,
     );
-    for (const place of places.slice(candidates.seen))
+    for (const machine of machines.slice(candidates.examinedCount))
       if (
-        (short || !place.isReserved) &&
-        this.serves(spec, place) &&
-        fitCount(spec, place.free) > 0
+        (isShortJob || !machine.isReserved) &&
+        this.serves(spec, machine) &&
+        fitCount(spec, machine.free) > 0
       )
-        fitting.push(place);
-    candidates.places = fitting;
-    candidates.seen = places.length;
+        fitting.push(machine);
+    candidates.machines = fitting;
+    candidates.examinedCount = machines.length;
     return fitting;
   }
 }
 
-/** What the zones of a job's tasks depend on, for jobs whose tasks can't be placed one by one; empty for others. */
+/** Key of what restricts the zones of a job's tasks. Empty for jobs whose tasks can be placed one by one. */
 function shapeKeyOf(
   spec: JobSpec,
   taskCount: number,
   activeCount: number,
 ): string {
-  const boundBy = activeCount > 0 ? spec.id : "";
-  if (spec.spread) return `spread/${spec.tasks}/${taskCount}/${boundBy}`;
+  const bindingJobId = activeCount > 0 ? spec.id : "";
+  if (spec.spread) return `spread/${spec.tasks}/${taskCount}/${bindingJobId}`;
   if (startsWhole(spec))
-    return `${spec.kind}/${spec.samePlace}/${taskCount}/${boundBy}`;
+    return `${spec.kind}/${spec.samePlace}/${taskCount}/${bindingJobId}`;
   return "";
 }
--- a/src/coordination/machines/resource-ledger.ts
+++ b/src/coordination/machines/resource-ledger.ts
@@ -1,6 +1,6 @@
 /**
- * Accounts for the resources in use on a partition's machines. Owns the sums by team and the index of unconfirmed tasks,
- * and drops the cached free resources of a worker when its tasks change.
+ * Accounts for the resources in use on a partition's machines. Owns the sums by team and the index of unconfirmed tasks, and
+ * invalidates a worker's cached free resources when its tasks change.
  */
 
 import {
@@ -10,33 +10,35 @@
   type Worker,
 } from "./worker-state.js";
 
-/** CPUs and accelerators in use, or needed. Teams have no limit on memory. */
+/** CPUs and accelerators that are used or needed. Memory is not included, because teams have no memory limit. */
 export interface ResourceUse {
   cpus: number;
   gpus: number;
 }
 
 /**
- * What is or may be on the machines of a partition, kept up to date as tasks come and go: what each team uses, and
- * where tasks are that should not be there. Heartbeats come by the hundred a second in large partitions: none of this
- * may be counted anew for one.
+ * The resources that are or may be in use on a partition's machines, by team, and the unconfirmed tasks. Updated incrementally
+ * as tasks come and go: large partitions get hundreds of heartbeats a second, and recounting for each would take too long.
  */
 export class ResourceLedger {
-  private readonly teams = new Map<string, ResourceUse & { tasks: number }>();
+  private readonly usageByTeam = new Map<
+    string,
+    ResourceUse & { tasks: number }
+  >();
   private readonly unconfirmedByJob = new Map<string, Set<UnconfirmedTask>>();
-  /** Machines with a task of a job that nobody knows: it may be of any team and any size. */
-  private readonly unsized = new Map<Worker, number>();
+  /** Number of unconfirmed tasks of unknown jobs, by machine. Such a task may be of any team and any size. */
+  private readonly unknownTaskCounts = new Map<Worker, number>();
 
   private addToTeam(team: string, need: ResourceUse, sign: 1 | -1): void {
-    const use = this.teams.get(team) ?? { cpus: 0, gpus: 0, tasks: 0 };
+    const use = this.usageByTeam.get(team) ?? { cpus: 0, gpus: 0, tasks: 0 };
     use.tasks += sign;
-    // Sums of decimal numbers drift: nothing used is exactly nothing.
+    // Sums of decimal numbers drift, so the use of a team without tasks is reset to exactly 0.
     use.cpus = use.tasks === 0 ? 0 : use.cpus + sign * need.cpus;
     use.gpus = use.tasks === 0 ? 0 : use.gpus + sign * need.gpus;
-    this.teams.set(team, use);
+    this.usageByTeam.set(team, use);
   }
 
-  /** Puts a task on its worker. */
+  /** Adds a task to its worker and counts it for its team. */
   addTask(task: TaskRun): void {
     const { job, worker } = task;
     const { spec } = job.view;
@@ -45,7 +47,7 @@
     this.addToTeam(spec.team, spec, 1);
   }
 
-  /** Takes a task off its worker, if it is still there. */
+  /** Removes a task from its worker if it is still there. */
   removeTask(task: TaskRun): void {
     const { job, worker } = task;
     const { spec } = job.view;
@@ -54,7 +56,7 @@
       this.addToTeam(spec.team, spec, -1);
   }
 
-  /** Counts a task that should not be on its worker, until `clearUnconfirmed`. */
+  /** Adds an unconfirmed task to its worker, until `clearUnconfirmed`. */
   addUnconfirmed(task: UnconfirmedTask): void {
     const { worker, need } = task;
     worker.free = null;
@@ -62,24 +64,29 @@
       attemptKey(task.job, task.index, task.attempt),
       task,
     );
-    let ofJob = this.unconfirmedByJob.get(task.job);
-    if (!ofJob) this.unconfirmedByJob.set(task.job, (ofJob = new Set()));
-    ofJob.add(task);
+    let tasksOfJob = this.unconfirmedByJob.get(task.job);
+    if (!tasksOfJob)
+      this.unconfirmedByJob.set(task.job, (tasksOfJob = new Set()));
+    tasksOfJob.add(task);
     if (need) this.addToTeam(need.team, need, 1);
-    else this.unsized.set(worker, (this.unsized.get(worker) ?? 0) + 1);
+    else
+      this.unknownTaskCounts.set(
+        worker,
+        (this.unknownTaskCounts.get(worker) ?? 0) + 1,
+      );
   }
 
-  /** Counts none of the unconfirmed tasks of a worker any more. */
+  /** Removes all unconfirmed tasks of a worker. */
   clearUnconfirmed(worker: Worker): void {
     if (worker.unconfirmedTasks.size === 0) return;
     worker.free = null;
     for (const task of worker.unconfirmedTasks.values()) {
-      const ofJob = this.unconfirmedByJob.get(task.job);
-      ofJob?.delete(task);
-      if (ofJob?.size === 0) this.unconfirmedByJob.delete(task.job);
+      const tasksOfJob = this.unconfirmedByJob.get(task.job);
+      tasksOfJob?.delete(task);
+      if (tasksOfJob?.size === 0) this.unconfirmedByJob.delete(task.job);
       if (task.need) this.addToTeam(task.need.team, task.need, -1);
     }
-    this.unsized.delete(worker);
+    this.unknownTaskCounts.delete(worker);
     worker.unconfirmedTasks.clear();
   }
 
@@ -87,7 +94,7 @@
     return this.unconfirmedByJob.get(jobId) ?? NO_TASKS;
   }
 
-  /** What unconfirmed tasks of a team use: some are only listed by late heartbeats and run elsewhere by now. */
+  /** Resources of a team's unconfirmed tasks. Some may be listed only by late heartbeats and run elsewhere by now. */
   unconfirmedUseOfTeam(team: string): ResourceUse {
     const sum = { cpus: 0, gpus: 0 };
     for (const tasks of this.unconfirmedByJob.values())
@@ -99,32 +106,32 @@
     return sum;
   }
 
-  /** Whether a job, or one task of it, has an unconfirmed task anywhere in the partition. */
+  /** Whether a job, or its task with this index, has an unconfirmed task anywhere in the partition. */
   hasUnconfirmed(jobId: string, index?: number): boolean {
     for (const task of this.unconfirmedOfJob(jobId))
       if (index === undefined || task.index === index) return true;
     return false;
   }
 
-  /** What is or may be on the machines of one team. */
+  /** Resources of a team's tasks that are or may be on machines. */
   useOfTeam(team: string): Readonly<ResourceUse> {
-    return this.teams.get(team) ?? NO_USE;
+    return this.usageByTeam.get(team) ?? NO_USE;
   }
 
-  /** What each team uses, as a copy. */
+  /** The same for every team, as a copy. */
   useByTeam(): Map<string, ResourceUse> {
     return new Map(
-      [...this.teams].map(([team, use]) => [
+      [...this.usageByTeam].map(([team, use]) => [
         team,
         { cpus: use.cpus, gpus: use.gpus },
       ]),
     );
   }
 
-  /** What tasks of jobs that nobody knows may use, of any team. */
+  /** The most that unconfirmed tasks of unknown jobs can use; it may belong to any team. */
   maxUseOfUnknownTasks(): ResourceUse {
     const sum = { cpus: 0, gpus: 0 };
-    for (const [worker, count] of this.unsized) {
+    for (const [worker, count] of this.unknownTaskCounts) {
       sum.cpus += count * (worker.type?.cpus ?? Infinity);
       sum.gpus += count * (worker.type?.gpus ?? Infinity);
     }
@@ -132,6 +139,6 @@
   }
 }
 
-/** What a team uses that has nothing. */
+/** The use of a team without tasks. */
 export const NO_USE: Readonly<ResourceUse> = { cpus: 0, gpus: 0 };
 const NO_TASKS: ReadonlySet<UnconfirmedTask> = new Set();
--- a/src/coordination/machines/scale-out-planner.ts
+++ b/src/coordination/machines/scale-out-planner.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which machines to rent for the waiting tasks that fit neither on free places nor on machines that are booting, and
- * for the capacity to be kept free. Lives for one plan; jobs are looked at by due time.
+ * Decides which machines to rent for waiting tasks that fit neither on running nor on booting machines, and for the warm
+ * capacity. Exists for one plan, in which jobs are considered in order of their due time.
  */
 import type { Context } from "../context.js";
 import type { JobSpec } from "../model.js";
@@ -16,9 +16,9 @@
 import {
   machineTypeOf,
   type CapacityOffers,
-  type Place,
+  type MachineCapacity,
 } from "./capacity-offers.js";
-import { countFitting, RentalPlan, takePlaces } from "./rental-plan.js";
+import { countSlots, RentalPlan, takeSlots } from "./rental-plan.js";
 import {
   ESTIMATE_FACTOR,
   timeToDeadlineS,
@@ -28,36 +28,36 @@
 import type { ResourceUse } from "./resource-ledger.js";
 import type { JobRun } from "./worker-state.js";
 
-/** Places to keep free for tasks like `spec`, for jobs of its class that are expected to start at once. */
+/** Slots to keep free for tasks like `spec`, because jobs of its class are expected to start at once. */
 export interface WarmCapacity {
   spec: JobSpec;
-  places: number;
+  slots: number;
 }
 
-/** The places that a job with `spread` takes in one zone. */
+/** The slots that a job with `spread` takes in one zone. */
 interface ZoneShare {
   zone: string;
-  /** Tasks that may still be added in this zone; below 0 when more run there than may. */
-  allowed: number;
-  present: number;
-  rented: number;
+  /** Tasks that may still be added in this zone; below 0 if more are there than allowed. */
+  allowedTasks: number;
+  presentSlots: number;
+  rentedSlots: number;
 }
 
-/** Zones in which a job that starts whole could run, and what it lacks there. */
-interface WholeCandidate {
+/** Zones in which an undivided job could run, its candidate machines there, and how many tasks they have no slot for. */
+interface UndividedCandidate {
   zones: readonly string[];
-  places: Place[];
-  lacking: number;
+  machines: MachineCapacity[];
+  unplaced: number;
 }
 
-/** When the job should be done; without a deadline, when it could start. */
+/** Sort key of a job: when it is due or, without a deadline, when it became ready. */
 const sortTimeOf = ({ view }: JobRun): number =>
   Number.isFinite(view.dueAt) ? view.dueAt : view.readyAt;
 
 /** Plans rentals for one partition. */
 export class ScaleOutPlanner {
   private readonly requestKinds: RequestKinds;
-  /** Work of arrays that is due up to the job looked at, by kind of machine, in seconds of one place. */
+  /** Work of arrays that is due no later than the present job, by kind of machine, in slot-seconds. */
   private readonly dueWorkS = { plain: 0, accelerated: 0 };
 
   constructor(
@@ -67,12 +67,12 @@
     private readonly zones: readonly string[],
     offers: CapacityOffers,
   ) {
-    this.requestKinds = new RequestKinds(context.tuning, (spec, place) =>
-      offers.serves(spec, place),
+    this.requestKinds = new RequestKinds(context.tuning, (spec, machine) =>
+      offers.serves(spec, machine),
     );
   }
 
-  /** `headroom`: what each team may still use; what is planned for its jobs is taken from it. */
+  /** `headroom`: what each team may still use, by team. The use planned for its jobs is subtracted in place. */
   planJobs(headroom: ReadonlyMap<string, ResourceUse>): void {
     for (const job of this.state.jobs.values())
       if (job.waiting.isEmpty && job.view.spec.kind === "array")
@@ -88,54 +88,57 @@
     }
   }
 
-  /** Plans machines for capacity that is to be kept free beyond what jobs take. */
+  /** Plans machines for the slots that are to be kept free beyond those that jobs take. */
   planWarmCapacity(warmCapacity: readonly WarmCapacity[]): void {
-    for (const { spec, places } of warmCapacity) {
-      const lacking = takePlaces(spec, places, this.plan.placesServing(spec));
-      this.plan.rentFor(spec, null, lacking, this.zones);
+    for (const { spec, slots } of warmCapacity) {
+      const unplaced = takeSlots(spec, slots, this.plan.machinesServing(spec));
+      this.plan.rentFor(spec, null, unplaced, this.zones);
     }
   }
 
   private planJob(job: JobRun, taskCount: number): void {
     const { spec } = job.view;
     const kind = this.requestKinds.kindOf(spec, taskCount, job.active.size);
-    // Places and offers only shrink while a plan is made: what found neither is not looked for again.
+    // Free slots and offers only shrink during a plan: once a job found neither, others of its kind won't either.
     if (kind.foundNothing) return;
-    const candidates = kind.placesWithRoom(spec, this.plan.places);
+    const candidates = kind.machinesWithSlots(spec, this.plan.machines);
     const found = this.planByShape(job, taskCount, candidates);
     kind.foundNothing = !found && spec.deadlineS === null;
   }
 
-  /** Returns whether the job found a place or an offer. */
+  /** Returns whether the job found a slot or an offer. */
   private planByShape(
     job: JobRun,
     taskCount: number,
-    candidates: readonly Place[],
+    candidates: readonly MachineCapacity[],
   ): boolean {
     const { spec } = job.view;
     if (spec.spread) return this.planSpread(job, taskCount, candidates);
-    if (startsWhole(spec)) return this.planWhole(job, taskCount, candidates);
+    if (startsWhole(spec))
+      return this.planUndivided(job, taskCount, candidates);
     return this.planTaskByTask(job, taskCount, candidates);
   }
 
   private planTaskByTask(
     job: JobRun,
     taskCount: number,
-    candidates: readonly Place[],
+    candidates: readonly MachineCapacity[],
   ): boolean {
     const { spec } = job.view;
-    const lacking = takePlaces(spec, taskCount, candidates);
-    const canTakeTurns =
+    const unplaced = takeSlots(spec, taskCount, candidates);
+    const canReuseSlots =
       spec.kind === "array" && spec.deadlineS !== null && spec.estimateS > 0;
-    const toRent = canTakeTurns ? this.countInTurns(job, lacking) : lacking;
+    const toRent = canReuseSlots
+      ? this.countSlotsToRent(job, unplaced)
+      : unplaced;
     const hasRented = this.plan.rentFor(spec, job.view, toRent, this.zones);
-    return lacking < taskCount || hasRented;
+    return unplaced < taskCount || hasRented;
   }
 
-  /** Adds the job's work to what is due; returns the sum for its kind of machine, in seconds of one place. */
+  /** Adds the job's work to `dueWorkS`. Returns the sum for its kind of machine, in slot-seconds. */
   private addDueWork(job: JobRun): number {
     const { spec } = job.view;
-    // Tasks that run now are halfway, on the whole.
+    // On average, tasks on machines are assumed to be half done.
     const taskCount = job.waiting.size + job.active.size / 2;
     const kind = backlogKindOf(spec);
     this.dueWorkS[kind] += taskCount * spec.estimateS;
@@ -143,57 +146,60 @@
   }
 
   /**
-   * How many places to rent for the tasks of an array with a deadline that found none: as many as the work due until then
-   * needs beyond what the present places can do one task after the other. A machine costs as much while it boots and fetches
-   * images as while it works.
+   * How many slots to rent for the unplaced tasks of an array with a deadline: as many as the work due by then needs beyond what
+   * the present slots can do, running one task after the other. Renting one slot per task would waste machines, which cost as
+   * much while they boot and fetch images as while they work.
    */
-  private countInTurns(job: JobRun, lacking: number): number {
+  private countSlotsToRent(job: JobRun, unplaced: number): number {
     const { spec } = job.view;
     const dueWorkS = this.addDueWork(job);
     const timeLeftS = timeToDeadlineS(this.context, spec, job.view);
     let slots = 0;
-    for (const place of this.plan.placesServing(spec)) {
-      const machineType = machineTypeOf(this.context, place.type);
+    for (const machine of this.plan.machinesServing(spec)) {
+      const machineType = machineTypeOf(this.context, machine.type);
       if (machineType) slots += fitCount(spec, machineType);
     }
-    const lackingS = dueWorkS - (slots * timeLeftS) / ESTIMATE_FACTOR;
-    if (lackingS <= 0) return 0;
-    const workedS = timeLeftS - timeToReadyS(this.context, spec);
+    const lackingWorkS = dueWorkS - (slots * timeLeftS) / ESTIMATE_FACTOR;
+    if (lackingWorkS <= 0) return 0;
+    const workTimeS = timeLeftS - timeToReadyS(this.context, spec);
     return Math.min(
-      lacking,
-      Math.ceil(lackingS / Math.max(spec.estimateS, workedS)),
+      unplaced,
+      Math.ceil(lackingWorkS / Math.max(spec.estimateS, workTimeS)),
     );
   }
 
   /**
-   * For a job whose tasks go together, in one zone if they must: rents what is missing where the least is. A gang starts once
-   * all of it has a place, so only where that can be had: part of what it needs would stand idle until the rest came. An array
-   * in one zone runs on whatever there is: it stays with the zone that has most for it.
+   * For an undivided job: rents the missing slots in the zones where the fewest are missing. A gang starts only when all its tasks
+   * have a slot, so nothing is rented for it unless all can be had: the first machines would stand idle until the rest came. An
+   * array in one zone runs on as many slots as there are, so it takes the zone that has most of them.
    */
-  private planWhole(
+  private planUndivided(
     job: JobRun,
     taskCount: number,
-    candidates: readonly Place[],
+    candidates: readonly MachineCapacity[],
   ): boolean {
     const { spec } = job.view;
-    let best: WholeCandidate | null = null;
+    let best: UndividedCandidate | null = null;
     for (const zones of this.zoneSetsFor(job)) {
-      const places = candidates.filter((place) => zones.includes(place.zone));
-      const lacking = Math.max(0, taskCount - countFitting(spec, places));
-      const rentable = lacking > 0 ? this.plan.countRentable(spec, zones) : 0;
+      const machines = candidates.filter((machine) =>
+        zones.includes(machine.zone),
+      );
+      const unplaced = Math.max(0, taskCount - countSlots(spec, machines));
+      const rentableSlots =
+        unplaced > 0 ? this.plan.countRentable(spec, zones) : 0;
       const canStartPartly =
-        spec.kind !== "gang" && (lacking < taskCount || rentable > 0);
-      const isPossible = lacking <= rentable || canStartPartly;
-      if (isPossible && (!best || lacking < best.lacking))
-        best = { zones, places, lacking };
+        spec.kind !== "gang" && (unplaced < taskCount || rentableSlots > 0);
+      const isPossible = unplaced <= rentableSlots || canStartPartly;
+      if (isPossible && (!best || unplaced < best.unplaced))
+        best = { zones, machines, unplaced };
     }
     if (!best) return false;
-    const toRent = takePlaces(spec, taskCount, best.places);
+    const toRent = takeSlots(spec, taskCount, best.machines);
     this.plan.rentFor(spec, job.view, toRent, best.zones);
     return true;
   }
 
-  /** Sets of zones of which the job must choose one: with `samePlace` each zone, and only where its tasks already run. */
+  /** Sets of zones of which the job must use one. With `samePlace`, single zones; if it has tasks on machines, only theirs. */
   private zoneSetsFor(job: JobRun): (readonly string[])[] {
     if (!job.view.spec.samePlace) return [this.zones];
     const activeZones = new Set(
@@ -205,26 +211,34 @@
   }
 
   /**
-   * For a job with `spread`: a place in a zone that may take no more of its tasks is none for it. A gang that fitted well into
-   * one zone of its partition had nothing rented in the others, and waited for ever.
+   * For a job with `spread`: slots beyond a zone's limit for the job do not count. When they did, nothing was rented in other zones
+   * for a gang that fitted into one zone, and the gang waited forever.
    */
   private planSpread(
     job: JobRun,
     taskCount: number,
-    candidates: readonly Place[],
+    candidates: readonly MachineCapacity[],
   ): boolean {
     const { spec } = job.view;
     const shares = this.zoneSharesFor(job);
-    const lackingPresent = sharePresent(spec, taskCount, shares, candidates);
-    const lacking = this.shareRentable(spec, lackingPresent, shares);
-    // A gang starts once all of it has a place.
-    if (spec.kind === "gang" && lacking > 0) return false;
-    for (const { zone, present, rented } of shares) {
-      const places = candidates.filter((place) => place.zone === zone);
-      takePlaces(spec, present, places);
-      if (rented > 0) this.plan.rentFor(spec, job.view, rented, [zone]);
+    const unplacedOnPresent = assignPresentSlots(
+      spec,
+      taskCount,
+      shares,
+      candidates,
+    );
+    const unplaced = this.assignRentableSlots(spec, unplacedOnPresent, shares);
+    // A gang starts only when all its tasks have a slot.
+    if (spec.kind === "gang" && unplaced > 0) return false;
+    for (const { zone, presentSlots, rentedSlots } of shares) {
+      const machines = candidates.filter((machine) => machine.zone === zone);
+      takeSlots(spec, presentSlots, machines);
+      if (rentedSlots > 0)
+        this.plan.rentFor(spec, job.view, rentedSlots, [zone]);
     }
-    return shares.some(({ present, rented }) => present + rented > 0);
+    return shares.some(
+      ({ presentSlots, rentedSlots }) => presentSlots + rentedSlots > 0,
+    );
   }
 
   private zoneSharesFor(job: JobRun): ZoneShare[] {
@@ -235,53 +249,59 @@
       allowed.set(worker.zone, (allowed.get(worker.zone) ?? 0) - 1);
     return [...allowed].map(([zone, count]) => ({
       zone,
-      allowed: count,
-      present: 0,
-      rented: 0,
+      allowedTasks: count,
+      presentSlots: 0,
+      rentedSlots: 0,
     }));
   }
 
-  /** Sets how many places each zone is to rent; returns how many tasks lack a place even so. */
-  private shareRentable(
+  /** Sets how many slots to rent in each zone. Returns how many tasks still lack a slot. */
+  private assignRentableSlots(
     spec: JobSpec,
     taskCount: number,
     shares: readonly ZoneShare[],
   ): number {
-    let lacking = taskCount;
+    let unplaced = taskCount;
     for (const share of shares) {
-      const rentable = this.plan.countRentable(spec, [share.zone]);
-      share.rented = Math.max(
+      const rentableSlots = this.plan.countRentable(spec, [share.zone]);
+      share.rentedSlots = Math.max(
         0,
-        Math.min(lacking, share.allowed - share.present, rentable),
+        Math.min(
+          unplaced,
+          share.allowedTasks - share.presentSlots,
+          rentableSlots,
+        ),
       );
-      lacking -= share.rented;
+      unplaced -= share.rentedSlots;
     }
-    return lacking;
+    return unplaced;
   }
 }
 
-/** Sets how many present places each zone gives; returns how many tasks lack one. */
-function sharePresent(
+/** Sets how many present slots to use in each zone. Returns how many tasks lack a slot. */
+function assignPresentSlots(
   spec: JobSpec,
   taskCount: number,
   shares: readonly ZoneShare[],
-  candidates: readonly Place[],
+  candidates: readonly MachineCapacity[],
 ): number {
-  let lacking = taskCount;
+  let unplaced = taskCount;
   for (const share of shares) {
-    const places = candidates.filter((place) => place.zone === share.zone);
-    share.present = Math.max(
+    const machines = candidates.filter(
+      (machine) => machine.zone === share.zone,
+    );
+    share.presentSlots = Math.max(
       0,
-      Math.min(lacking, share.allowed, countFitting(spec, places)),
+      Math.min(unplaced, share.allowedTasks, countSlots(spec, machines)),
     );
-    lacking -= share.present;
+    unplaced -= share.presentSlots;
   }
-  return lacking;
+  return unplaced;
 }
 
 /**
- * How many of the job's waiting tasks its team may still start, taken from the team's headroom. For what the team may not use
- * now nothing is rented, and for a gang all or none.
+ * Takes the job's waiting tasks from its team's headroom and returns how many fit; all or none for a gang. Nothing is rented for
+ * tasks that the team may not start now.
  */
 function takeHeadroom(job: JobRun, headroom: ResourceUse | undefined): number {
   const { spec } = job.view;
--- a/src/coordination/machines/scale-out.ts
+++ b/src/coordination/machines/scale-out.ts
@@ -1,6 +1,6 @@
 /**
- * Scale out: rents the machines that waiting work needs. Owns the machines that are booting, the last plan and when it was
- * made; answers what else may be had for a job.
+ * Scale-out: rents the machines that waiting work needs. Owns the set of booting machines and the latest plan, and tells which
+ * further capacity is available for a job.
  */
 import type { Context } from "../context.js";
 import type { JobSpec } from "../model.js";
@@ -12,7 +12,7 @@
   type CapacityOffer,
   CapacityOffers,
   machineTypeOf,
-  type Place,
+  type MachineCapacity,
   type PlannedRental,
 } from "./capacity-offers.js";
 import { RentalPlan, resourcesOf } from "./rental-plan.js";
@@ -20,7 +20,7 @@
 import { ScaleOutPlanner, type WarmCapacity } from "./scale-out-planner.js";
 import { freeOn, type Worker } from "./worker-state.js";
 
-/** A plan looks at all jobs and places: it is made no more often than this, but anew after each answer of the cloud. */
+/** Minimum interval between plans, which examine all jobs and machines. A conclusive cloud reply triggers a new plan at once. */
 const PLAN_INTERVAL_MS = 500;
 
 /** The offer that a registered machine belongs to. */
@@ -30,17 +30,20 @@
   spot,
 });
 
-/** Decides from waiting work, free places and the cloud's refusals what a partition rents, and sends the requests. */
+/** Decides what a partition rents from its waiting work, free capacity and refused rentals, and sends the requests. */
 export class ScaleOut {
-  /** Machines that were rented, or that the cloud's list shows, and that have not reported yet. */
+  /** Machines that were rented or are in the cloud's list and have not sent a heartbeat yet, by id. */
   readonly booting = new Map<string, BootingMachine>();
   private readonly offers: CapacityOffers;
   private readonly requests: RentalRequests;
-  private planned: PlannedRental[] = [];
-  private plannedMs = -Infinity;
-  private bootingPlacesNow: { nowMs: number; places: readonly Place[] } = {
-    nowMs: -Infinity,
-    places: [],
+  private plannedRentals: PlannedRental[] = [];
+  private lastPlanMs = -Infinity;
+  private cachedBootingCapacity: {
+    computedMs: number;
+    machines: readonly MachineCapacity[];
+  } = {
+    computedMs: -Infinity,
+    machines: [],
   };
 
   constructor(
@@ -55,44 +58,44 @@
       state,
       this.offers,
       this.booting,
-      () => (this.plannedMs = -Infinity),
+      () => (this.lastPlanMs = -Infinity),
     );
   }
 
-  /** `warmCapacity`: asked only when a plan is made. */
+  /** `warmCapacity`: called only when a plan is made. */
   tick(warmCapacity: () => WarmCapacity[]): void {
-    if (this.context.nowMs - this.plannedMs >= PLAN_INTERVAL_MS) {
-      this.plannedMs = this.context.nowMs;
-      this.planned = this.makePlan(warmCapacity());
+    if (this.context.nowMs - this.lastPlanMs >= PLAN_INTERVAL_MS) {
+      this.lastPlanMs = this.context.nowMs;
+      this.plannedRentals = this.makePlan(warmCapacity());
     }
-    this.requests.send(this.planned);
+    this.requests.sendDue(this.plannedRentals);
   }
 
-  /** How many more machines of each offer there may be, by offer key, where a refusal told. */
+  /** How many more machines can be rented, by offer key; only offers for which a refusal showed this. */
   remainingByOffer(): Map<string, number> {
-    return this.offers.remaining();
+    return this.offers.remainingByOffer();
   }
 
-  /** Keys of the offers that the cloud refused of late. */
+  /** Keys of the offers that are, or recently were, sold out. */
   soldOutOffers(): string[] {
     return this.offers.recentlySoldOut();
   }
 
-  /** Whether nothing that this job could use is booting or, as far as known, to be had. */
+  /** Whether no booting machine has a slot for this job and no suitable offer is known to be available. */
   isCapacityExhausted(spec: JobSpec): boolean {
-    for (const place of this.bootingPlacesOnce())
-      if (this.offers.serves(spec, place) && fits(spec, place.free))
+    for (const machine of this.bootingCapacityOnce())
+      if (this.offers.serves(spec, machine) && fits(spec, machine.free))
         return false;
-    const rentable = this.offers.rentable(
+    const rentableOffers = this.offers.rentableOffers(
       spec,
       this.zones(),
       new Map(),
-      this.planned,
+      this.plannedRentals,
     );
-    return rentable.next().done === true;
+    return rentableOffers.next().done === true;
   }
 
-  /** Whether some machine has a place for a task of this job, or one that has may be had. */
+  /** Whether a task of this job fits on a usable or booting machine, or a suitable machine may be rented. */
   hasPlace(spec: JobSpec): boolean {
     for (const worker of this.state.usableWorkers().usable)
       if (
@@ -103,18 +106,18 @@
     return !this.isCapacityExhausted(spec);
   }
 
-  /** How many tasks of this job booting machines have places for. */
+  /** How many tasks of this job fit on booting machines. */
   countTasksFittingBooting(spec: JobSpec): number {
     let taskCount = 0;
-    for (const place of this.bootingPlacesOnce())
-      if (this.offers.serves(spec, place))
-        taskCount += fitCount(spec, place.free);
+    for (const machine of this.bootingCapacityOnce())
+      if (this.offers.serves(spec, machine))
+        taskCount += fitCount(spec, machine.free);
     return taskCount;
   }
 
   private makePlan(warmCapacity: readonly WarmCapacity[]): PlannedRental[] {
-    const places = [...this.bootingPlaces(), ...this.usablePlaces()];
-    const plan = new RentalPlan(this.context, this.offers, places);
+    const machines = [...this.bootingCapacity(), ...this.usableCapacity()];
+    const plan = new RentalPlan(this.context, this.offers, machines);
     const planner = new ScaleOutPlanner(
       this.context,
       this.state,
@@ -127,7 +130,7 @@
     return plan.rentals;
   }
 
-  private usablePlaces(): Place[] {
+  private usableCapacity(): MachineCapacity[] {
     const { usable, reserved } = this.state.usableWorkers();
     return usable.map((worker) => ({
       ...offerOf(worker),
@@ -136,35 +139,38 @@
     }));
   }
 
-  /** The booting places, worked out once for all jobs that are looked at in one step; not to be changed. */
-  private bootingPlacesOnce(): readonly Place[] {
+  /** The booting capacity, computed once per step. Callers must not modify it. */
+  private bootingCapacityOnce(): readonly MachineCapacity[] {
     const { nowMs } = this.context;
-    if (this.bootingPlacesNow.nowMs !== nowMs)
-      this.bootingPlacesNow = { nowMs, places: this.bootingPlaces() };
-    return this.bootingPlacesNow.places;
+    if (this.cachedBootingCapacity.computedMs !== nowMs)
+      this.cachedBootingCapacity = {
+        computedMs: nowMs,
+        machines: this.bootingCapacity(),
+      };
+    return this.cachedBootingCapacity.machines;
   }
 
-  private bootingPlaces(): Place[] {
-    const places: Place[] = [];
-    for (const offer of this.comingMachines()) {
+  private bootingCapacity(): MachineCapacity[] {
+    const machines: MachineCapacity[] = [];
+    for (const offer of this.upcomingMachines()) {
       const machineType = machineTypeOf(this.context, offer.type);
       if (!machineType) continue;
       const { type, zone, spot } = offer;
       const free = resourcesOf(machineType);
-      places.push({ type, zone, spot, isReserved: false, free });
+      machines.push({ type, zone, spot, isReserved: false, free });
     }
-    return places;
+    return machines;
   }
 
   /**
-   * Machines that tasks may be able to use soon. Those that receive nothing count too, but for the few that are replaced at a
-   * time: a broken link to a zone must not rent a second fleet.
+   * Machines that tasks may be able to use soon. These include unreachable machines, except the few that are replaced at a time,
+   * so that a broken link to a zone does not cause its machines to be rented a second time.
    */
-  private *comingMachines(): Generator<CapacityOffer> {
+  private *upcomingMachines(): Generator<CapacityOffer> {
     yield* this.booting.values();
-    const request = this.requests.underWay;
+    const request = this.requests.pendingRequest;
     if (request) for (let i = 0; i < request.count; i++) yield request;
-    // Up, but not usable yet: its registry entry is being written.
+    // Machines that are up but not usable yet, because their registry entry is being written.
     for (const worker of this.state.workers.values())
       if (
         !worker.leaseExpired &&
@@ -173,7 +179,7 @@
       )
         yield offerOf(worker);
     const unreachable = this.state.unreachableMachines();
-    const beingReplaced = this.state.maxConcurrentReplacements();
-    yield* unreachable.slice(beingReplaced).map(offerOf);
+    const maxReplacements = this.state.maxConcurrentReplacements();
+    yield* unreachable.slice(maxReplacements).map(offerOf);
   }
 }
--- a/src/coordination/machines/warm-capacity.ts
+++ b/src/coordination/machines/warm-capacity.ts
@@ -1,6 +1,6 @@
 /**
- * Warm capacity: machines kept free for classes of jobs that an objective expects to start sooner than a machine boots. Owns
- * the last job of each such class and the most machines of each type that were in use at once of late.
+ * Warm capacity: machines kept free for job classes that an objective expects to start sooner than a machine boots. Owns the last
+ * job of each such class, and the recent peak of machines in use of each type.
  */
 import type { Context } from "../context.js";
 import type { JobSpec } from "../model.js";
@@ -10,16 +10,16 @@
 import type { WarmCapacity } from "./scale-out-planner.js";
 import type { Worker } from "./worker-state.js";
 
-/** The window over which the most machines in use are remembered is cut into so many periods. */
+/** The window over which peak use is remembered (`warmWindowS`) is divided into this many periods. */
 const PEAK_PERIODS = 6;
 
-/** Follows what a partition uses and how much of it is to be kept free. */
+/** Tracks a partition's peak use by machine type, and derives how many machines to keep free. */
 export class WarmCapacityTracker {
-  /** By machine type: the most machines in use at once, in each of the last periods, the present one first. */
+  /** Peak number of machines in use at once in each of the last periods, the present one first, by machine type. */
   private readonly peaks = new Map<string, number[]>();
   private periodStartMs: number;
   private readonly objectiveClasses: ReadonlySet<string>;
-  /** The last job of each class that an objective names: machines for its like are kept. */
+  /** The last job of each class that an objective names. Machines are kept free for jobs like it. */
   private readonly classNeeds = new Map<string, JobSpec>();
 
   constructor(
@@ -32,29 +32,32 @@
     );
   }
 
-  /** Remembers what jobs of this class need, if an objective names it. */
+  /** Remembers the requirements of the job's class, if an objective names the class. */
   noteJob(spec: JobSpec): void {
     if (this.objectiveClasses.has(spec.jobClass))
       this.classNeeds.set(spec.jobClass, spec);
   }
 
-  /** A machine was found running that this leader did not rent: somebody had a use for all there are of its type. */
+  /** Handles a running machine that this leader did not rent. Assumes that all present machines of its type were in use. */
   noteFoundMachine(type: string): void {
     this.notePeak(type, this.countMachines(type));
   }
 
-  /** Takes in how many machines of each type run tasks now. */
+  /** Updates the peaks with the number of machines of each type that have tasks now. */
   noteUse(): void {
     this.startPeriodIfDue();
-    const busy = new Map<string, number>();
+    const busyByType = new Map<string, number>();
     for (const worker of this.state.workers.values())
       if (worker.tasks.size > 0)
-        busy.set(worker.typeName, (busy.get(worker.typeName) ?? 0) + 1);
-    for (const [type, count] of busy) this.notePeak(type, count);
+        busyByType.set(
+          worker.typeName,
+          (busyByType.get(worker.typeName) ?? 0) + 1,
+        );
+    for (const [type, count] of busyByType) this.notePeak(type, count);
   }
 
-  /** Whether a class that this machine serves is expected to start in less than `bootS` seconds. */
-  isExpectedSoonerThan(worker: Worker, bootS: number): boolean {
+  /** Whether an objective expects a class that this machine serves to start in less than `bootS` seconds. */
+  hasWaitObjectiveBelow(worker: Worker, bootS: number): boolean {
     return this.context.settings.objectives.some(
       (objective) =>
         objective.kind === "wait" &&
@@ -63,34 +66,36 @@
     );
   }
 
-  /** How many machines of a type there are beyond the most in use of late and those to keep free. */
+  /** How many machines of a type there are beyond the recent peak use and those to keep free. */
   countSurplus(type: string): number {
     return (
-      this.countMachines(type) - this.peakOf(type) - this.countToKeepFree(type)
+      this.countMachines(type) -
+      this.peakOf(type) -
+      this.countMachinesToKeepFree(type)
     );
   }
 
-  /** Places to keep free, by objective. */
-  placesToKeepFree(): WarmCapacity[] {
+  /** Slots to keep free, one entry per objective. */
+  capacityToKeepFree(): WarmCapacity[] {
     const capacity: WarmCapacity[] = [];
     for (const { kind, class: jobClass, withinS } of this.context.settings
       .objectives) {
       if (kind !== "wait" || jobClass === undefined) continue;
       const spec = this.classNeeds.get(jobClass);
       if (!spec) continue;
-      let places = 0;
+      let slots = 0;
       for (const type of this.typesBootingSlowerThan(withinS, spec.jobClass))
-        places += this.countToKeepFree(type);
-      if (places > 0)
+        slots += this.countMachinesToKeepFree(type);
+      if (slots > 0)
         capacity.push({
           spec: { ...spec, zone: null, deadlineS: null },
-          places,
+          slots,
         });
     }
     return capacity;
   }
 
-  /** Types of the present machines that serve the class and boot for longer than it is expected to wait. */
+  /** Types of present machines that serve the class and take longer to boot than its jobs are expected to wait. */
   private typesBootingSlowerThan(
     withinS: number | undefined,
     jobClass: string,
@@ -127,8 +132,8 @@
     );
   }
 
-  /** Machines of a type to have free beyond those in use, for the next job that is expected to start at once. */
-  private countToKeepFree(type: string): number {
+  /** Number of machines of a type to keep free for the next job that is expected to start at once. */
+  private countMachinesToKeepFree(type: string): number {
     return Math.ceil(this.peakOf(type) * this.context.tuning.spareShare);
   }
 
--- a/src/coordination/machines/worker-commands.ts
+++ b/src/coordination/machines/worker-commands.ts
@@ -1,6 +1,6 @@
 /**
- * Commands that a worker is to receive, derived from what the partition leader knows of it. Nothing here keeps state:
- * commands are idempotent, so every answer to a heartbeat lists all that still applies.
+ * Derives the commands for a worker from the partition leader's view of it. Stateless: commands are idempotent, so every answer
+ * to a heartbeat contains all commands that still apply.
  */
 
 import type { Command } from "../model.js";
@@ -14,7 +14,7 @@
 
 type ExitedTask = Worker["exited"][number];
 
-/** Every command that applies to this worker now: clean-up of exited tasks, then stops of unconfirmed tasks, then its own tasks. */
+/** All commands that apply to this worker now: for exited tasks, then for unconfirmed tasks, then for its own tasks. */
 export function commandsForWorker(
   worker: Worker,
   jobs: ReadonlyMap<string, JobRun>,
@@ -35,7 +35,7 @@
   exited: ExitedTask,
   job: JobRun | undefined,
 ): boolean {
-  // Forgetting a result that is not written yet would have the task run again after a failover.
+  // If a worker forgot a result that is not stored yet, the task would run again after a failover.
   const isResultUnwritten =
     job !== undefined &&
     exited.cause === "done" &&
@@ -50,8 +50,8 @@
 function commandsForTask(worker: Worker, task: TaskRun): Command[] {
   if (task.stop && task.phase === "ordered") {
     const key = attemptKey(task.job.id, task.index, task.attempt);
-    // Invariant (ran_cancelled): its start may still arrive, minutes late. Started and stopped in one answer,
-    // the worker keeps the attempt as exited, and the late start has no effect.
+    // Invariant (ran_cancelled): the task's start may still arrive, minutes late. If one answer both starts and stops the task,
+    // the worker records the attempt as exited, so that the late start has no effect.
     return worker.unansweredStarts.has(key)
       ? [startCommand(task), stopCommand(task, 0)]
       : [];
--- a/src/coordination/machines/worker-state.ts
+++ b/src/coordination/machines/worker-state.ts
@@ -1,6 +1,6 @@
 /**
- * Types of what a partition leader knows: workers, the tasks on them, and the jobs as far as they concern its partition.
- * The objects are owned by `PartitionState`.
+ * Types of a partition leader's state: workers, the tasks on them, and its partition's part of each job. `PartitionState` owns the
+ * objects.
  */
 
 import type { PendingTransfer } from "../leadership/pending-transfer.js";
@@ -9,27 +9,27 @@
 import { offerKey, type Resources } from "../scheduling/placement.js";
 import { RangeSet } from "../jobs/range-set.js";
 
-/** One task on one machine, from the start command until the machine is known not to have it any more. */
+/** One task on one machine, from its start command until the machine is known not to have it any more. */
 export interface TaskRun {
   job: JobRun;
   index: number;
   attempt: number;
   worker: Worker;
-  /** `ordered`: no heartbeat has shown it yet. */
+  /** `ordered`: its start was decided, but no heartbeat has shown the task yet. */
   phase: "ordered" | Exclude<TaskState, "exited">;
-  /** Answers to heartbeats that contained its start. */
+  /** How many answers to heartbeats contained its start. */
   timesSent: number;
   /**
-   * Sequence of the machine's last answer to a command that contained its start: a status made before it can't show the
-   * task. -1: no such answer.
+   * Sequence of the machine's last answer to a command that contained the task's start. A status with a lower sequence can't show
+   * the task. -1 if there was no such answer.
    */
   startAnsweredSequence: number;
   phaseSinceMs: number;
-  /** It is to be stopped, with this much time to save. */
+  /** Set when the task is to be stopped, with its time to save a checkpoint. */
   stop: { graceS: number; reason: string } | null;
 }
 
-/** A job as far as it concerns one partition. */
+/** One partition's part of a job. */
 export interface JobRun {
   id: string;
   view: JobView;
@@ -37,80 +37,89 @@
   assigned: RangeSet;
   waiting: RangeSet;
   active: Map<number, TaskRun>;
-  /** Finished here, written or not. */
+  /** Tasks that finished in this partition, stored or not. */
   finished: RangeSet;
-  /** Finished here and known to be written. */
+  /** Finished tasks that are known to be stored. */
   writtenFinished: RangeSet;
+  /** Whether a write of finished tasks is in flight. */
   isWritingFinished: boolean;
-  /** All of its tasks are known to be finished, here or elsewhere: its end is to be written. */
+  /** All of the job's tasks are known to be finished, in any partition, so its end is to be written. */
   isComplete: boolean;
-  /** When finished tasks were last written. */
+  /** When finished tasks were last sent to the store. */
   lastFinishedWriteMs: number;
-  /** From before this leader's token: a task that nobody reports may be running somewhere. */
+  /** The job existed before this leader's token, so its tasks may run on machines that have not reported yet. */
   predatesLeader: boolean;
-  /** Over, or not ours any more: whatever still runs has to go. */
+  /** The job has ended or has no tasks in this partition any more, so its remaining tasks are stopped. */
   isOver: boolean;
+  /** Whether the write of the job's end is in flight. */
   isFinalizing: boolean;
   waitingSinceMs: number;
   backoffUntilMs: number;
-  /** A gang spread over several partitions: the attempt that its part here was started under, and whether a record is being written. */
+  /** For a gang spread over several partitions: the attempt under which this partition's part was last started. */
   lastGangAttempt: number;
+  /** For such a gang: whether a write of one of its shared records is in flight. */
   isWritingGangRecord: boolean;
-  /** Machines where it failed, and how often. */
+  /** How often the job's tasks failed, by machine id. */
   failuresByMachine: Map<string, number>;
-  /** It seems to have been submitted with a mistake, since then; null: no reason to think so. */
+  /** Since when the job has been quarantined as probably faulty; null if it is not. */
   quarantinedSinceMs: number | null;
-  /** Tries that ended in failure, its tasks' failures within a moment counted as one; and when the last did. */
-  failedTries: number;
+  /** Number of failures, counting those within `FAILURE_BURST_MS` of each other as one. */
+  failureBurstCount: number;
   lastFailureMs: number;
-  /** Transferred to another partition by a commit whose result has not been read yet. */
+  /** Tasks being transferred to another partition by a commit whose result has not been read yet. */
   pendingTransfer: { tasks: RangeSet; change: PendingTransfer } | null;
 }
 
-/** A task on a machine that should not be there. */
+/** A task that a machine reports but that this leader does not expect there. */
 export interface UnconfirmedTask {
   worker: Worker;
   job: string;
   index: number;
   attempt: number;
+  /** Its team and resources; null if its job is unknown. */
   need: (Resources & { team: string }) | null;
-  sinceMs: number;
+  firstReportedMs: number;
 }
 
-/** What a leader knows of whether a machine receives its answers and commands, and of its former life. */
+/** Whether a machine receives the leader's answers and commands, and what is known of the time before its last restart. */
 export interface DeliveryState {
-  /** It has shown that it receives what this leader sends, or was known to run for this partition before. */
+  /** The machine has shown that it receives this leader's messages, or was already known to belong to this partition. */
   isProven: boolean;
-  /** Since when it receives nothing, as far as its heartbeats say; null: it does. */
+  /** Since when the machine has been considered unreachable; null if it is considered reachable. */
   unreachableSinceMs: number | null;
-  /** Times that it was found unreachable: the more, the longer it has to show the contrary. */
+  /** How often the machine became unreachable. From the second time on, a direct answer does not make it reachable again. */
   timesUnreachable: number;
-  /** Heartbeats in a row that don't show what answers before them contained. */
-  missed: number;
-  /** When its present incarnation was first seen. */
+  /** Consecutive heartbeats that showed no effect of earlier answers. */
+  consecutiveMisses: number;
+  /** When the present incarnation was first seen. */
   incarnationSinceMs: number;
-  /** When its status was last queried by `inspect`, and whether that query is in flight. */
+  /** When the machine's status was last queried. */
   lastInspectedMs: number;
-  inspecting: boolean;
-  /** It restarted: what its former life had reached at most, and until when late copies of its heartbeats may come. */
-  formerLife: { incarnation: number; sequence: number; untilMs: number } | null;
-  /** When the last command with starts that was sent straight to it ended. */
+  /** Whether that query is in flight. */
+  isInspecting: boolean;
+  /** After a restart: the highest values reached before it, and until when late heartbeats from that time may arrive. */
+  previousLifetime: {
+    incarnation: number;
+    sequence: number;
+    untilMs: number;
+  } | null;
+  /** When the last direct command containing starts ended, with or without an answer. */
   lastCommandMs: number;
 }
 
-/** `proven`: it is known that the machine receives. */
+/** `isProven`: the machine is known to receive this leader's messages. */
 export const newDeliveryState = (
-  proven: boolean,
+  isProven: boolean,
   nowMs: number,
 ): DeliveryState => ({
-  isProven: proven,
+  isProven,
   unreachableSinceMs: null,
   timesUnreachable: 0,
-  missed: 0,
+  consecutiveMisses: 0,
   incarnationSinceMs: nowMs,
   lastInspectedMs: -Infinity,
-  inspecting: false,
-  formerLife: null,
+  isInspecting: false,
+  previousLifetime: null,
   lastCommandMs: -Infinity,
 });
 
@@ -122,48 +131,50 @@
   type: MachineType | null;
   zone: string;
   spot: boolean;
-  /** Type, zone and spot or not as one key: machines that share it are alike to every job. */
+  /** Key of the machine's type, zone and spot flag. Machines with the same key are equivalent for every job. */
   offerKey: string;
-  /** What is free on it, as last counted; null: something came or went since. */
+  /** Cached free resources; null if the worker's tasks or type changed since they were computed. */
   free: Readonly<Resources> | null;
   incarnation: number;
   sequence: number;
+  /** Highest fencing token that the worker has shown. */
   token: number;
-  /** When its last heartbeat was answered with 200: its lease ends no later than lease_s after. */
+  /** When its last heartbeat was answered with 200. Its lease ends at most lease_s later. */
   lastAnsweredMs: number;
   leaseExpired: boolean;
-  /** When a heartbeat of it was last news. */
+  /** When a heartbeat or status of the worker was last accepted as new. */
   lastHeardMs: number;
   delivery: DeliveryState;
   firstSeenMs: number;
+  /** When the cloud will reclaim this spot machine; null if it has given no notice. */
   reclaimedAtMs: number | null;
   tasks: Map<string, TaskRun>;
   unconfirmedTasks: Map<string, UnconfirmedTask>;
-  /** Exited tasks of the last heartbeat that wait for a `forget`. */
+  /** Exited tasks in the last heartbeat, which the worker keeps until a `forget`. */
   exited: {
     job: string;
     index: number;
     attempt: number;
     cause: ExitCause | null;
   }[];
-  /** Images it should have, by last use. */
-  images: Map<string, { gb: number; usedMs: number }>;
+  /** Images that the machine should have cached, least recently used first. */
+  images: Map<string, { sizeGb: number; lastUsedMs: number }>;
   isReturning: boolean;
   idleSinceMs: number | null;
-  /** Jobs that failed here since a task last completed. */
+  /** Jobs whose tasks failed on this machine since a task last completed on it. */
   failedJobs: Set<string>;
   avoidUntilMs: number;
-  /** What was freed here by preemption is reserved for this job for a while. */
+  /** Capacity freed by preemption is reserved for this job until this time. */
   reservedFor: { job: string; untilMs: number } | null;
   /**
-   * Starts sent straight to it whose message was not answered: it may arrive at any time within this incarnation,
-   * so a `forget` of such a task could start it again.
+   * Number of direct start messages without an answer, by `attemptKey`. Such a message may arrive at any time within this
+   * incarnation, so a `forget` of its task could start the task again.
    */
   unansweredStarts: Map<string, number>;
   commandInFlight: boolean;
 }
 
-/** Time to save a checkpoint, in s, for a task that is to be stopped gracefully; what can't save is stopped at once. */
+/** Time in seconds that a task gets to save a checkpoint before it is stopped; 0 if it has no checkpoints. */
 export function saveTimeS(task: TaskRun): number {
   const { spec } = task.job.view;
   return spec.checkpointS > 0 ? spec.saveS + 1 : 0;
@@ -176,7 +187,7 @@
   attempt: number,
 ): string => `${job}/${index}#${attempt}`;
 
-/** A job of which nothing is known here yet but its record. */
+/** The initial state of a job of which only its record is known. */
 export function newJobRun(
   view: JobView,
   predatesLeader: boolean,
@@ -202,23 +213,23 @@
     isWritingGangRecord: false,
     failuresByMachine: new Map(),
     quarantinedSinceMs: null,
-    failedTries: 0,
+    failureBurstCount: 0,
     lastFailureMs: -Infinity,
     pendingTransfer: null,
   };
 }
 
-/** What a leader knows of a worker before it takes in its first heartbeat. */
+/** What a leader knows of a worker before its first heartbeat is processed. */
 export interface WorkerOrigin {
-  /** From the catalog; null: not known yet. */
+  /** From the catalog; null if not known yet. */
   type: MachineType | null;
-  /** Known to run for this partition: it need not show first that it receives. */
+  /** Whether the worker is known to belong to this partition, so that it need not first show that it receives messages. */
   isProven: boolean;
   isReturning: boolean;
   nowMs: number;
 }
 
-/** A worker as its first heartbeat describes it, before any of that heartbeat's numbers or tasks count. */
+/** A worker as described by its first heartbeat, without that heartbeat's sequence, token and tasks. */
 export function newWorker(heartbeat: Heartbeat, origin: WorkerOrigin): Worker {
   const { type, zone, spot } = heartbeat;
   const { nowMs } = origin;
@@ -254,7 +265,7 @@
   };
 }
 
-/** What is free on a machine, counting all that is or may be on it. `ResourceLedger` drops the cached count when that changes. */
+/** Free resources of a machine, counting every task that is or may be on it. `ResourceLedger` invalidates the cached value. */
 export function freeOn(worker: Worker): Resources {
   worker.free ??= countFree(worker);
   return {
@@ -272,14 +283,14 @@
   };
   for (const { job } of worker.tasks.values()) subtract(free, job.view.spec);
   for (const { need } of worker.unconfirmedTasks.values()) {
-    // A task of a job that nobody knows any more: it may take the whole machine.
+    // A task of an unknown job may take the whole machine.
     if (need) subtract(free, need);
     else return { cpus: 0, gpus: 0, memGb: 0 };
   }
   return free;
 }
 
-/** Takes what one task needs from `from`, in place. */
+/** Subtracts the resources of one task from `from`, in place. */
 export function subtract(from: Resources, need: Resources): void {
   from.cpus -= need.cpus;
   from.gpus -= need.gpus;
--- a/test/coordination/machines/scale-out.test.ts
+++ b/test/coordination/machines/scale-out.test.ts
@@ -132,7 +132,7 @@
     nowMs: 0,
     wallMs,
     log: () => {},
-    cloud: (call: CloudCall, _u: unknown, done: (r: CloudReply) => void) => {
+    callCloud: (call: CloudCall, _: unknown, done: (r: CloudReply) => void) => {
       assert.equal(call.op, "rent");
       if (call.op !== "rent") return;
       const key = `${call.type}/${call.zone}/${call.spot ? "spot" : "ordinary"}`;
