--- a/test/coordination/machines/delivery-tracker.test.ts
+++ b/test/coordination/machines/delivery-tracker.test.ts
@@ -6,71 +6,76 @@
 import { randomJob, submitWorkload } from "../../simulation/workloads.js";
 import { World } from "../../simulation/world.js";
 
-/** What a late copy of a report may establish: the rows of the table in docs/design.md. */
+/** What a late copy of a heartbeat may establish. The comments refer to the rows of the table in docs/design.md. */
 
-/** A world whose reports are kept as they were sent. */
-function recorded(
+/** A world that records every heartbeat as it was sent. */
+function recordingWorld(
   seed: number,
   controllers = 1,
-): { w: World; sent: Heartbeat[]; leader: () => PartitionLeader } {
-  const w = new World(seed, undefined, [], controllers);
-  w.loss = 0;
-  w.capacity = 6;
-  const sent: Heartbeat[] = [];
-  const pass = w.heartbeat.bind(w);
-  w.heartbeat = (name, r, done) => {
-    sent.push(structuredClone(r));
-    pass(name, r, done);
+): {
+  world: World;
+  sentHeartbeats: Heartbeat[];
+  leader: () => PartitionLeader;
+} {
+  const world = new World(seed, undefined, [], controllers);
+  world.loss = 0;
+  world.capacity = 6;
+  const sentHeartbeats: Heartbeat[] = [];
+  const forward = world.heartbeat.bind(world);
+  world.heartbeat = (name, heartbeat, done) => {
+    sentHeartbeats.push(structuredClone(heartbeat));
+    forward(name, heartbeat, done);
   };
-  for (let i = 0; i < 4; i++) w.cloud.add(w.types[0]!, "east", false, 0);
+  for (let i = 0; i < 4; i++)
+    world.cloud.add(world.types[0]!, "east", false, 0);
   return {
-    w,
-    sent,
-    leader: () => w.nodes.get("node-a")!.core.leaders.get("node-a")!,
+    world,
+    sentHeartbeats,
+    leader: () => world.nodes.get("node-a")!.core.leaders.get("node-a")!,
   };
 }
-function feed(w: World, r: Heartbeat): Answer | null {
-  let got: Answer | null = null;
-  w.ask(
+function deliver(world: World, heartbeat: Heartbeat): Answer | null {
+  let answer: Answer | null = null;
+  world.ask(
     "node-a",
     (reqId) => ({
       type: "heartbeat",
       reqId,
-      heartbeat: structuredClone(r),
+      heartbeat: structuredClone(heartbeat),
       relayed: false,
     }),
-    (a) => (got = a),
+    (a) => (answer = a),
   );
-  return got;
+  return answer;
 }
-/** All that a master concludes from reports. */
-const knows = (m: PartitionLeader): unknown =>
-  [...m.state.workers.values()].map((x) => ({
-    id: x.id,
+/** Everything that a leader derives from heartbeats. */
+const leaderView = (leader: PartitionLeader): unknown =>
+  [...leader.state.workers.values()].map((worker) => ({
+    id: worker.id,
     // Rows "alive", "session", "renewed", "notice", "idle", "image", "receives".
     at: [
-      x.incarnation,
-      x.sequence,
-      x.token,
-      x.lastAnsweredMs,
-      x.lastHeardMs,
-      x.leaseExpired,
-      x.reclaimedAtMs,
-      x.idleSinceMs,
-      x.isReturning,
-      [...x.images.keys()],
-      x.delivery.unreachableSinceMs,
-      x.delivery.isProven,
+      worker.incarnation,
+      worker.sequence,
+      worker.token,
+      worker.lastAnsweredMs,
+      worker.lastHeardMs,
+      worker.leaseExpired,
+      worker.reclaimedAtMs,
+      worker.idleSinceMs,
+      worker.isReturning,
+      [...worker.images.keys()],
+      worker.delivery.unreachableSinceMs,
+      worker.delivery.isProven,
     ],
     // Rows "there", "absent", "ended".
-    tasks: [...x.tasks].map(([k, t]) => [k, t.phase, t.timesSent]),
-    strays: [...x.unconfirmedTasks.keys()],
-    exited: x.exited,
+    tasks: [...worker.tasks].map(([k, t]) => [k, t.phase, t.timesSent]),
+    strays: [...worker.unconfirmedTasks.keys()],
+    exited: worker.exited,
   }));
 
-test("a copy no newer than what is known changes nothing, uses up no order and is not answered", () => {
-  const { w, sent, leader } = recorded(31);
-  submitWorkload(w, 40_000, (x, n) => ({
+test("a copy no newer than the known state changes nothing, uses up no command and is not answered", () => {
+  const { world, sentHeartbeats, leader } = recordingWorld(31);
+  submitWorkload(world, 40_000, (x, n) => ({
     ...randomJob(x, n),
     team: "blue",
     zone: "east",
@@ -79,50 +84,57 @@
     samePlace: false,
     spread: false,
   }));
-  let fed = 0;
+  let deliveredCopies = 0;
   for (let atMs = 10_000; atMs <= 45_000; atMs += 500) {
-    w.run(atMs);
-    const m = leader();
-    for (const r of sent.filter(
-      (x) => (m.state.workers.get(x.worker)?.sequence ?? -1) >= x.sequence,
+    world.run(atMs);
+    const currentLeader = leader();
+    for (const copy of sentHeartbeats.filter(
+      (sent) =>
+        (currentLeader.state.workers.get(sent.worker)?.sequence ?? -1) >=
+        sent.sequence,
     )) {
       const before = [
-        knows(m),
-        [...m.state.workersWithPendingCommands].map((x) => x.id),
-        m.state.registry.machines().size,
-        m.state.usage(),
+        leaderView(currentLeader),
+        [...currentLeader.state.workersWithPendingCommands].map((x) => x.id),
+        currentLeader.state.registry.machines().size,
+        currentLeader.state.usage(),
       ];
-      assert.equal(feed(w, r)?.kind, "retryLater");
+      assert.equal(deliver(world, copy)?.kind, "retryLater");
       assert.deepEqual(
         [
-          knows(m),
-          [...m.state.workersWithPendingCommands].map((x) => x.id),
-          m.state.registry.machines().size,
-          m.state.usage(),
+          leaderView(currentLeader),
+          [...currentLeader.state.workersWithPendingCommands].map((x) => x.id),
+          currentLeader.state.registry.machines().size,
+          currentLeader.state.usage(),
         ],
         before,
-        `${r.worker} ${r.sequence}`,
+        `${copy.worker} ${copy.sequence}`,
       );
-      fed++;
+      deliveredCopies++;
     }
   }
-  assert.ok(fed > 1_000 && w.starts > 20, `${fed} copies, ${w.starts} starts`);
-  assert.deepEqual(w.checker.broken, []);
+  assert.ok(
+    deliveredCopies > 1_000 && world.starts > 20,
+    `${deliveredCopies} copies, ${world.starts} starts`,
+  );
+  assert.deepEqual(world.checker.broken, []);
 });
 
-test("a copy of a machine that the cloud has taken back revives nothing", () => {
-  const { w, sent, leader } = recorded(32);
-  w.run(60_000);
-  const gone = sent.find((r) => !leader().state.workers.has(r.worker))!;
-  assert.ok(gone, "idle machines were given back");
-  const before = knows(leader());
-  assert.equal(feed(w, gone)?.kind, "retryLater");
-  assert.deepEqual(knows(leader()), before);
+test("a late heartbeat of a returned machine does not add the machine again", () => {
+  const { world, sentHeartbeats, leader } = recordingWorld(32);
+  world.run(60_000);
+  const fromReturnedMachine = sentHeartbeats.find(
+    (r) => !leader().state.workers.has(r.worker),
+  )!;
+  assert.ok(fromReturnedMachine, "idle machines were returned");
+  const before = leaderView(leader());
+  assert.equal(deliver(world, fromReturnedMachine)?.kind, "retryLater");
+  assert.deepEqual(leaderView(leader()), before);
 });
 
-test("to a master that has just begun, a copy from before accounts for no machine, hides no use and proves no receipt of strangers", () => {
-  const { w, sent, leader } = recorded(33);
-  submitWorkload(w, 20_000, (x, n) => ({
+test("after a failover, a copy from before accounts for no machine, hides no use and does not prove that an unknown machine is reachable", () => {
+  const { world, sentHeartbeats, leader } = recordingWorld(33);
+  submitWorkload(world, 20_000, (x, n) => ({
     ...randomJob(x, n),
     team: "blue",
     zone: "east",
@@ -132,97 +144,117 @@
     spread: false,
     kind: "service",
   }));
-  w.run(20_000);
+  world.run(20_000);
   const copies = [
     ...new Map(
-      sent.filter((r) => r.tasks.length === 0).map((r) => [r.worker, r]),
+      sentHeartbeats
+        .filter((r) => r.tasks.length === 0)
+        .map((r) => [r.worker, r]),
     ).values(),
   ];
   assert.ok(copies.length >= 2);
-  for (const x of w.workers) for (const n of w.names) x.cut.add(n);
-  w.crash("node-a");
-  w.at(200, () => w.boot("node-a"));
-  w.run(22_500);
-  const m = leader();
-  assert.ok(m.state.isFenced, "machines of the former master are waited for");
-  const free = m.state.usage().get("red")!.cpus;
-  for (const r of copies) feed(w, r);
+  for (const x of world.workers) for (const n of world.names) x.cut.add(n);
+  world.crash("node-a");
+  world.at(200, () => world.boot("node-a"));
+  world.run(22_500);
+  const newLeader = leader();
+  assert.ok(
+    newLeader.state.isFenced,
+    "the new leader waits for machines of the former leader",
+  );
+  const free = newLeader.state.usage().get("red")!.cpus;
+  for (const copy of copies) deliver(world, copy);
   assert.ok(
-    m.state.isFenced,
-    "an empty list under an older token accounts for nothing",
+    newLeader.state.isFenced,
+    "an empty task list under an older token accounts for no machine",
   );
   assert.equal(
-    m.state.usage().get("red")!.cpus,
+    newLeader.state.usage().get("red")!.cpus,
     free,
-    "and what may run there still counts, for every team",
+    "tasks that may run there still count for every team",
+  );
+  // A machine that is missing from this partition's registry has to show that it receives messages.
+  const fromUnknownMachine = { ...copies[0]!, worker: "n-009999" };
+  deliver(world, fromUnknownMachine);
+  const unknownWorker = newLeader.state.workers.get("n-009999")!;
+  assert.ok(
+    !newLeader.state.isUsable(unknownWorker),
+    "one heartbeat is not enough to use it",
+  );
+  deliver(world, {
+    ...fromUnknownMachine,
+    sequence: fromUnknownMachine.sequence + 1,
+    token: newLeader.token,
+  });
+  assert.ok(
+    unknownWorker.delivery.isProven,
+    "the leader's own token is evidence",
   );
-  // A machine that this group's roster does not name: it has to show that it receives.
-  const stranger = { ...copies[0]!, worker: "n-009999" };
-  feed(w, stranger);
-  const s = m.state.workers.get("n-009999")!;
-  assert.ok(!m.state.isUsable(s), "not used on the word of one report");
-  feed(w, { ...stranger, sequence: stranger.sequence + 1, token: m.token });
-  assert.ok(s.delivery.isProven, "the master's own token is evidence");
 });
 
-test("answers that never arrive are seen by a token that is never shown, and by orders that are not carried out", () => {
-  const { w, leader } = recorded(34);
-  w.run(8_000);
-  const [a, b] = [...leader().state.workers.values()];
-  const report = (x: typeof a, sequence: number, token: number): Heartbeat => ({
-    worker: x!.id,
-    address: x!.address,
-    type: x!.typeName,
+test("a machine that receives no answers is detected by the leader's token that it never shows and by its lease that expires", () => {
+  const { world, leader } = recordingWorld(34);
+  world.run(8_000);
+  const [first, second] = [...leader().state.workers.values()];
+  const heartbeatOf = (
+    worker: typeof first,
+    sequence: number,
+    token: number,
+  ): Heartbeat => ({
+    worker: worker!.id,
+    address: worker!.address,
+    type: worker!.typeName,
     zone: "east",
     spot: false,
-    incarnation: x!.incarnation,
+    incarnation: worker!.incarnation,
     sequence,
     token,
     noticeS: null,
     tasks: [],
   });
-  for (const x of w.workers) for (const n of w.names) x.cut.add(n);
-  // The master's token is not seen although two reports were answered under it.
-  a!.token = 0;
-  for (let k = 1; k <= 2; k++) feed(w, report(a, a!.sequence + 1, 0));
-  assert.equal(a!.delivery.unreachableSinceMs, null);
-  feed(w, report(a, a!.sequence + 1, 0));
-  assert.notEqual(a!.delivery.unreachableSinceMs, null);
-  assert.ok(!leader().state.isUsable(a!));
-  feed(w, report(a, a!.sequence + 1, leader().token));
+  for (const x of world.workers) for (const n of world.names) x.cut.add(n);
+  // The machine does not show the leader's token although two of its heartbeats were answered under it.
+  first!.token = 0;
+  for (let k = 1; k <= 2; k++)
+    deliver(world, heartbeatOf(first, first!.sequence + 1, 0));
+  assert.equal(first!.delivery.unreachableSinceMs, null);
+  deliver(world, heartbeatOf(first, first!.sequence + 1, 0));
+  assert.notEqual(first!.delivery.unreachableSinceMs, null);
+  assert.ok(!leader().state.isUsable(first!));
+  deliver(world, heartbeatOf(first, first!.sequence + 1, leader().token));
   assert.equal(
-    a!.delivery.unreachableSinceMs,
+    first!.delivery.unreachableSinceMs,
     null,
-    "it comes back by the same evidence",
+    "the same evidence makes it reachable again",
   );
-  // A lease that ends although its reports are answered.
-  feed(w, report(b, b!.sequence + 1, leader().token));
-  feed(w, {
-    ...report(b, b!.sequence + 1, leader().token),
-    incarnation: b!.incarnation + 1,
+  // The lease expires although the machine's heartbeats are answered.
+  deliver(world, heartbeatOf(second, second!.sequence + 1, leader().token));
+  deliver(world, {
+    ...heartbeatOf(second, second!.sequence + 1, leader().token),
+    incarnation: second!.incarnation + 1,
   });
-  assert.notEqual(b!.delivery.unreachableSinceMs, null);
+  assert.notEqual(second!.delivery.unreachableSinceMs, null);
 });
 
-test("a machine's answer that it has begun anew, made before it carried out a start and heard after that, takes nothing of the start back", () => {
-  const { w, leader } = recorded(11);
-  w.runFactor = 4;
-  w.run(9_000);
-  const m = w.workers.find((x) => x.up)!;
-  let asked = 0;
-  m.inspect = (_, done) => {
-    asked ||= w.now;
-    const before = m.snapshot();
-    w.at(1_500, () => done(before));
+test("a status made by a restarted machine before it carried out a start, and received after that, does not revert the start", () => {
+  const { world, leader } = recordingWorld(11);
+  world.runFactor = 4;
+  world.run(9_000);
+  const machine = world.workers.find((x) => x.up)!;
+  let queriedMs = 0;
+  machine.inspect = (_, done) => {
+    queriedMs ||= world.now;
+    const statusBefore = machine.snapshot();
+    world.at(1_500, () => done(statusBefore));
   };
-  m.restart(100);
-  while (asked === 0) w.run(w.now + 20);
-  // One task for each machine, sent to it directly.
+  machine.restart(100);
+  while (queriedMs === 0) world.run(world.now + 20);
+  // One task for each machine, started by a direct command.
   const spec = {
-    ...randomJob(w, 1),
+    ...randomJob(world, 1),
     team: "blue",
     kind: "array" as const,
-    tasks: w.workers.filter((x) => x.up).length,
+    tasks: world.workers.filter((x) => x.up).length,
     cpus: 8,
     gpus: 0,
     machineTypes: null,
@@ -231,24 +263,32 @@
     spread: false,
     spot: false,
   };
-  w.specs.set(spec.id, spec);
-  w.ask(
+  world.specs.set(spec.id, spec);
+  world.ask(
     "node-a",
     (reqId) => ({ type: "submit", reqId, spec }),
     () => {},
   );
-  w.run(asked + 1_400);
-  const carriedOut = [...m.tasks.keys()];
-  assert.equal(carriedOut.length, 1, "its new life has carried out a start");
+  world.run(queriedMs + 1_400);
+  const carriedOut = [...machine.tasks.keys()];
   assert.equal(
-    w.logs.some((l) => l.includes("machine restarted")),
+    carriedOut.length,
+    1,
+    "the restarted machine has carried out a start",
+  );
+  assert.equal(
+    world.logs.some((l) => l.includes("machine restarted")),
     false,
   );
-  w.run(asked + 1_700);
-  const x = leader().state.workers.get(m.id)!;
-  assert.deepEqual([...x.tasks.keys()], carriedOut, "the start counts on");
-  w.run(110_000);
-  assert.deepEqual(w.checker.broken, []);
+  world.run(queriedMs + 1_700);
+  const worker = leader().state.workers.get(machine.id)!;
+  assert.deepEqual(
+    [...worker.tasks.keys()],
+    carriedOut,
+    "the start still counts",
+  );
+  world.run(110_000);
+  assert.deepEqual(world.checker.broken, []);
   for (let i = 0; i < spec.tasks; i++)
-    assert.ok(w.results.has(`${spec.id}/${i}`), `${i} is done`);
+    assert.ok(world.results.has(`${spec.id}/${i}`), `${i} is done`);
 });
--- a/test/coordination/machines/overtaken-heartbeats.test.ts
+++ b/test/coordination/machines/overtaken-heartbeats.test.ts
@@ -8,11 +8,11 @@
 import { World } from "../../simulation/world.js";
 
 /**
- * A machine makes a heartbeat; a start sent straight to it is carried out and answered; then the heartbeat arrives. The story
- * of the incident is told in `test/scenarios/overtaken-heartbeats.ts`.
+ * A machine makes a heartbeat, then carries out and answers a start sent directly to it, and only then the heartbeat arrives.
+ * `test/scenarios/overtaken-heartbeats.ts` describes the incident.
  */
 
-/** A start that was answered, and a heartbeat that its machine made before it carried it out and that is still on its way. */
+/** An answered start, and a heartbeat that the machine made before it carried out the start and that has not arrived yet. */
 interface AnsweredStart {
   world: World;
   leader: PartitionLeader;
@@ -28,7 +28,7 @@
   samePlace: false,
 };
 
-/** Time in which a start is sent, carried out and answered, and no heartbeat is made after it. */
+/** Long enough for a start to be sent, carried out and answered, and too short for another heartbeat. */
 const ANSWERED_WITHIN_MS = 100;
 
 function answeredStart(): AnsweredStart {
@@ -38,7 +38,7 @@
   world.cloud.add(world.types[0]!, "east", false, 0);
   world.run(6_000);
   const machine = world.workers[0]!;
-  // Nothing is heard of the machine but what the test passes on.
+  // The machine sends no heartbeats; only the test delivers some.
   machine.isMute = true;
   world.run(11_000);
   const earlier = machine.snapshot();
@@ -64,7 +64,7 @@
   return { world, leader, machine, task, earlier };
 }
 
-/** Whether the leader counts this very start of the task; one that it took for lost it may start again at once. */
+/** Whether the leader still counts this attempt. If it considered the start lost, it may already have started another one. */
 const isCounted = (task: TaskRun): boolean =>
   [...task.worker.tasks.values()].includes(task);
 
@@ -81,14 +81,14 @@
   );
 }
 
-test("a task to be stopped counts although a heartbeat made before its start, and delivered after the answer to it, lacks it", () => {
+test("a task to be stopped still counts when a heartbeat lacks it that was made before its start and delivered after the answer to it", () => {
   const { world, leader, task, earlier } = answeredStart();
   leader.state.stop(task, 0, "make room");
   deliver(world, earlier);
   assert.ok(isCounted(task), "it is still on its machine");
 });
 
-test("such heartbeats do not make a machine count as unreachable, however many come", () => {
+test("heartbeats made before an answered start do not make a machine count as unreachable, however many arrive", () => {
   const { world, task, earlier } = answeredStart();
   for (let copy = 0; copy < 5; copy++)
     deliver(world, {
@@ -99,10 +99,10 @@
   assert.ok(isCounted(task));
 });
 
-test("a heartbeat made after the answer to a start refutes it: the task waits again", () => {
+test("a heartbeat that was made after the answer to a start and lacks the task makes it wait again", () => {
   const { world, leader, machine, task } = answeredStart();
   leader.state.stop(task, 0, "make room");
-  // As a machine would report that lost the task.
+  // The heartbeat of a machine that lost the task.
   const later = { ...machine.snapshot(), tasks: [] };
   deliver(world, later);
   assert.ok(!isCounted(task));
--- a/test/coordination/machines/scale-out.test.ts
+++ b/test/coordination/machines/scale-out.test.ts
@@ -28,7 +28,7 @@
 import type { Write } from "../../../src/protocol/state.js";
 import type { CapacityRecord } from "../../../src/storage/records.js";
 
-/** What a group rents and where a gang goes: decisions that went wrong on days with hundreds of machines. */
+/** What a partition rents and where a gang is assigned. These decisions were wrong in runs with hundreds of machines. */
 
 const TYPES: MachineType[] = [
   {
@@ -79,9 +79,9 @@
   deadlineS: null,
 };
 
-function job(over: Partial<JobSpec>): JobRun {
-  const spec = { ...SPEC, ...over };
-  const j = newJobRun(
+function job(overrides: Partial<JobSpec>): JobRun {
+  const spec = { ...SPEC, ...overrides };
+  const run = newJobRun(
     {
       id: spec.id,
       spec,
@@ -97,9 +97,9 @@
     false,
     0,
   );
-  j.assigned = RangeSet.upTo(spec.tasks);
-  j.waiting = RangeSet.upTo(spec.tasks);
-  return j;
+  run.assigned = RangeSet.upTo(spec.tasks);
+  run.waiting = RangeSet.upTo(spec.tasks);
+  return run;
 }
 const worker = (id: string, type: MachineType, zone: string): Worker =>
   ({
@@ -114,16 +114,16 @@
     isReturning: false,
   }) as unknown as Worker;
 
-/** Plans, sends, and answers every request from `stock`, until nothing more is asked for. */
-function rents(
+/** Plans and sends rentals, and answers each request from `stock`, until nothing more is requested. Returns the requests. */
+function requestedRentals(
   jobs: JobRun[],
   workers: Worker[],
   stock: Record<string, number>,
   wallMs = 0,
   objectives: object[] = [],
 ): string[] {
-  const asked: string[] = [];
-  const pending: (() => void)[] = [];
+  const requests: string[] = [];
+  const pendingReplies: (() => void)[] = [];
   const ctx = {
     settings: { label: "n", cloud: { rps: 3 }, objectives },
     tuning: DEFAULTS,
@@ -136,17 +136,17 @@
       assert.equal(call.op, "rent");
       if (call.op !== "rent") return;
       const key = `${call.type}/${call.zone}/${call.spot ? "spot" : "ordinary"}`;
-      const got = Math.min(call.count, stock[key] ?? 0);
-      stock[key] = (stock[key] ?? 0) - got;
-      asked.push(`${call.count} ${key}`);
-      pending.push(() =>
+      const granted = Math.min(call.count, stock[key] ?? 0);
+      stock[key] = (stock[key] ?? 0) - granted;
+      requests.push(`${call.count} ${key}`);
+      pendingReplies.push(() =>
         done(
-          got > 0
+          granted > 0
             ? {
                 kind: "rented",
                 machines: Array.from(
-                  { length: got },
-                  (_, i) => `m-${asked.length}-${i}`,
+                  { length: granted },
+                  (_item, i) => `m-${requests.length}-${i}`,
                 ),
               }
             : { kind: "noCapacity" },
@@ -154,7 +154,7 @@
       );
     },
   };
-  const own = {
+  const state = {
     partition: "n",
     token: 7,
     jobs: new Map(jobs.map((j) => [j.id, j])),
@@ -165,93 +165,112 @@
     unreachableMachines: () => [],
     maxConcurrentReplacements: () => 1,
   };
-  const sharing = {
+  const quota = {
     headroom: () => new Map([["t", { cpus: 1000, gpus: 100 }]]),
   };
-  const r = new ScaleOut(
+  const scaleOut = new ScaleOut(
     ctx as unknown as Context,
-    own as unknown as PartitionState,
-    sharing as unknown as QuotaAllocator,
+    state as unknown as PartitionState,
+    quota as unknown as QuotaAllocator,
     () => ["a", "b"],
   );
-  for (let k = 0; k < 20; k++) {
+  for (let tick = 0; tick < 20; tick++) {
     ctx.nowMs += 600;
-    r.tick(() => []);
-    assert.ok(pending.length <= 1, "one request at a time");
-    pending.shift()?.();
+    scaleOut.tick(() => []);
+    assert.ok(pendingReplies.length <= 1, "one request at a time");
+    pendingReplies.shift()?.();
   }
-  return asked;
+  return requests;
 }
 
-test("a gang rents only what is missing in the zone where the least is, and nothing where it can't be had whole", () => {
-  const there = [
+test("a gang rents only its missing machines, in the zone where the fewest are missing, and none where it can't be completed", () => {
+  const presentWorkers = [
     worker("w1", TYPES[0]!, "b"),
     worker("w2", TYPES[0]!, "b"),
     worker("w3", TYPES[0]!, "a"),
   ];
   assert.deepEqual(
-    rents([job({})], there, { "plain/a/ordinary": 10, "plain/b/ordinary": 10 }),
+    requestedRentals([job({})], presentWorkers, {
+      "plain/a/ordinary": 10,
+      "plain/b/ordinary": 10,
+    }),
     ["2 plain/b/ordinary"],
   );
-  // Zone b has one left: after that is known, the rest is asked for in zone a, where the gang fits whole.
-  const asked = rents([job({ id: "req-000002", tasks: 5 })], there, {
-    "plain/a/ordinary": 10,
-    "plain/b/ordinary": 1,
-  });
-  assert.deepEqual(asked, ["3 plain/b/ordinary", "4 plain/a/ordinary"]);
+  // Zone b has one machine left. Once that is known, all that the gang needs is requested in zone a.
+  const requests = requestedRentals(
+    [job({ id: "req-000002", tasks: 5 })],
+    presentWorkers,
+    {
+      "plain/a/ordinary": 10,
+      "plain/b/ordinary": 1,
+    },
+  );
+  assert.deepEqual(requests, ["3 plain/b/ordinary", "4 plain/a/ordinary"]);
 });
 
-test("a job with spread rents in the zones that may still take tasks of it, a gang only where all of it can be had", () => {
-  const there = ["w1", "w2", "w3", "w4"].map((id) =>
+test("a job with spread rents in zones that may still take its tasks, a gang only if all its tasks get a slot", () => {
+  const presentWorkers = ["w1", "w2", "w3", "w4"].map((id) =>
     worker(id, TYPES[0]!, "a"),
   );
   const spread = { samePlace: false, spread: true };
-  // Zone a has room for all four and may take two: nothing was rented in zone b, and the gang waited for ever.
+  // Zone a fits all four tasks but may take only two. Without a rental in zone b, the gang would wait forever.
   assert.deepEqual(
-    rents([job(spread)], there, {
+    requestedRentals([job(spread)], presentWorkers, {
       "plain/a/ordinary": 10,
       "plain/b/ordinary": 10,
     }),
     ["2 plain/b/ordinary"],
   );
   assert.deepEqual(
-    rents([job({ ...spread, zone: "a" })], there, {
+    requestedRentals([job({ ...spread, zone: "a" })], presentWorkers, {
       "plain/a/ordinary": 10,
       "plain/b/ordinary": 10,
     }),
     [],
-    "never whole in one zone",
+    "a gang with spread can't be completed in one zone",
   );
   assert.deepEqual(
-    rents([job({ ...spread, kind: "array", tasks: 6 })], there, {
-      "plain/b/ordinary": 10,
-    }),
+    requestedRentals(
+      [job({ ...spread, kind: "array", tasks: 6 })],
+      presentWorkers,
+      {
+        "plain/b/ordinary": 10,
+      },
+    ),
     ["3 plain/b/ordinary"],
   );
-  // What it leaves free of zone a is there for the next.
+  // The next job uses the slots that this one leaves free in zone a.
   assert.deepEqual(
-    rents([job({ ...spread }), job({ id: "req-000002", tasks: 2 })], there, {
-      "plain/a/ordinary": 10,
-      "plain/b/ordinary": 2,
-    }),
+    requestedRentals(
+      [job({ ...spread }), job({ id: "req-000002", tasks: 2 })],
+      presentWorkers,
+      {
+        "plain/a/ordinary": 10,
+        "plain/b/ordinary": 2,
+      },
+    ),
     ["2 plain/b/ordinary"],
   );
 });
 
-test("an array in one zone rents whatever can be had there; no request asks for more than the cloud allows", () => {
-  // Sixty places are wanted and ten can be had: a gang asks for no more, an array takes what there is.
+test("an array in one zone rents whatever is available there, and no request exceeds the cloud's maximum", () => {
+  // Thirty machines are needed and ten are available: an array takes what there is.
   const array = job({ id: "req-000003", kind: "array", tasks: 30 });
-  assert.deepEqual(rents([array], [], { "plain/a/ordinary": 10 }), [
+  assert.deepEqual(requestedRentals([array], [], { "plain/a/ordinary": 10 }), [
     "30 plain/a/ordinary",
   ]);
   assert.deepEqual(
-    rents([job({ id: "req-000005", kind: "array", tasks: 30 })], [], {
-      "plain/b/ordinary": 40,
-    }),
+    requestedRentals(
+      [job({ id: "req-000005", kind: "array", tasks: 30 })],
+      [],
+      {
+        "plain/b/ordinary": 40,
+      },
+    ),
     ["30 plain/a/ordinary", "30 plain/b/ordinary"],
   );
   const large = job({ id: "req-000004", tasks: 60, cpus: 10, memGb: 40 });
-  assert.deepEqual(rents([large], [], { "plain/a/ordinary": 70 }), [
+  assert.deepEqual(requestedRentals([large], [], { "plain/a/ordinary": 70 }), [
     "50 plain/a/ordinary",
     "10 plain/a/ordinary",
   ]);
@@ -259,20 +278,24 @@
 
 test("nothing is rented beyond what the team may use", () => {
   assert.deepEqual(
-    rents([job({ tasks: 34, samePlace: false })], [], {
+    requestedRentals([job({ tasks: 34, samePlace: false })], [], {
       "plain/a/ordinary": 100,
     }),
     [],
   );
   assert.deepEqual(
-    rents([job({ tasks: 60, kind: "array", samePlace: false })], [], {
-      "plain/a/ordinary": 100,
-    }),
+    requestedRentals(
+      [job({ tasks: 60, kind: "array", samePlace: false })],
+      [],
+      {
+        "plain/a/ordinary": 100,
+      },
+    ),
     ["33 plain/a/ordinary"],
   );
 });
 
-test("an array with a deadline rents what its work needs beyond what present places can do in turns", () => {
+test("an array with a deadline rents only for the work that present slots can't do one task after the other", () => {
   const array = {
     kind: "array" as const,
     samePlace: false,
@@ -283,40 +306,52 @@
     deadlineS: 1_000,
   };
   const machines = (deadlineS: number): number =>
-    rents([job({ ...array, deadlineS })], [], { "plain/a/spot": 100 }).reduce(
-      (n, x) => n + Number(x.split(" ")[0]),
-      0,
-    );
-  // 4,000 s of work, two places a machine, a boot of 20 s.
+    requestedRentals([job({ ...array, deadlineS })], [], {
+      "plain/a/spot": 100,
+    }).reduce((n, x) => n + Number(x.split(" ")[0]), 0);
+  // 4,000 s of work, two slots per machine, 20 s to boot.
   assert.ok(machines(150) >= 17, `${machines(150)}`);
   assert.ok(machines(1_000) >= 2 && machines(1_000) <= 4, `${machines(1_000)}`);
-  // Too late for any deadline: only a cheap machine is worth it.
+  // Too late for the deadline: only a spot machine is worth renting.
   assert.deepEqual(
-    rents([job(array)], [], { "plain/a/ordinary": 100 }, 2_000_000).filter(
-      (x) => x.endsWith("ordinary"),
-    ),
+    requestedRentals(
+      [job(array)],
+      [],
+      { "plain/a/ordinary": 100 },
+      2_000_000,
+    ).filter((x) => x.endsWith("ordinary")),
     [],
   );
 });
 
-test("work that is due counts although a job without a deadline asked for the same in vain before it", () => {
-  const array = (id: string, over: Partial<JobSpec>): JobRun =>
-    job({ id, kind: "array", samePlace: false, tasks: 4, ...over });
-  const vain = array("req-000001", { zone: "nowhere", cpus: 5 });
-  const due = array("req-000002", {
+test("work that is due counts even if a job without a deadline searched for the same machines in vain before", () => {
+  const arrayJob = (id: string, overrides: Partial<JobSpec>): JobRun =>
+    job({ id, kind: "array", samePlace: false, tasks: 4, ...overrides });
+  const unplaceable = arrayJob("req-000001", { zone: "nowhere", cpus: 5 });
+  const dueJob = arrayJob("req-000002", {
     zone: "nowhere",
     cpus: 5,
     tasks: 100,
     deadlineS: 1_000,
   });
-  const next = array("req-000003", { zone: "a", cpus: 17, deadlineS: 1_001 });
+  const nextJob = arrayJob("req-000003", {
+    zone: "a",
+    cpus: 17,
+    deadlineS: 1_001,
+  });
   const stock = (): Record<string, number> => ({ "plain/a/ordinary": 10 });
-  const with100 = rents([due, next], [], stock());
-  assert.deepEqual(rents([vain, due, next], [], stock()), with100);
-  assert.notDeepEqual(rents([vain, next], [], stock()), with100);
+  const rentalsWithDueWork = requestedRentals([dueJob, nextJob], [], stock());
+  assert.deepEqual(
+    requestedRentals([unplaceable, dueJob, nextJob], [], stock()),
+    rentalsWithDueWork,
+  );
+  assert.notDeepEqual(
+    requestedRentals([unplaceable, nextJob], [], stock()),
+    rentalsWithDueWork,
+  );
 });
 
-test("a late job gets a dear machine only while its class may still be done in time", () => {
+test("a late job gets an ordinary machine only while it may still meet the objective of its class", () => {
   const late = job({
     kind: "array",
     tasks: 4,
@@ -328,28 +363,30 @@
   });
   const finished = [{ kind: "finished", class: "c", withinS: 450 }];
   const stock = (): Record<string, number> => ({ "gpu/a/ordinary": 3 });
-  // Too late for its own deadline, and no cheap machine to be had.
+  // Too late for its own deadline, and no spot machine is available.
   assert.ok(
-    !rents([late], [], stock(), 180_000).some((x) => x.includes("ordinary")),
+    !requestedRentals([late], [], stock(), 180_000).some((x) =>
+      x.includes("ordinary"),
+    ),
   );
   assert.ok(
-    rents([late], [], stock(), 180_000, finished).some((x) =>
+    requestedRentals([late], [], stock(), 180_000, finished).some((x) =>
       x.includes("gpu/a/ordinary"),
     ),
   );
   assert.ok(
-    !rents([late], [], stock(), 400_000, finished).some((x) =>
+    !requestedRentals([late], [], stock(), 400_000, finished).some((x) =>
       x.includes("ordinary"),
     ),
   );
   assert.ok(
-    !rents([late], [], stock(), 180_000, [
+    !requestedRentals([late], [], stock(), 180_000, [
       { ...finished[0], class: "other" },
     ]).some((x) => x.includes("ordinary")),
   );
 });
 
-test("plain work gets an accelerated machine only at a like price, or where nothing else could run it", () => {
+test("plain work gets an accelerated machine only at a similar price, or if nothing else could run it", () => {
   const plain = { ...SPEC, spot: true };
   assert.ok(!isSuitable(plain, TYPES[1]!, false, TYPES));
   assert.ok(isSuitable(plain, TYPES[1]!, true, TYPES));
@@ -360,37 +397,37 @@
   assert.ok(isSuitable({ ...plain, gpus: 1 }, TYPES[1]!, false, TYPES));
 });
 
-test("the parts of a gang in several groups have one turn, however many tasks each has", () => {
-  const parts = [1, 3].map((n) => {
-    const j = job({ spread: true, samePlace: false, tasks: 4 });
-    j.waiting = RangeSet.upTo(n);
-    return j;
+test("the parts of a gang in several partitions have the same place in the queue, however many tasks each has", () => {
+  const gangParts = [1, 3].map((n) => {
+    const part = job({ spread: true, samePlace: false, tasks: 4 });
+    part.waiting = RangeSet.upTo(n);
+    return part;
   });
-  const holdings = {
+  const state = {
     ctx: { tuning: DEFAULTS, cache: { finishedCount: () => 0 } },
   } as unknown as PartitionState;
   assert.deepEqual(
-    parts.map((j) =>
-      PartitionState.prototype.unfinishedTasks.call(holdings, j),
+    gangParts.map((j) =>
+      PartitionState.prototype.unfinishedTasks.call(state, j),
     ),
     [4, 4],
   );
 });
 
-test("a gang is short by the work of all its tasks", () => {
-  const at = (tasks: number, shape: JobSpec["kind"]): boolean =>
-    isShort({ ...SPEC, kind: shape, tasks, estimateS: 200 }, DEFAULTS);
-  assert.ok(at(3, "gang"));
-  assert.ok(!at(16, "gang"));
-  assert.ok(at(100, "array"));
-  assert.ok(!at(1, "service"));
+test("whether a gang is short depends on the work of all its tasks", () => {
+  const isShortJob = (tasks: number, kind: JobSpec["kind"]): boolean =>
+    isShort({ ...SPEC, kind, tasks, estimateS: 200 }, DEFAULTS);
+  assert.ok(isShortJob(3, "gang"));
+  assert.ok(!isShortJob(16, "gang"));
+  assert.ok(isShortJob(100, "array"));
+  assert.ok(!isShortJob(1, "service"));
 });
 
-test("what found no room in a pass is not looked for again, and nothing else is left out", () => {
-  const m = new UnplaceableCache();
-  m.add({ ...SPEC, tasks: 4 }, "short");
-  assert.ok(m.includes({ ...SPEC, tasks: 4 }, "short"));
-  assert.ok(m.includes({ ...SPEC, tasks: 8, cpus: 31 }, "short"));
+test("only requests that found no capacity in a scheduling round are skipped in the rest of it", () => {
+  const cache = new UnplaceableCache();
+  cache.add({ ...SPEC, tasks: 4 }, "short");
+  assert.ok(cache.includes({ ...SPEC, tasks: 4 }, "short"));
+  assert.ok(cache.includes({ ...SPEC, tasks: 8, cpus: 31 }, "short"));
   for (const other of [
     { tasks: 3 },
     { cpus: 20 },
@@ -400,17 +437,17 @@
     { samePlace: false },
   ])
     assert.ok(
-      !m.includes({ ...SPEC, ...other }, "short"),
+      !cache.includes({ ...SPEC, ...other }, "short"),
       JSON.stringify(other),
     );
-  assert.ok(!m.includes(SPEC, "long"));
+  assert.ok(!cache.includes(SPEC, "long"));
 });
 
-const room = (
+const record = (
   zone: string,
   free: number,
   machines: number,
-  over: Partial<CapacityRecord> = {},
+  overrides: Partial<CapacityRecord> = {},
 ): CapacityRecord => ({
   rows: [
     {
@@ -429,16 +466,16 @@
   wants: new Map(),
   teams: null,
   isTruncated: false,
-  ...over,
+  ...overrides,
 });
 
-test("a gang that fits nowhere goes where it is expected to fit first, counting what can still be rented there", () => {
+test("a gang that fits nowhere is assigned to the partition where it should fit first, counting machines that can still be rented", () => {
   const capable = [
     { partition: "x", zones: ["a"] },
     { partition: "y", zones: ["b"] },
   ];
   const spec = { ...SPEC, tasks: 16 };
-  const to = (x: CapacityRecord, y: CapacityRecord): string =>
+  const chosen = (x: CapacityRecord, y: CapacityRecord): string =>
     [
       ...partitionJob(
         spec,
@@ -452,39 +489,45 @@
         new Map(),
       ).keys(),
     ].join();
-  // Roomy enough now beats anything; of two, the roomiest.
-  assert.equal(to(room("a", 16, 20), room("b", 20, 30)), "y");
-  assert.equal(to(room("a", 16, 20), room("b", 15, 30)), "x");
-  // Three can still be rented beside twelve free ones: too few. Four are enough.
-  const left = (n: number): Partial<CapacityRecord> => ({
+  // A partition with enough free slots comes first; of two, the one with more.
+  assert.equal(chosen(record("a", 16, 20), record("b", 20, 30)), "y");
+  assert.equal(chosen(record("a", 16, 20), record("b", 15, 30)), "x");
+  // Twelve slots are free: with four rentable machines there are enough, with three there are not.
+  const rentable = (n: number): Partial<CapacityRecord> => ({
     left: new Map([
       ["plain/a/ordinary", n],
       ["plain/b/ordinary", 0],
     ]),
   });
-  const none = {
+  const soldOut = {
     left: new Map([
       ["plain/a/ordinary", 0],
       ["plain/b/ordinary", 0],
     ]),
   };
-  assert.equal(to(room("a", 12, 20, left(4)), room("b", 14, 60, none)), "x");
-  assert.equal(to(room("a", 12, 20, left(3)), room("b", 14, 60, none)), "y");
-  // Zones are not added up where one must hold all.
-  const both = {
-    ...room("a", 10, 20),
-    rows: [...room("a", 10, 20).rows, ...room("b", 10, 20).rows],
-    ...none,
+  assert.equal(
+    chosen(record("a", 12, 20, rentable(4)), record("b", 14, 60, soldOut)),
+    "x",
+  );
+  assert.equal(
+    chosen(record("a", 12, 20, rentable(3)), record("b", 14, 60, soldOut)),
+    "y",
+  );
+  // Zones are not added up if one zone must hold all tasks.
+  const bothZones = {
+    ...record("a", 10, 20),
+    rows: [...record("a", 10, 20).rows, ...record("b", 10, 20).rows],
+    ...soldOut,
   };
   assert.equal(
-    slotsForUndividedJob(spec, ["a", "b"], both, TYPES, true).free,
+    slotsForUndividedJob(spec, ["a", "b"], bothZones, TYPES, true).free,
     10,
   );
   assert.equal(
     slotsForUndividedJob(
       { ...spec, samePlace: false },
       ["a", "b"],
-      both,
+      bothZones,
       TYPES,
       true,
     ).free,
@@ -492,35 +535,35 @@
   );
 });
 
-test("a machine that left the roster and comes back is in it only once a commit names it again", () => {
-  const sent: { writes: Write[]; done: (end: "ok") => void }[] = [];
+test("a machine that was removed from the registry and comes back is in it only once a commit includes it again", () => {
+  const commits: { writes: Write[]; done: (end: "ok") => void }[] = [];
   const ctx = {
     nowMs: 0,
     cache: { registries: new Map(), latestRevisionOf: () => 0 },
     settings: { state: { valueBytes: 2048, txnOps: 4 } },
   };
-  const r = new MachineRegistry(
+  const registry = new MachineRegistry(
     ctx as unknown as Context,
     "g",
-    (_conditions, writes, done) => void sent.push({ writes, done }),
+    (_conditions, writes, done) => void commits.push({ writes, done }),
     () => {},
   );
-  const next = (): string => {
-    const s = sent.shift()!;
-    s.done("ok");
-    return JSON.stringify(s.writes);
+  const completeNextCommit = (): string => {
+    const commit = commits.shift()!;
+    commit.done("ok");
+    return JSON.stringify(commit.writes);
   };
-  r.set("m1", { isReturning: false, type: "t" });
-  assert.ok(!r.has("m1"));
-  assert.match(next(), /m1/);
-  assert.ok(r.has("m1"));
-  r.remove("m1");
-  assert.ok(!r.has("m1"));
-  // Back while the commit without it is on its way.
-  r.set("m1", { isReturning: false, type: "t" });
-  assert.ok(!next().includes("m1"));
-  assert.ok(!r.has("m1"));
-  assert.match(next(), /m1/);
-  assert.ok(r.has("m1"));
-  assert.equal(sent.length, 0);
+  registry.set("m1", { isReturning: false, type: "t" });
+  assert.ok(!registry.has("m1"));
+  assert.match(completeNextCommit(), /m1/);
+  assert.ok(registry.has("m1"));
+  registry.remove("m1");
+  assert.ok(!registry.has("m1"));
+  // The machine comes back while the commit that removes it is in flight.
+  registry.set("m1", { isReturning: false, type: "t" });
+  assert.ok(!completeNextCommit().includes("m1"));
+  assert.ok(!registry.has("m1"));
+  assert.match(completeNextCommit(), /m1/);
+  assert.ok(registry.has("m1"));
+  assert.equal(commits.length, 0);
 });
