--- a/src/coordination/machines/failover-fence.ts
+++ b/src/coordination/machines/failover-fence.ts
@@ -21,19 +21,19 @@
 
   constructor(
     registered: ReadonlyMap<string, RegistryEntry>,
-    private isListMissing: boolean,
+    private isListPending: boolean,
   ) {
     for (const [id, { type }] of registered) this.unaccounted.set(id, type);
   }
 
   /** Whether the registry may lack machines, so that the fence also waits for the cloud's machine list. */
   get awaitsMachineList(): boolean {
-    return this.isListMissing;
+    return this.isListPending;
   }
 
   /** Whether every machine is accounted for and no machine list is awaited. */
   get isCleared(): boolean {
-    return this.unaccounted.size === 0 && !this.isListMissing;
+    return this.unaccounted.size === 0 && !this.isListPending;
   }
 
   /** Ids of the machines that are not accounted for, as a copy. */
@@ -54,7 +54,7 @@
     machines: ReadonlyMap<string, ListedMachine>,
     hasReported: (id: string) => boolean,
   ): number {
-    this.isListMissing = false;
+    this.isListPending = false;
     let added = 0;
     for (const [id, { state, type }] of machines) {
       if (state === "failed" || hasReported(id) || this.unaccounted.has(id))
@@ -82,7 +82,7 @@
       sum.cpus += Math.max(0, cpus - knownUse.cpus);
       sum.gpus += Math.max(0, gpus - knownUse.gpus);
     }
-    if (!this.isListMissing) return;
+    if (!this.isListPending) return;
     sum.cpus += UNKNOWN_MACHINE_SIZE;
     sum.gpus += UNKNOWN_MACHINE_SIZE;
   }
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -157,21 +157,21 @@
   private notePhase(
     worker: Worker,
     task: TaskRun,
-    state: TaskRun["phase"],
+    phase: TaskRun["phase"],
   ): void {
     const nowMs = this.ctx.nowMs;
-    if (task.phase !== state) {
+    if (task.phase !== phase) {
       this.ctx.log("task phase changed", {
         task: taskKey(task.job.id, task.index),
         worker: worker.id,
         from: task.phase,
-        to: state,
+        to: phase,
         afterMs: Math.round(nowMs - task.phaseSinceMs),
       });
-      task.phase = state;
+      task.phase = phase;
       task.phaseSinceMs = nowMs;
     }
-    if (state === "running" || state === "waiting")
+    if (phase === "running" || phase === "waiting")
       this.noteImage(worker, task);
   }
 
@@ -224,8 +224,8 @@
     let totalGb = 0;
     for (const cached of worker.images.values()) totalGb += cached.sizeGb;
     for (const [name, cached] of worker.images) {
-      const isWithin = totalGb <= (worker.type?.cacheGb ?? 0);
-      if (isWithin || worker.images.size === 1) break;
+      const fitsCache = totalGb <= (worker.type?.cacheGb ?? 0);
+      if (fitsCache || worker.images.size === 1) break;
       worker.images.delete(name);
       totalGb -= cached.sizeGb;
     }
--- a/test/coordination/machines/scale-out.test.ts
+++ b/test/coordination/machines/scale-out.test.ts
@@ -132,7 +132,7 @@
     nowMs: 0,
     wallMs,
     log: () => {},
-    callCloud: (call: CloudCall, _: unknown, done: (r: CloudReply) => void) => {
+    callCloud: (call: CloudCall, _u: unknown, cb: (r: CloudReply) => void) => {
       assert.equal(call.op, "rent");
       if (call.op !== "rent") return;
       const key = `${call.type}/${call.zone}/${call.spot ? "spot" : "ordinary"}`;
@@ -140,7 +140,7 @@
       stock[key] = (stock[key] ?? 0) - granted;
       requests.push(`${call.count} ${key}`);
       pendingReplies.push(() =>
-        done(
+        cb(
           granted > 0
             ? {
                 kind: "rented",
