--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -139,7 +139,7 @@
         this.autoscaler.returnMachine(
           id,
           entry.type,
-          "marked for return by a former master",
+          "marked for return by a former leader",
         );
   }
 
