--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -30,7 +30,7 @@
 const JOB_END_WRITES = 2;
 const MS_PER_S = 1_000;
 
-/** What the dependency tracker needs of the controller. */
+/** Functions of the controller that the dependency tracker uses. */
 export interface DependencyPorts {
   /** Assigns a job's tasks to partitions by their current capacity; null if that is not possible now. */
   assign(spec: JobSpec): Map<string, RangeSet> | null;
--- a/src/coordination/jobs/job-admission.ts
+++ b/src/coordination/jobs/job-admission.ts
@@ -60,7 +60,7 @@
   readonly hasCancelledDependency: boolean;
 }
 
-/** What admission needs of the controller. */
+/** Parts of the controller that admission uses. */
 export interface JobAdmissionPorts {
   readonly replies: RequestReplies;
   readonly leadership: Pick<Leadership, "readAgeMs">;
@@ -219,7 +219,7 @@
 
   /**
    * Resolves dependencies one by one. One that the cache does not show is looked up by a read sent after the request arrived:
-   * the user was told before the request that the job was accepted, so the read shows it.
+   * users name a job as a dependency only after its acceptance was answered, so the read shows it.
    */
   private resolveDependencies(submission: Submission): void {
     const { reqId, spec, unresolved } = submission;
--- a/src/coordination/jobs/job-assigner.ts
+++ b/src/coordination/jobs/job-assigner.ts
@@ -45,7 +45,7 @@
     return assignment;
   }
 
-  /** Each partition's latest capacity record and pending assignments; of partitions led here, the leader's own recent count. */
+  /** Capacity and pending assignments of each partition: as counted by its leader if that runs here, else from its latest record. */
   private latestCapacities(): {
     capacities: Map<string, CapacityRecord>;
     pending: Map<string, readonly PendingAssignment[]>;
--- a/src/coordination/jobs/job-cancellation.ts
+++ b/src/coordination/jobs/job-cancellation.ts
@@ -13,7 +13,7 @@
 /** Maximum number of retries when a job's record changes between the read and the commit. */
 const MAX_CANCEL_RETRIES = 4;
 
-/** What cancellation needs of the controller. */
+/** Parts of the controller that cancellation uses. */
 export interface JobCancellationPorts {
   readonly replies: RequestReplies;
   readonly watcher: StoreWatcher;
--- a/src/coordination/jobs/job-status.ts
+++ b/src/coordination/jobs/job-status.ts
@@ -13,7 +13,7 @@
 import type { DependencyTracker } from "./dependency-tracker.js";
 import type { RequestReplies } from "./request-replies.js";
 
-/** What status queries need of the controller. */
+/** Parts of the controller that status queries use. */
 export interface JobStatusPorts {
   readonly replies: RequestReplies;
   readonly leaders: ReadonlyMap<string, PartitionLeader>;
--- a/src/coordination/store/store-watcher.ts
+++ b/src/coordination/store/store-watcher.ts
@@ -46,7 +46,7 @@
   readonly sentMs: number;
 }
 
-/** What the watcher needs of the core. */
+/** Functions of the core that the watcher uses. */
 export interface StoreWatcherPorts {
   readonly callStore: CallStore;
   /** Handles changes that the cache already shows. */
@@ -132,7 +132,7 @@
       return onRead(reqId, id);
     }
     if (!this.ctx.cache.ready) return this.ports.refuse(reqId, "not ready yet");
-    this.enqueue({ reqId: reqId, id, askedMs: this.ctx.nowMs, onRead });
+    this.enqueue({ reqId, id, askedMs: this.ctx.nowMs, onRead });
     this.readForWaiting();
   }
 
@@ -190,9 +190,9 @@
     this.loadPage("", null);
   }
 
-  private loadPage(after: string, earlier: LoadedPages | null): void {
+  private loadPage(afterKey: string, earlier: LoadedPages | null): void {
     this.ports.callStore(
-      { op: "list", prefix: LIVE_PREFIX, after },
+      { op: "list", prefix: LIVE_PREFIX, after: afterKey },
       CallPriority.Lease,
       (reply, sentMs) => {
         if (reply.is !== "items" || this.isInconsistentList(reply))
