--- a/src/coordination/quota/guarantee-reclaims.ts
+++ b/src/coordination/quota/guarantee-reclaims.ts
@@ -12,127 +12,144 @@
 import type { Guarantees } from "./guarantees.js";
 import { DIMENSIONS, type ResourceAmounts } from "./resource-amounts.js";
 
-/** Until what is stopped for a claim is gone and what it was stopped for is published as started. */
-const CLAIM_TTL_S = 6;
+/** Added to the grace period and two heartbeats, until preempted tasks have ended and the use of their successors is published. */
+const RECLAIM_TTL_S = 6;
 
-/** Of which teams a claim takes how much. */
+/** What a reclaim takes from each team. */
 type ReclaimedByTeam = ReadonlyMap<string, ResourceAmounts>;
 
-const NOTHING: ResourceAmounts = [0, 0];
+const NO_AMOUNTS: ResourceAmounts = [0, 0];
 
 /**
- * What is stopped so that a team gets its guarantee is claimed first, by a commit that depends on all claims that stand:
- * masters that decide at once for the same team, or at the cost of the same one, see each other's before they stop
- * anything. So all together stop no more than the deficit and one task (or gang) beyond, and nobody falls below a
- * guarantee by more than the last task stopped. A claim without an answer stops nothing and counts until its time is over.
+ * Records reclaims: preemptions in favor of a team that has less than its guarantee. A leader preempts nothing before it has
+ * committed the reclaim, in a transaction that is conditional on the record of all reclaims. Leaders that decide at the same
+ * time for the same team, or at the expense of the same team, therefore see each other's reclaims first. Together they preempt
+ * at most the deficit plus one task (or gang), and no team falls below its guarantee by more than the last task preempted. A
+ * reclaim whose transaction gets no answer preempts nothing and, if it was written, counts until it expires.
  */
 export class GuaranteeReclaims {
-  private asking = false;
-  /** Stopped under a claim since this master began, by the team that it was for: CPUs and accelerators. */
+  private isCommitPending = false;
+  /** CPUs and accelerators reclaimed since this leader started, by the team that they were reclaimed for. */
   readonly reclaimed = new Map<string, ResourceAmounts>();
 
   constructor(
-    private readonly ctx: Context,
-    private readonly own: PartitionState,
+    private readonly context: Context,
+    private readonly state: PartitionState,
     private readonly guarantees: Guarantees,
   ) {}
 
-  private standing(): Map<string, readonly Reclaim[]> {
-    const out = new Map<string, readonly Reclaim[]>();
-    for (const [partition, list] of this.ctx.cache.reclaims) {
-      const open = list.filter((c) => c.expiresAt > this.ctx.wallMs);
-      if (open.length > 0) out.set(partition, open);
+  private unexpiredReclaims(): Map<string, readonly Reclaim[]> {
+    const unexpired = new Map<string, readonly Reclaim[]>();
+    for (const [partition, reclaims] of this.context.cache.reclaims) {
+      const current = reclaims.filter(
+        (reclaim) => reclaim.expiresAt > this.context.wallMs,
+      );
+      if (current.length > 0) unexpired.set(partition, current);
     }
-    return out;
+    return unexpired;
   }
 
-  /** By claims that stand: what a team is about to get, and what it is about to lose. */
-  private claimed(team: string): {
-    gets: ResourceAmounts;
-    loses: ResourceAmounts;
+  /** What a team gains and loses by all reclaims that have not expired. */
+  private pendingAmounts(team: string): {
+    gains: ResourceAmounts;
+    losses: ResourceAmounts;
   } {
-    const gets: ResourceAmounts = [0, 0];
-    const loses: ResourceAmounts = [0, 0];
-    for (const list of this.standing().values())
-      for (const c of list) {
-        if (c.team === team)
-          for (const d of DIMENSIONS) gets[d] += c.coveredDeficit[d];
-        for (const [t, cpus, gpus] of c.from)
-          if (t === team) {
-            loses[0] += cpus;
-            loses[1] += gpus;
+    const gains: ResourceAmounts = [0, 0];
+    const losses: ResourceAmounts = [0, 0];
+    for (const reclaims of this.unexpiredReclaims().values())
+      for (const reclaim of reclaims) {
+        if (reclaim.team === team)
+          for (const dimension of DIMENSIONS)
+            gains[dimension] += reclaim.coveredDeficit[dimension];
+        for (const [otherTeam, cpus, gpus] of reclaim.from)
+          if (otherTeam === team) {
+            losses[0] += cpus;
+            losses[1] += gpus;
           }
       }
-    return { gets, loses };
+    return { gains, losses };
   }
 
-  /** Whether a team may claim so much more: it fits into its guarantee with all that it has and all that is claimed for it. */
+  /** Whether `need` still fits into the team's guarantee, on top of what it may use and of pending reclaims for it. */
   mayReclaim(team: string, need: ResourceAmounts): boolean {
-    if (this.asking) return false;
-    const lacks = this.guarantees.headroom(
+    if (this.isCommitPending) return false;
+    const headroom = this.guarantees.headroom(
       team,
-      this.own.usage().get(team) ?? NO_USE,
+      this.state.usage().get(team) ?? NO_USE,
+    );
+    if (!headroom) return false;
+    const { gains } = this.pendingAmounts(team);
+    return DIMENSIONS.every(
+      (dimension) =>
+        need[dimension] + gains[dimension] <= headroom[dimension] + EPSILON,
     );
-    if (!lacks) return false;
-    const { gets } = this.claimed(team);
-    return DIMENSIONS.every((d) => need[d] + gets[d] <= lacks[d] + EPSILON);
   }
 
-  /** What may still be taken of a team: all that it surely has beyond its guarantee, less what is claimed of it already. */
+  /** What may still be reclaimed from a team: its certain use beyond its guarantee, less pending reclaims from it. */
   reclaimableFrom(team: string): ResourceAmounts {
     const excess = this.guarantees.excess(
       team,
-      this.own.ledger.useOfTeam(team),
+      this.state.ledger.useOfTeam(team),
     );
-    const { loses } = this.claimed(team);
-    return [excess[0] - loses[0], excess[1] - loses[1]];
+    const { losses } = this.pendingAmounts(team);
+    return [excess[0] - losses[0], excess[1] - losses[1]];
   }
 
-  /** Claims so much for a team at the cost of others; `granted`: now, and only now, they may be stopped. */
+  /** Records a reclaim of `need` for a team. Tasks may be preempted only when, and if, `onCommitted` is called. */
   reclaim(
     team: string,
     need: ResourceAmounts,
     from: ReclaimedByTeam,
     graceS: number,
-    granted: () => void,
+    onCommitted: () => void,
   ): void {
-    if (this.asking) return;
-    const until = Math.round(
-      this.ctx.wallMs +
-        (CLAIM_TTL_S + graceS + 2 * this.ctx.settings.reportS) * 1000,
+    if (this.isCommitPending) return;
+    const expiresAt = Math.round(
+      this.context.wallMs +
+        (RECLAIM_TTL_S + graceS + 2 * this.context.settings.reportS) * 1000,
     );
-    const all = this.standing();
-    const mine: Reclaim = {
-      token: this.own.token,
+    const reclaims = this.unexpiredReclaims();
+    const ownReclaim: Reclaim = {
+      token: this.state.token,
       team,
       coveredDeficit: need,
-      from: [...from].map(([t, p]) => [t, p[0], p[1]]),
-      expiresAt: until,
+      from: [...from].map(([fromTeam, amounts]) => [
+        fromTeam,
+        amounts[0],
+        amounts[1],
+      ]),
+      expiresAt,
     };
-    all.set(this.own.partition, [...(all.get(this.own.partition) ?? []), mine]);
-    const value = writeReclaims(all);
-    if (bytesOf(value) > this.ctx.settings.state.valueBytes) return;
-    this.asking = true;
-    // No more urgent than the writing of rooms: a claim never overtakes the use that it was judged by.
-    this.own.commit(
+    reclaims.set(this.state.partition, [
+      ...(reclaims.get(this.state.partition) ?? []),
+      ownReclaim,
+    ]);
+    const value = writeReclaims(reclaims);
+    if (bytesOf(value) > this.context.settings.state.valueBytes) return;
+    this.isCommitPending = true;
+    // Not above the priority of capacity records: a reclaim must not overtake the record of the use that it is based on.
+    this.state.commit(
       [
         {
           key: RECLAIM_KEY,
-          version: this.ctx.cache.observedRevisionOf(RECLAIM_KEY),
+          version: this.context.cache.observedRevisionOf(RECLAIM_KEY),
         },
       ],
       [{ op: "put", key: RECLAIM_KEY, value }],
       CallPriority.Background,
-      (end) => {
-        this.asking = false;
-        if (end !== "ok" || !this.own.mayAct()) return;
-        const sum = this.reclaimed.get(team) ?? NOTHING;
+      (outcome) => {
+        this.isCommitPending = false;
+        if (outcome !== "ok" || !this.state.mayAct()) return;
+        const earlier = this.reclaimed.get(team) ?? NO_AMOUNTS;
         const taken = [...from.values()].reduce<ResourceAmounts>(
-          (s, p) => [s[0] + p[0], s[1] + p[1]],
+          (total, amounts) => [total[0] + amounts[0], total[1] + amounts[1]],
           [0, 0],
         );
-        this.reclaimed.set(team, [sum[0] + taken[0], sum[1] + taken[1]]);
-        granted();
+        this.reclaimed.set(team, [
+          earlier[0] + taken[0],
+          earlier[1] + taken[1],
+        ]);
+        onCommitted();
       },
     );
   }
--- a/src/coordination/quota/guarantee-shortfall-log.ts
+++ b/src/coordination/quota/guarantee-shortfall-log.ts
@@ -7,79 +7,86 @@
 import type { GuaranteeReclaims } from "./guarantee-reclaims.js";
 import type { QuotaAllocator } from "./quota-allocator.js";
 
-/** Work within a guarantee that waits for longer than this is spoken of, and no more often than that for each team. */
+/** How long a job within its team's guarantee waits before this is logged. */
 const LOG_AFTER_MS = 10_000;
+/** Minimum interval between two log lines about the same team. */
 const LOG_INTERVAL_MS = 30_000;
 
-/** Tells operators which guarantees are not met in this group, and why. */
+/** Logs which guarantees are not met in this partition, and why. */
 export class GuaranteeShortfallLog {
   private readonly loggedMs = new Map<string, number>();
-  private nextMs = -Infinity;
+  private nextCheckMs = -Infinity;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly own: PartitionState,
-    private readonly sharing: QuotaAllocator,
+    private readonly context: Context,
+    private readonly state: PartitionState,
+    private readonly quota: QuotaAllocator,
     private readonly guarantees: Guarantees,
     private readonly reclaims: GuaranteeReclaims,
-    /** Nothing that such a job could use is on its way or to be had. */
-    private readonly exhausted: (spec: JobSpec) => boolean,
+    /** Whether no machine that such a job could use is booting or can be rented. */
+    private readonly isCapacityExhausted: (spec: JobSpec) => boolean,
   ) {}
 
   tick(): void {
-    if (this.ctx.nowMs < this.nextMs) return;
-    this.nextMs = this.ctx.nowMs + LOG_AFTER_MS / 2;
-    const used = this.own.usage();
-    const looked = new Set<string>();
-    for (const j of this.own.jobs.values()) {
-      const { spec, readyAt } = j.view;
+    if (this.context.nowMs < this.nextCheckMs) return;
+    this.nextCheckMs = this.context.nowMs + LOG_AFTER_MS / 2;
+    const used = this.state.usage();
+    const loggedTeams = new Set<string>();
+    for (const job of this.state.jobs.values()) {
+      const { spec, readyAt } = job.view;
       if (
-        looked.has(spec.team) ||
-        !this.own.mayStart(j) ||
-        this.ctx.wallMs - readyAt < LOG_AFTER_MS
+        loggedTeams.has(spec.team) ||
+        !this.state.mayStart(job) ||
+        this.context.wallMs - readyAt < LOG_AFTER_MS
       )
         continue;
-      const team = this.ctx.settings.teams.get(spec.team);
+      const team = this.context.settings.teams.get(spec.team);
       if (
         !team ||
         !guaranteeOf(team) ||
-        this.ctx.nowMs - (this.loggedMs.get(spec.team) ?? -Infinity) <
+        this.context.nowMs - (this.loggedMs.get(spec.team) ?? -Infinity) <
           LOG_INTERVAL_MS
       )
         continue;
-      const own = used.get(spec.team) ?? NO_USE;
-      const lacks = this.guarantees.headroom(spec.team, own);
-      const n = spec.kind === "gang" ? spec.tasks : 1;
+      const use = used.get(spec.team) ?? NO_USE;
+      const headroom = this.guarantees.headroom(spec.team, use);
+      const taskCount = spec.kind === "gang" ? spec.tasks : 1;
       if (
-        !lacks ||
-        spec.cpus * n > lacks[0] + EPSILON ||
-        spec.gpus * n > lacks[1] + EPSILON
+        !headroom ||
+        spec.cpus * taskCount > headroom[0] + EPSILON ||
+        spec.gpus * taskCount > headroom[1] + EPSILON
       )
         continue;
-      looked.add(spec.team);
-      this.loggedMs.set(spec.team, this.ctx.nowMs);
-      const share = this.sharing.share(spec.team);
-      const givers = [...this.ctx.settings.teams.keys()].filter(
-        (t) =>
-          t !== spec.team &&
-          this.reclaims.reclaimableFrom(t).some((x) => x > EPSILON),
+      loggedTeams.add(spec.team);
+      this.loggedMs.set(spec.team, this.context.nowMs);
+      const share = this.quota.share(spec.team);
+      const teamsBeyondGuarantee = [
+        ...this.context.settings.teams.keys(),
+      ].filter(
+        (name) =>
+          name !== spec.team &&
+          this.reclaims
+            .reclaimableFrom(name)
+            .some((amount) => amount > EPSILON),
       );
-      const why =
-        own.cpus + spec.cpus * n > share[0] + EPSILON ||
-        own.gpus + spec.gpus * n > share[1] + EPSILON
-          ? "the part of its limit that it needs is not here yet"
-          : !this.exhausted(spec)
-            ? "machines are on their way or to be rented"
-            : givers.length > 0
-              ? "others are beyond theirs and are being stopped, or what they run here makes no room for it"
-              : "nothing more is to be rented and nobody is beyond a guarantee";
-      this.ctx.log("guarantee not met", {
+      const reason =
+        use.cpus + spec.cpus * taskCount > share[0] + EPSILON ||
+        use.gpus + spec.gpus * taskCount > share[1] + EPSILON
+          ? "waiting for quota from other partitions"
+          : !this.isCapacityExhausted(spec)
+            ? "waiting for machines that are booting or can be rented"
+            : teamsBeyondGuarantee.length > 0
+              ? "other teams exceed their guarantees: their tasks are being preempted, or preempting them here would not make room"
+              : "no more machines can be rented and no other team exceeds its guarantee";
+      this.context.log("guarantee not met", {
         team: spec.team,
-        partition: this.own.partition,
+        partition: this.state.partition,
         job: spec.id,
-        waitingS: Math.round((this.ctx.wallMs - readyAt) / 1000),
-        missingCpus: Number.isFinite(lacks[0]) ? Math.round(lacks[0]) : null,
-        reason: why,
+        waitingS: Math.round((this.context.wallMs - readyAt) / 1000),
+        missingCpus: Number.isFinite(headroom[0])
+          ? Math.round(headroom[0])
+          : null,
+        reason,
       });
     }
   }
--- a/src/coordination/quota/guarantees.ts
+++ b/src/coordination/quota/guarantees.ts
@@ -6,132 +6,149 @@
 import { entryOf } from "./quota-records.js";
 import { DIMENSIONS, type ResourceAmounts } from "./resource-amounts.js";
 
-/** What is guaranteed, where anything is: a dimension without a guarantee does not count where the other has one. */
-export function guaranteeOf(t: Team): ResourceAmounts | null {
-  return t.cpus <= 0 && t.gpus <= 0
+/** The team's guarantee; null if it has none. If only one resource is guaranteed, the other is Infinity and does not count. */
+export function guaranteeOf(team: Team): ResourceAmounts | null {
+  return team.cpus <= 0 && team.gpus <= 0
     ? null
-    : [t.cpus > 0 ? t.cpus : Infinity, t.gpus > 0 ? t.gpus : Infinity];
+    : [
+        team.cpus > 0 ? team.cpus : Infinity,
+        team.gpus > 0 ? team.gpus : Infinity,
+      ];
 }
 
-/** Where a team stands at this moment. */
+/** A team's current use relative to its guarantee. */
 interface GuaranteeStanding {
-  /** All that it uses lies within its guarantee. */
+  /** Whether the team uses less than its guarantee. */
   within: boolean;
-  /** Its dominant share, as a multiple of what it is guaranteed (weighted DRF); Infinity: it is guaranteed nothing. */
+  /** Its dominant share as a multiple of its guarantee (weighted DRF); Infinity if it has no guarantee. */
   share: number;
 }
 
-/** Sums are made anew no more often than this. */
-const SUM_MS = 200;
+/** Minimum interval between recomputations of the use in other partitions. */
+const SUM_INTERVAL_MS = 200;
 
 /**
- * Teams' use of the whole fleet, as each group publishes it with its room, at most 0.7 s after it changed, and the own
- * use as it is. A guarantee is a promise of the fleet: a team that stands beyond its equal part in one group may be well
- * within what it is promised, and one whose work can run in one zone only is promised no less there.
+ * Compares teams' use of the whole cluster with their guarantees. The use in other partitions comes from their capacity
+ * records, which are written at most 0.7 s after a change; the use in this partition is current. A guarantee applies to the
+ * cluster, not to each partition: a team that uses more than an equal share of one partition may still be within its
+ * guarantee, and a team whose jobs can run in a single zone only is entitled to all of its guarantee there.
  */
 export class Guarantees {
-  private others = new Map<
+  private useElsewhereByTeam = new Map<
     string,
-    { use: ResourceAmounts; least: ResourceAmounts; most: ResourceAmounts }
+    {
+      use: ResourceAmounts;
+      confirmedUse: ResourceAmounts;
+      possibleUse: ResourceAmounts;
+    }
   >();
   private summedMs = -Infinity;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly own: PartitionState,
+    private readonly context: Context,
+    private readonly state: PartitionState,
   ) {}
 
   /**
-   * What the other groups use of a team: as published; at least (what surely runs); at most (what may run where a
-   * takeover is under way or nothing is known).
+   * What a team uses in all other partitions: `use` as published, `confirmedUse` what certainly runs, and `possibleUse` the
+   * upper bound, which also covers partitions in a failover and partitions whose use is unknown.
    */
-  elsewhere(team: string): {
+  useElsewhere(team: string): {
     use: ResourceAmounts;
-    least: ResourceAmounts;
-    most: ResourceAmounts;
+    confirmedUse: ResourceAmounts;
+    possibleUse: ResourceAmounts;
   } {
-    if (this.ctx.nowMs - this.summedMs >= SUM_MS) {
-      this.summedMs = this.ctx.nowMs;
-      this.others = new Map();
+    if (this.context.nowMs - this.summedMs >= SUM_INTERVAL_MS) {
+      this.summedMs = this.context.nowMs;
+      this.useElsewhereByTeam = new Map();
     }
-    let sum = this.others.get(team);
-    if (!sum) this.others.set(team, (sum = this.sum(team)));
+    let sum = this.useElsewhereByTeam.get(team);
+    if (!sum)
+      this.useElsewhereByTeam.set(team, (sum = this.sumUseElsewhere(team)));
     return sum;
   }
 
-  private sum(team: string): {
+  private sumUseElsewhere(team: string): {
     use: ResourceAmounts;
-    least: ResourceAmounts;
-    most: ResourceAmounts;
+    confirmedUse: ResourceAmounts;
+    possibleUse: ResourceAmounts;
   } {
-    const { cache, partitions } = this.ctx;
+    const { cache, partitions } = this.context;
     const sum = {
       use: [0, 0] as ResourceAmounts,
-      least: [0, 0] as ResourceAmounts,
-      most: [0, 0] as ResourceAmounts,
+      confirmedUse: [0, 0] as ResourceAmounts,
+      possibleUse: [0, 0] as ResourceAmounts,
     };
     const entry = entryOf(cache.quotaRecords, team);
-    for (const g of new Set([
+    for (const partition of new Set([
       ...partitions.names,
       ...cache.capacities.keys(),
     ])) {
-      if (g === this.own.partition) continue;
-      const room = cache.capacities.get(g);
-      const row = room?.teams?.get(team);
-      // A group that no settings name may be held without a master, for what is left of it.
-      const owned = partitions.names.includes(g) && cache.partitions.has(g);
-      // Nothing was ever written, or less than all teams: it may use all that it has of the limit.
-      const known = room?.teams && (row !== undefined || !room.isTruncated);
-      for (const d of DIMENSIONS) {
-        const part = entry
-          ? entry.cap[d] === Infinity
+      if (partition === this.state.partition) continue;
+      const capacity = cache.capacities.get(partition);
+      const row = capacity?.teams?.get(team);
+      // A partition that is no longer in the settings may be owned without a leader, to clean up what is left of it.
+      const isLed =
+        partitions.names.includes(partition) && cache.partitions.has(partition);
+      // False if the partition published no use, or if the team may have been cut from its record: it may use its whole share.
+      const isUseKnown =
+        capacity?.teams && (row !== undefined || !capacity.isTruncated);
+      for (const dimension of DIMENSIONS) {
+        const share = entry
+          ? entry.cap[dimension] === Infinity
             ? Infinity
-            : (entry.shares[g]?.[d] ?? 0)
+            : (entry.shares[partition]?.[dimension] ?? 0)
           : Infinity;
-        sum.use[d] += row?.use[d] ?? 0;
-        // What an owner that is gone had published is not sure to run any more.
-        sum.least[d] += owned ? (row?.use[d] ?? 0) : 0;
-        sum.most[d] += known
-          ? Math.max(row?.possibleUse[d] ?? 0, row?.use[d] ?? 0)
-          : owned || room
-            ? part
+        sum.use[dimension] += row?.use[dimension] ?? 0;
+        // Without a leader, the published use may have ended since.
+        sum.confirmedUse[dimension] += isLed ? (row?.use[dimension] ?? 0) : 0;
+        sum.possibleUse[dimension] += isUseKnown
+          ? Math.max(row?.possibleUse[dimension] ?? 0, row?.use[dimension] ?? 0)
+          : isLed || capacity
+            ? share
             : 0;
       }
     }
     return sum;
   }
 
-  /** For the order of the queues; `own`: what this group uses of the team now. */
-  standing(team: string, own: ResourceUse): GuaranteeStanding {
-    const t = this.ctx.settings.teams.get(team);
-    const g = t && guaranteeOf(t);
-    if (!g) return { within: false, share: Infinity };
-    const { use } = this.elsewhere(team);
+  /** The team's rank in the queue order. `ownUse`: what it uses in this partition. */
+  standing(team: string, ownUse: ResourceUse): GuaranteeStanding {
+    const settings = this.context.settings.teams.get(team);
+    const guarantee = settings && guaranteeOf(settings);
+    if (!guarantee) return { within: false, share: Infinity };
+    const { use } = this.useElsewhere(team);
     const share = Math.max(
-      (use[0] + own.cpus) / g[0],
-      (use[1] + own.gpus) / g[1],
+      (use[0] + ownUse.cpus) / guarantee[0],
+      (use[1] + ownUse.gpus) / guarantee[1],
     );
     return { within: share < 1 - EPSILON, share };
   }
 
-  /** How much more a team may have before it is beyond its guarantee, at the least; null: no guarantee, or it can't be judged. */
-  headroom(team: string, own: ResourceUse): ResourceAmounts | null {
-    const t = this.ctx.settings.teams.get(team);
-    const g = t && guaranteeOf(t);
-    if (!g || this.ctx.readAgeMs() > STALE_CACHE_MS) return null;
-    const { most } = this.elsewhere(team);
-    return [g[0] - most[0] - own.cpus, g[1] - most[1] - own.gpus];
+  /**
+   * How much more a team can use for certain without exceeding its guarantee, negative if it may exceed it already; null if it
+   * has no guarantee or the cache is too old to tell. `ownUse`: the most that it may use in this partition.
+   */
+  headroom(team: string, ownUse: ResourceUse): ResourceAmounts | null {
+    const settings = this.context.settings.teams.get(team);
+    const guarantee = settings && guaranteeOf(settings);
+    if (!guarantee || this.context.readAgeMs() > STALE_CACHE_MS) return null;
+    const { possibleUse } = this.useElsewhere(team);
+    return [
+      guarantee[0] - possibleUse[0] - ownUse.cpus,
+      guarantee[1] - possibleUse[1] - ownUse.gpus,
+    ];
   }
 
-  /** How much a team surely has beyond its guarantee; `own`: what surely runs here. */
-  excess(team: string, own: ResourceUse): ResourceAmounts {
-    const t = this.ctx.settings.teams.get(team);
-    if (!t || this.ctx.readAgeMs() > STALE_CACHE_MS) return [0, 0];
-    const { least } = this.elsewhere(team);
-    const g = guaranteeOf(t) ?? [0, 0];
+  /** By how much a team certainly exceeds its guarantee. `ownUse`: what it certainly uses in this partition. */
+  excess(team: string, ownUse: ResourceUse): ResourceAmounts {
+    const settings = this.context.settings.teams.get(team);
+    if (!settings || this.context.readAgeMs() > STALE_CACHE_MS) return [0, 0];
+    const { confirmedUse } = this.useElsewhere(team);
+    const guarantee = guaranteeOf(settings) ?? [0, 0];
     return [
-      Math.max(0, least[0] + own.cpus - g[0]),
-      Math.max(0, least[1] + own.gpus - g[1]),
+      Math.max(0, confirmedUse[0] + ownUse.cpus - guarantee[0]),
+      Math.max(0, confirmedUse[1] + ownUse.gpus - guarantee[1]),
     ];
   }
 }
--- a/src/coordination/quota/index.ts
+++ b/src/coordination/quota/index.ts
@@ -1,4 +1,4 @@
-/** Teams' limits and guarantees over all partitions: docs/design/limits.md. */
+/** Teams' limits and guarantees across all partitions. Design: docs/design/limits.md. */
 export { ObservedLimits } from "./observed-limits.js";
 export { Guarantees } from "./guarantees.js";
 export { GuaranteeReclaims } from "./guarantee-reclaims.js";
--- a/src/coordination/quota/observed-limits.ts
+++ b/src/coordination/quota/observed-limits.ts
@@ -4,67 +4,72 @@
 import { CallPriority } from "../effects.js";
 import { observedLimitsKey } from "../../storage/records.js";
 
-/** Of a hash over the limits in the settings: two that differ practically never agree in so many hexadecimal digits. */
+/** Hexadecimal digits kept of the hash of all limits: 64 bits make a collision between two settings negligible. */
 const HASH_DIGITS = 16;
 
-/** All teams' limits as one short word: controllers with the same limits in their settings have the same. */
+/** Hash of all teams' limits: controllers with the same limits in their settings compute the same value. */
 function limitsHash(teams: Settings["teams"]): string {
-  const all = [...teams.values()]
-    .map((t) => [
-      t.name,
-      t.cpusMax === Infinity ? 0 : t.cpusMax,
-      t.gpusMax === Infinity ? 0 : t.gpusMax,
+  const limits = [...teams.values()]
+    .map((team) => [
+      team.name,
+      team.cpusMax === Infinity ? 0 : team.cpusMax,
+      team.gpusMax === Infinity ? 0 : team.gpusMax,
     ])
-    .sort((a, b) => (a[0]! < b[0]! ? -1 : 1));
+    .sort((first, second) => (first[0]! < second[0]! ? -1 : 1));
   return createHash("sha256")
-    .update(JSON.stringify(all))
+    .update(JSON.stringify(limits))
     .digest("hex")
     .slice(0, HASH_DIGITS);
 }
 
 /**
- * Which limits this controller goes by, told under its hold, so that it ends with it. A limit is raised only when every
- * live controller goes by the raised one: the smallest that anybody believes in holds. Lowering waits for nobody.
+ * Publishes the limits in this controller's settings, as a record attached to its store lease, and compares them with those of
+ * the other controllers. A limit is raised only once every live controller has the raised one in its settings: until then the
+ * smallest applies. Lowering a limit takes effect without waiting.
  */
 export class ObservedLimits {
-  private readonly ownLimits: string;
-  private publishedUnder: number | null = null;
-  private publishing = false;
+  private readonly ownHash: string;
+  private publishedLeaseId: number | null = null;
+  private isPublishing = false;
 
-  constructor(private readonly ctx: Context) {
-    this.ownLimits = limitsHash(ctx.settings.teams);
+  constructor(private readonly context: Context) {
+    this.ownHash = limitsHash(context.settings.teams);
   }
 
-  /** Whoever owns a group and says nothing is an earlier version, or has not come to say it yet. */
+  /**
+   * Whether all live controllers have the same limits. A partition owner without a record disagrees: it runs an earlier version,
+   * or has not published its limits yet.
+   */
   areAgreed(): boolean {
-    const { observedLimits, partitions } = this.ctx.cache;
-    for (const b of observedLimits.values())
-      if (b !== this.ownLimits) return false;
-    for (const g of partitions.values())
-      if (observedLimits.get(g.owner) !== this.ownLimits) return false;
-    return observedLimits.get(this.ctx.settings.label) === this.ownLimits;
+    const { observedLimits, partitions } = this.context.cache;
+    for (const hash of observedLimits.values())
+      if (hash !== this.ownHash) return false;
+    for (const partition of partitions.values())
+      if (observedLimits.get(partition.owner) !== this.ownHash) return false;
+    return observedLimits.get(this.context.settings.label) === this.ownHash;
   }
 
-  tick(hold: number | null): void {
-    const { cache } = this.ctx;
+  tick(leaseId: number | null): void {
+    const { cache } = this.context;
     if (
-      hold === null ||
+      leaseId === null ||
       !cache.ready ||
-      this.publishing ||
-      this.publishedUnder === hold
+      this.isPublishing ||
+      this.publishedLeaseId === leaseId
     )
       return;
-    const key = observedLimitsKey(this.ctx.settings.label);
-    this.publishing = true;
-    // Invariant (quota): a former life of this controller may have sent its own, under other settings and a hold that is still
-    // there. Carried out late, it would have others raise a limit that this one goes below.
-    this.ctx.commit(
+    const key = observedLimitsKey(this.context.settings.label);
+    this.isPublishing = true;
+    // Invariant (quota): conditional on the latest revision, because a former process of this controller may have sent a record
+    // with other settings under a store lease that has not expired. If that transaction were applied late, the other controllers
+    // could raise a limit above the one in this controller's settings.
+    this.context.commit(
       [{ key, version: cache.latestRevisionOf(key) }],
-      [{ op: "put", key, value: { limits: this.ownLimits }, hold }],
+      [{ op: "put", key, value: { limits: this.ownHash }, hold: leaseId }],
       CallPriority.Leader,
-      (end) => {
-        this.publishing = false;
-        if (end === "ok") this.publishedUnder = hold;
+      (outcome) => {
+        this.isPublishing = false;
+        if (outcome === "ok") this.publishedLeaseId = leaseId;
       },
     );
   }
--- a/src/coordination/quota/partition-demand.ts
+++ b/src/coordination/quota/partition-demand.ts
@@ -1,6 +1,6 @@
 /**
- * What a partition wants of a team's limit beyond its own part: worked out from its waiting tasks, or read from what another
- * partition published. Owns no state.
+ * A partition's demand for a team's quota beyond its own share, computed from its waiting tasks or read from the capacity record
+ * of another partition. Owns no state.
  */
 import type { CapacityRecord } from "../../storage/records.js";
 import { EPSILON } from "../scheduling/placement.js";
@@ -12,37 +12,40 @@
   roundUpToHundredth,
 } from "./resource-amounts.js";
 
-/** What a partition's waiting tasks of a team want beyond its part of the limit. The names are those of the stored rows. */
+/** What a partition's waiting tasks of a team lack beyond its share of the limit. The fields are those of `TeamRow`. */
 export interface PartitionDemand {
-  /** For tasks that have a place at once, or have waited for long. */
+  /** For tasks that have a free slot, or have waited for so long that they count as if they had. */
   startable: ResourceAmounts;
   /**
-   * When the oldest of these became ready that lacks CPUs, and that lacks accelerators, ms since the epoch; Infinity: there
-   * is none.
+   * Place in the queue order of the first of these that lacks CPUs, and of the first that lacks accelerators, in ms since the
+   * epoch; Infinity if there is none.
    */
   startableSinceMs: ResourceAmounts;
-  /** For tasks whose place is yet to be rented. */
+  /** For tasks whose machines are yet to be rented. */
   awaitingMachines: ResourceAmounts;
   awaitingMachinesSinceMs: ResourceAmounts;
-  /** The part of the limit that this is beyond: what has come since is not wanted any more. */
+  /** The share that this demand comes on top of: by as much as the share has grown since, the demand is satisfied. */
   baseShare: ResourceAmounts;
-  /** What the first tasks lack that idle parts elsewhere are enough for; absent: there are none, or an earlier version wrote it. */
+  /**
+   * What the first tasks lack that could start with idle quota of other partitions; absent if there are none, or from an earlier
+   * version.
+   */
   backfill?: ResourceAmounts | undefined;
-  /** For a large job whose first start is overdue; absent: there is none, or an earlier version wrote it. */
+  /** For a large job whose first start is overdue; absent if there is none, or from an earlier version. */
   reservation?: QuotaReservation | undefined;
 }
 
 /** Quota to be reserved for one job until it starts. */
 export interface QuotaReservation {
-  /** What it lacks of the quota. */
+  /** Quota that the job still lacks. */
   missing: ResourceAmounts;
-  /** Time of day since which the job is ready, in whole ms. */
+  /** When the job became ready, in whole ms since the epoch. */
   readyAt: number;
-  /** Its place in `PRIORITIES`. */
+  /** Index of the job's priority in `PRIORITIES`. */
   priority: number;
 }
 
-/** What these tasks want beyond `share`, of which `use` is used already; null: nothing. */
+/** What these tasks lack beyond `share`, of which `use` is already in use; null if they lack nothing. */
 export function demandBeyondShare(
   waiting: readonly WaitingTasks[],
   share: ResourceAmounts,
@@ -58,7 +61,7 @@
   const free = perDimension((dimension) => share[dimension] - use[dimension]);
   const startable = waiting.filter((tasks) => tasks.isStartable);
   const others = waiting.filter((tasks) => !tasks.isStartable);
-  // Who can start at once takes what is free first; what it lacks is wanted.
+  // Startable tasks take the free quota first.
   for (const tasks of startable)
     addLacking(tasks, free, demand.startable, demand.startableSinceMs);
   for (const tasks of others)
@@ -75,9 +78,9 @@
   return isWanted ? demand : null;
 }
 
-/** Takes what the tasks need from `free`, which may fall below 0, and adds what they lack to `wanted`. */
+/** Takes what the tasks need from `free`, which may become negative, and adds what they lack to `wanted`. */
 function addLacking(
-  { need, turnMs }: WaitingTasks,
+  { need, queueOrderMs }: WaitingTasks,
   free: ResourceAmounts,
   wanted: ResourceAmounts,
   since: ResourceAmounts,
@@ -91,26 +94,26 @@
     free[dimension] -= needed;
     if (lacking <= EPSILON) continue;
     wanted[dimension] += lacking;
-    since[dimension] = Math.min(since[dimension], turnMs);
+    since[dimension] = Math.min(since[dimension], queueOrderMs);
   }
 }
 
-/** What another partition wants, by team, as it last published it; `partOf`: its written part of a team's limit. */
+/** Demands of another partition, by team, as last published. `shareOf`: its share of a team's limit in the quota records. */
 export function publishedDemands(
   capacity: CapacityRecord,
-  partOf: (team: string) => Readonly<ResourceAmounts>,
+  shareOf: (team: string) => Readonly<ResourceAmounts>,
 ): ReadonlyMap<string, PartitionDemand> {
   if (capacity.teams) return capacity.teams;
   const demands = new Map<string, PartitionDemand>();
-  // An earlier version wants beyond what it has at the moment.
+  // An earlier version does not publish the share that its demand comes on top of: the current share is assumed.
   for (const [team, want] of capacity.wants) {
-    const part = partOf(team);
+    const share = shareOf(team);
     demands.set(team, {
       startable: [want.cpus, want.gpus],
       startableSinceMs: [want.since, want.since],
       awaitingMachines: [0, 0],
       awaitingMachinesSinceMs: [Infinity, Infinity],
-      baseShare: [part[0], part[1]],
+      baseShare: [share[0], share[1]],
     });
   }
   return demands;
--- a/src/coordination/quota/quota-allocator.ts
+++ b/src/coordination/quota/quota-allocator.ts
@@ -1,6 +1,6 @@
 /**
- * The partition's parts of the teams' limits: how much of each it may use, and giving of it to partitions that want more.
- * Owns the change of the quota records that is under way. Design: docs/design/limits.md.
+ * A partition's shares of the teams' limits: how much of each it may use, and transfers to partitions that demand more. Owns the
+ * pending change to the quota records. Design: docs/design/limits.md.
  */
 import type { Team } from "../../config/settings.js";
 import { QUOTA_KEY } from "../../storage/records.js";
@@ -34,31 +34,31 @@
   type ResourceAmounts,
 } from "./resource-amounts.js";
 
-/** Parts are given no more often than this: what comes together goes together. */
+/** Minimum interval between changes to the quota records, so that demands that arrive together share one transaction. */
 const TRANSFER_INTERVAL_MS = 600;
-/** Quota records that one change writes at the most. */
+/** Maximum number of quota records that one change writes. */
 const MAX_RECORDS_PER_CHANGE = 3;
-/** Stands for "no limit" in what is published: JSON knows no Infinity. */
+/** Stands for unlimited possible use in published rows, because JSON can't represent Infinity. */
 const UNLIMITED_USE = 1e9;
 
-/** A partition's use of the teams' limits. */
+/** Allocates the teams' quota on behalf of one partition. */
 export class QuotaAllocator {
   private pendingChange: QuotaChange | null = null;
   private nextPlanMs = -Infinity;
   private readonly quotaDemand: QuotaDemand;
   private readonly reservations: QuotaReservations;
   private readonly backfill: QuotaBackfill;
-  /** Entries looked up since the records last changed. */
+  /** Cache of entries, valid until the records change. */
   private entries = new Map<string, QuotaEntry | null>();
   private entriesSequence = -1;
 
-  /** `hasPlace`: whether the partition has, or may get, a machine with free resources for a task of such a job. */
+  /** `canGetSlot`: whether the partition has, or can rent, a machine with free resources for a task of such a job. */
   constructor(
     private readonly context: Context,
     private readonly state: PartitionState,
-    hasPlace: (spec: JobSpec) => boolean,
+    canGetSlot: (spec: JobSpec) => boolean,
   ) {
-    this.quotaDemand = new QuotaDemand(context, state, hasPlace);
+    this.quotaDemand = new QuotaDemand(context, state, canGetSlot);
     this.reservations = new QuotaReservations(
       context,
       state,
@@ -72,9 +72,9 @@
     }));
   }
 
-  // ---- what may be used ------------------------------------------------------------------------------------
+  // ---- shares ----------------------------------------------------------------------------------------------
 
-  /** What is written of a team's limit; null: nothing. */
+  /** The team's entry in the quota records; null if it has none. */
   entry(team: string): QuotaEntry | null {
     const { cache } = this.context;
     if (this.entriesSequence !== cache.quotaRecordsSequence) {
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Up to how much this partition may start tasks of a team, in CPUs and accelerators; Infinity: no limit. Invariant (quota):
-   * what is on its way to others is not used from before the commit that gives it is sent.
+   * How much this partition may use of a team's limit, in CPUs and accelerators; Infinity if unlimited. Invariant (quota): quota
+   * that a change releases is not used from before its transaction is sent.
    */
   share(team: string): ResourceAmounts {
     const settings = this.context.settings.teams.get(team);
@@ -101,33 +101,33 @@
       settings,
       this.entry(team),
       this.state.partition,
-      () => this.uses()(team),
+      () => this.currentUse()(team),
     );
-    const reserved = this.inFlight(team);
-    return [cpus - reserved[0], gpus - reserved[1]];
+    const inFlight = this.inFlight(team);
+    return [cpus - inFlight[0], gpus - inFlight[1]];
   }
 
-  /** What of a team's limit is on its way to other partitions. */
+  /** Quota of a team that the pending change releases. */
   inFlight(team: string): ResourceAmounts {
     const change = this.pendingChange;
-    return change && !change.isSettled() ? change.reservedOf(team) : [0, 0];
+    return change && !change.isSettled() ? change.releasedOf(team) : [0, 0];
   }
 
-  /** What this partition may still use of a team. */
+  /** Unused quota of a team in this partition. */
   private free(team: string): ResourceAmounts {
     const share = this.share(team);
-    const use = this.uses()(team);
+    const use = this.currentUse()(team);
     return [share[0] - use[0], share[1] - use[1]];
   }
 
-  /** Whether a job may not start now, because its team's limit is reserved for a large job that waits for too long. */
+  /** Whether a job must not start now because its team's quota is reserved for an overdue large job. */
   isHeldBack(job: JobRun): boolean {
     return this.reservations.isHeldBack(job);
   }
 
-  /** By team: what it may still use in this partition, a fresh copy. */
+  /** Unused quota in this partition, by team; a new copy. */
   headroom(): Map<string, ResourceUse> {
-    const useOf = this.uses();
+    const useOf = this.currentUse();
     const headroom = new Map<string, ResourceUse>();
     for (const team of this.context.settings.teams.keys()) {
       const share = this.share(team);
@@ -137,22 +137,19 @@
     return headroom;
   }
 
-  /**
-   * What another partition has of a team's limit and does not use, as far as it is known; Infinity: no limit, or it can't be
-   * judged.
-   */
+  /** Unused quota of a team in another partition, as last published; Infinity if it is unlimited or not known. */
   spareAt(partition: string, team: string): ResourceAmounts {
     const entry = this.entry(team);
     const rows = this.context.cache.capacities.get(partition)?.teams;
     return perDimension((dimension) => {
       if (!entry || !rows || entry.cap[dimension] === Infinity) return Infinity;
-      const part = entry.shares[partition]?.[dimension] ?? 0;
-      return Math.max(0, part - (rows.get(team)?.use[dimension] ?? 0));
+      const share = entry.shares[partition]?.[dimension] ?? 0;
+      return Math.max(0, share - (rows.get(team)?.use[dimension] ?? 0));
     });
   }
 
-  /** The use of each team, as it is now. */
-  private uses(): (team: string) => ResourceAmounts {
+  /** Returns a lookup of each team's current use, including tasks that may be running. */
+  private currentUse(): (team: string) => ResourceAmounts {
     const usage = this.state.usage();
     return (team) => {
       const use = usage.get(team);
@@ -160,9 +157,9 @@
     };
   }
 
-  // ---- what is wanted --------------------------------------------------------------------------------------
+  // ---- demand ----------------------------------------------------------------------------------------------
 
-  /** What waits here of a team and has a place, now or to be rented. */
+  /** Need of a team's waiting tasks that have a slot, or can get one on a machine to be rented. */
   waiting(team: string): ResourceAmounts {
     const sum: ResourceAmounts = [0, 0];
     for (const { need } of this.quotaDemand.waitingOf(team)) {
@@ -172,10 +169,10 @@
     return sum;
   }
 
-  /** What is published of the teams with this partition's capacity. */
+  /** The per-team rows of this partition's capacity record. */
   rows(): QuotaReport {
     const report: QuotaReport = { teams: new Map(), wants: new Map() };
-    const useOf = this.uses();
+    const useOf = this.currentUse();
     for (const team of this.context.settings.teams.values()) {
       const { name } = team;
       const demand = this.demand(name, useOf(name));
@@ -199,20 +196,20 @@
     return report;
   }
 
-  /** During a failover: no more than what the former leader could have started. */
+  /** Possible use during a failover: limited to the share, because the former leader could not have started more. */
   private boundedUse(team: Team, use: ResourceAmounts): ResourceAmounts {
-    const part = this.entry(team.name)?.shares[this.state.partition];
+    const share = this.entry(team.name)?.shares[this.state.partition];
     const limit = limitOf(team);
     return perDimension((dimension) => {
-      const isLimited = part && Number.isFinite(limit[dimension]);
+      const isLimited = share && Number.isFinite(limit[dimension]);
       return Math.min(
         use[dimension],
-        isLimited ? Math.max(part[dimension], 0) : UNLIMITED_USE,
+        isLimited ? Math.max(share[dimension], 0) : UNLIMITED_USE,
       );
     });
   }
 
-  /** What this partition could use of a team beyond its part; null: nothing. */
+  /** Demand of this partition for a team's quota beyond its share; null if there is none. */
   private demand(team: string, use: ResourceAmounts): PartitionDemand | null {
     const waiting = this.quotaDemand.waitingOf(team);
     if (waiting.length === 0) return null;
@@ -222,13 +219,13 @@
         ...demand,
         backfill: this.reservations.inForce(team)
           ? undefined
-          : this.backfill.target(team)?.lacks,
-        reservation: this.reservations.published(team),
+          : this.backfill.target(team)?.missing,
+        reservation: this.reservations.reservationToPublish(team),
       }
     );
   }
 
-  /** What other partitions have idle of a team, as they last published it. */
+  /** Idle quota of a team in other partitions, as last published. */
   private idleElsewhere(team: string): ResourceAmounts {
     const sum: ResourceAmounts = [0, 0];
     for (const [partition, { teams }] of this.context.cache.capacities) {
@@ -252,8 +249,8 @@
     return demands;
   }
 
-  /** What other partitions want, as they last published it. */
-  private othersDemands(): Map<string, ReadonlyMap<string, PartitionDemand>> {
+  /** Demands of other partitions, as last published. */
+  private otherDemands(): Map<string, ReadonlyMap<string, PartitionDemand>> {
     const demands = new Map<string, ReadonlyMap<string, PartitionDemand>>();
     for (const [partition, capacity] of this.context.cache.capacities) {
       if (partition === this.state.partition) continue;
@@ -266,10 +263,10 @@
     return demands;
   }
 
-  // ---- changes of the records --------------------------------------------------------------------------------
+  // ---- changes to the records --------------------------------------------------------------------------------
 
-  /** `agreed`: every live controller goes by the same limits as this one. */
-  tick(agreed: boolean): void {
+  /** `limitsAgreed`: whether every live controller has the same limits in its settings as this one. */
+  tick(limitsAgreed: boolean): void {
     this.backfill.update(this.context.settings.teams.keys());
     if (this.pendingChange) {
       if (!this.pendingChange.isSettled()) {
@@ -281,7 +278,7 @@
     }
     if (this.context.nowMs < this.nextPlanMs) return;
     const removedTokens = this.removedPartitions();
-    const plan = planQuotas(this.situation(agreed, removedTokens));
+    const plan = planQuotas(this.situation(limitsAgreed, removedTokens));
     if (!plan) return;
     this.nextPlanMs = this.context.nowMs + TRANSFER_INTERVAL_MS;
     this.pendingChange = new QuotaChange(
@@ -290,7 +287,7 @@
       plan,
       removedTokens,
     );
-    this.pendingChange.logPlanned(agreed);
+    this.pendingChange.logPlanned(limitsAgreed);
     this.send(this.pendingChange);
   }
 
@@ -301,11 +298,11 @@
   }
 
   private situation(
-    agreed: boolean,
+    limitsAgreed: boolean,
     removedTokens: ReadonlyMap<string, number>,
   ): QuotaSituation {
     const { settings, tuning, cache, partitions } = this.context;
-    const useOf = this.uses();
+    const useOf = this.currentUse();
     return {
       partition: this.state.partition,
       partitions: partitions.names,
@@ -316,49 +313,54 @@
       use: useOf,
       confirmedUse: (team) => this.confirmedUse(team),
       ownDemands: this.ownDemands(useOf),
-      otherDemands: this.othersDemands(),
-      needAheadOf: (team, sinceMs, partition, now) =>
-        this.needBefore(team, sinceMs, partition, now),
+      otherDemands: this.otherDemands(),
+      needAheadOf: (team, queueOrderMs, partition, isStartable) =>
+        this.needAheadOf(team, queueOrderMs, partition, isStartable),
       lendable: (team) => this.backfill.lendable(team),
-      keptForBackfill: (team) => this.backfill.kept(team),
+      keptForBackfill: (team) => this.backfill.keptForBackfill(team),
       reservation: (team) => this.reservations.inForce(team),
       keptForOverdueJob: (team, reservation) =>
-        this.reservations.keptFrom(team, reservation),
-      limitsAgreed: agreed,
+        this.reservations.keptForOverdueJob(team, reservation),
+      limitsAgreed,
       removedPartitions: new Set(removedTokens.keys()),
-      // The version before takes an equal part of what the first record does not name, so elsewhere nothing may move
-      // while one of its controllers can come back.
+      // The previous version reads the main record only, and assumes equal shares for teams that are not in it. Shares in other
+      // records must not be transferred while one of its controllers may come back.
       mayMoveShares: (key) => key === QUOTA_KEY || tuning.dividedLimits,
     };
   }
 
-  /** What surely runs of a team; null during a failover, when it is not known yet. */
+  /** What a team certainly uses in this partition; null during a failover, when it is not known. */
   private confirmedUse(team: string): ResourceAmounts | null {
     if (this.state.isFenced) return null;
     const unconfirmed = this.state.ledger.unconfirmedUseOfTeam(team);
-    const unshown = this.state.useReportedUnderOtherTokens(team);
+    const underOtherTokens = this.state.useReportedUnderOtherTokens(team);
     const use = this.state.ledger.useOfTeam(team);
     return [
-      use.cpus - unconfirmed.cpus - unshown.cpus,
-      use.gpus - unconfirmed.gpus - unshown.gpus,
+      use.cpus - unconfirmed.cpus - underOtherTokens.cpus,
+      use.gpus - unconfirmed.gpus - underOtherTokens.gpus,
     ];
   }
 
-  /** What the own waiting tasks that come before such a demand of another partition are going to use. */
-  private needBefore(
+  /** See `QuotaSituation.needAheadOf`. */
+  private needAheadOf(
     team: string,
-    sinceMs: number,
+    takerQueueOrderMs: number,
     partition: string,
-    now: boolean,
+    isTakerStartable: boolean,
   ): ResourceAmounts {
     const sum: ResourceAmounts = [0, 0];
-    for (const { need, turnMs, isStartable } of this.quotaDemand.waitingOf(
-      team,
-    )) {
-      const isOlder =
-        turnMs < sinceMs ||
-        (turnMs === sinceMs && this.state.partition < partition);
-      const comesBefore = now ? isStartable && isOlder : isStartable || isOlder;
+    for (const {
+      need,
+      queueOrderMs,
+      isStartable,
+    } of this.quotaDemand.waitingOf(team)) {
+      const isEarlier =
+        queueOrderMs < takerQueueOrderMs ||
+        (queueOrderMs === takerQueueOrderMs &&
+          this.state.partition < partition);
+      const comesBefore = isTakerStartable
+        ? isStartable && isEarlier
+        : isStartable || isEarlier;
       if (!comesBefore) continue;
       sum[0] += need[0];
       sum[1] += need[1];
@@ -367,17 +369,17 @@
   }
 
   /**
-   * Partitions that the settings do not name and that have a part still, once nothing of theirs can run; with the tokens that
-   * say so.
+   * Partitions that are no longer in the settings but still have a share, once none of their tasks can be running; with the
+   * fencing tokens under which they have no leader.
    */
   private removedPartitions(): Map<string, number> {
     const removed = new Map<string, number>();
     for (const { shares } of this.context.cache.quotaRecords.values())
-      for (const [team, parts] of Object.entries(shares)) {
+      for (const [team, teamShares] of Object.entries(shares)) {
         if (team === CAPS_NAME) continue;
-        for (const [partition, part] of Object.entries(parts)) {
+        for (const [partition, share] of Object.entries(teamShares)) {
           const isNamed = this.context.partitions.names.includes(partition);
-          if (isNamed || !isAnyPositive(part)) continue;
+          if (isNamed || !isAnyPositive(share)) continue;
           const token = this.context.leaderlessToken(partition);
           if (token !== null) removed.set(partition, token);
         }
--- a/src/coordination/quota/quota-backfill.ts
+++ b/src/coordination/quota/quota-backfill.ts
@@ -1,6 +1,6 @@
 /**
- * Backfill of what is idle of a team's limit: a partition whose waiting tasks are all too large for what it has left lends it to
- * partitions whose tasks fit. Owns no state. Design: docs/design/limits.md.
+ * Backfill of idle quota: a partition whose waiting tasks are all too large for its remaining quota lends this to partitions with
+ * tasks that fit. Design: docs/design/limits.md.
  */
 import type { Clock } from "../context.js";
 import { EPSILON } from "../scheduling/placement.js";
@@ -14,29 +14,29 @@
   roundUpToHundredth,
 } from "./resource-amounts.js";
 
-/** What the first tasks that idle parts of the limit elsewhere are enough for need of it, and what of that is missing here. */
+/** What the first tasks need that could start with idle quota of other partitions, and how much of it is missing here. */
 export interface BackfillTarget {
   need: ResourceAmounts;
-  lacks: ResourceAmounts;
+  missing: ResourceAmounts;
 }
 
-/** Free quota counts as idle once nothing that waits could use it for so long: what is about to start still has its turn. */
-const IDLE_BEFORE_LENDING_MS = 5_000;
-/** Borrowed quota is kept for so long, in which a machine is rented and boots. */
+/** Free quota counts as idle once no waiting task could use it for this long, so that tasks about to start can still use it. */
+const MIN_IDLE_BEFORE_LENDING_MS = 5_000;
+/** How long borrowed quota is kept for the tasks that it was requested for: long enough to rent and boot a machine. */
 const KEEP_BORROWED_MS = 60_000;
 
-/** What a partition knows of its own quota of a team. */
+/** A partition's quota of a team, and the tasks that wait for it. */
 interface OwnQuota {
   waiting: readonly WaitingTasks[];
   free: Readonly<ResourceAmounts>;
-  /** What other partitions have idle, as they last published it. */
+  /** Idle quota of other partitions, as last published. */
   idleElsewhere: Readonly<ResourceAmounts>;
 }
 
-/** Lending and borrowing of a partition, by team. Owns since when its quota is idle, and what it last asked for. */
+/** A partition's lending and borrowing, by team. Owns since when its quota is idle, and its last request for idle quota. */
 export class QuotaBackfill {
   private readonly idleSinceMs = new Map<string, number>();
-  private readonly asked = new Map<
+  private readonly lastTargets = new Map<
     string,
     { need: ResourceAmounts; atMs: number }
   >();
@@ -46,73 +46,79 @@
     private readonly ownQuota: (team: string) => OwnQuota,
   ) {}
 
-  /** Called a few times a second: notes since when quota of these teams is idle. */
+  /** Records since when quota of these teams is idle; called a few times per second. */
   update(teams: Iterable<string>): void {
     for (const team of teams)
-      if (!isAnyPositive(this.idle(team))) this.idleSinceMs.delete(team);
+      if (!isAnyPositive(this.idleNow(team))) this.idleSinceMs.delete(team);
       else if (!this.idleSinceMs.has(team))
         this.idleSinceMs.set(team, this.context.nowMs);
   }
 
-  private idle(team: string): ResourceAmounts {
+  private idleNow(team: string): ResourceAmounts {
     const { waiting, free } = this.ownQuota(team);
     return waiting.length === 0 ? [0, 0] : idleAmounts(waiting, free);
   }
 
-  /** What has been idle for long enough. */
+  /** Quota that has been idle for long enough to be lent. */
   lendable(team: string): ResourceAmounts {
     const sinceMs = this.idleSinceMs.get(team);
-    const isIdle =
+    const isLendable =
       sinceMs !== undefined &&
-      this.context.nowMs - sinceMs >= IDLE_BEFORE_LENDING_MS;
-    return isIdle ? this.idle(team) : [0, 0];
+      this.context.nowMs - sinceMs >= MIN_IDLE_BEFORE_LENDING_MS;
+    return isLendable ? this.idleNow(team) : [0, 0];
   }
 
-  /** What this partition asks for; null: nothing that waits here would be completed by it. */
+  /** The idle quota that this partition requests; null if no task waiting here could start with it. */
   target(team: string): BackfillTarget | null {
     const { waiting, free, idleElsewhere } = this.ownQuota(team);
     const target = backfillTarget(waiting, free, idleElsewhere);
     if (target)
-      this.asked.set(team, { need: target.need, atMs: this.context.nowMs });
+      this.lastTargets.set(team, {
+        need: target.need,
+        atMs: this.context.nowMs,
+      });
     return target;
   }
 
-  /** What of the free quota is kept for the work that it was asked for, though older work elsewhere wants it and can't use it. */
-  kept(team: string): ResourceAmounts {
+  /** Free quota kept for the tasks that it was requested for, even if older tasks elsewhere demand it but can't use it. */
+  keptForBackfill(team: string): ResourceAmounts {
     const target = this.target(team);
     if (target) return target.need;
-    const asked = this.asked.get(team);
-    if (!asked || this.context.nowMs - asked.atMs > KEEP_BORROWED_MS)
+    const lastTarget = this.lastTargets.get(team);
+    if (!lastTarget || this.context.nowMs - lastTarget.atMs > KEEP_BORROWED_MS)
       return [0, 0];
     const { waiting, free } = this.ownQuota(team);
-    const { left } = startWithin(waiting, free);
+    const { remaining } = simulateStarts(waiting, free);
     return perDimension((dimension) =>
       Number.isFinite(free[dimension])
         ? Math.max(
             0,
-            Math.min(asked.need[dimension], free[dimension] - left[dimension]),
+            Math.min(
+              lastTarget.need[dimension],
+              free[dimension] - remaining[dimension],
+            ),
           )
         : 0,
     );
   }
 }
 
-/** What is left of `free` once all waiting tasks that it is enough for have started. */
+/** What remains of `free` after all waiting tasks that fit into it have started. */
 export function idleAmounts(
   waiting: readonly WaitingTasks[],
   free: Readonly<ResourceAmounts>,
 ): ResourceAmounts {
-  const { left } = startWithin(waiting, free);
+  const { remaining } = simulateStarts(waiting, free);
   return perDimension((dimension) =>
-    Number.isFinite(left[dimension])
-      ? Math.max(0, roundDownToHundredth(left[dimension]))
+    Number.isFinite(remaining[dimension])
+      ? Math.max(0, roundDownToHundredth(remaining[dimension]))
       : 0,
   );
 }
 
 /**
- * The first startable tasks, by turn, that what is free here and idle elsewhere is enough for together, as many of one job as it is
- * enough for; null: there are none.
+ * The first startable tasks in queue order that free quota here and idle quota elsewhere suffice for together, and as many tasks of
+ * that job as they suffice for; null if there are none.
  */
 export function backfillTarget(
   waiting: readonly WaitingTasks[],
@@ -121,43 +127,43 @@
 ): BackfillTarget | null {
   if (!DIMENSIONS.some((dimension) => idleElsewhere[dimension] > EPSILON))
     return null;
-  const { left, started } = startWithin(waiting, free);
+  const { remaining, started } = simulateStarts(waiting, free);
   const reachable = perDimension(
-    (dimension) => Math.max(0, left[dimension]) + idleElsewhere[dimension],
+    (dimension) => Math.max(0, remaining[dimension]) + idleElsewhere[dimension],
   );
   for (const [index, tasks] of waiting.entries()) {
     const { unit, isStartable, isPartOfGang } = tasks;
-    // The quota for one part of a gang starts nothing without the others.
-    if (!isStartable || isPartOfGang || fitCount(unit, left) > 0) continue;
-    const unitsLeft = tasks.units - (started[index] ?? 0);
-    const units = Math.min(unitsLeft, fitCount(unit, reachable));
+    // Quota for one part of a spread gang is of no use without the other parts.
+    if (!isStartable || isPartOfGang || fitCount(unit, remaining) > 0) continue;
+    const remainingUnits = tasks.units - (started[index] ?? 0);
+    const units = Math.min(remainingUnits, fitCount(unit, reachable));
     if (units <= 0) continue;
     const need = perDimension((dimension) => unit[dimension] * units);
-    const lacks = perDimension((dimension) =>
-      Math.max(0, roundUpToHundredth(need[dimension] - left[dimension])),
+    const missing = perDimension((dimension) =>
+      Math.max(0, roundUpToHundredth(need[dimension] - remaining[dimension])),
     );
-    return { need, lacks };
+    return { need, missing };
   }
   return null;
 }
 
-/** Starts what `free` is enough for, in the order of turns: how many units of each, and what is left. */
-function startWithin(
+/** Simulates starting, in queue order, all tasks that fit into `free`: units started of each, and what remains. */
+function simulateStarts(
   waiting: readonly WaitingTasks[],
   free: Readonly<ResourceAmounts>,
-): { started: number[]; left: ResourceAmounts } {
-  const left: ResourceAmounts = [free[0], free[1]];
+): { started: number[]; remaining: ResourceAmounts } {
+  const remaining: ResourceAmounts = [free[0], free[1]];
   const started = waiting.map(({ unit, units, isStartable, isPartOfGang }) => {
     if (!isStartable || isPartOfGang) return 0;
-    const starting = Math.min(units, fitCount(unit, left));
+    const starting = Math.min(units, fitCount(unit, remaining));
     for (const dimension of DIMENSIONS)
-      left[dimension] -= unit[dimension] * starting;
+      remaining[dimension] -= unit[dimension] * starting;
     return starting;
   });
-  return { started, left };
+  return { started, remaining };
 }
 
-/** How many units fit into these amounts. */
+/** Number of units that fit into these amounts. */
 function fitCount(
   unit: Readonly<ResourceAmounts>,
   amounts: Readonly<ResourceAmounts>,
--- a/src/coordination/quota/quota-change.ts
+++ b/src/coordination/quota/quota-change.ts
@@ -1,6 +1,6 @@
 /**
- * One change of the quota records that this partition has under way, until the records show how it ended. Owns the transaction
- * and what is reserved for it. Design: docs/design/limits.md.
+ * A pending change to the quota records, until the records show whether it was applied. Owns the transaction and the quota that
+ * it releases. Design: docs/design/limits.md.
  */
 import { partitionKey, type QuotaShares } from "../../storage/records.js";
 import type { Context, TransactionOutcome } from "../context.js";
@@ -11,14 +11,14 @@
 import type { QuotaEntry } from "./quota-records.js";
 import type { ResourceAmounts } from "./resource-amounts.js";
 
-/** Revisions that a change depends on. */
+/** Revisions that a change is conditional on. */
 interface ChangeBase {
   records: [key: string, version: number][];
-  /** Partitions that no settings name, with the token under which they have no leader. */
+  /** Partitions that are no longer in the settings, with the fencing token under which they have no leader. */
   removedPartitions: [partition: string, token: number][];
 }
 
-/** Carries out one plan: a transaction that is conditional on every record it replaces. */
+/** Commits one plan in a transaction that is conditional on every record that it replaces. */
 export class QuotaChange {
   private readonly transfer: PendingTransfer<
     ChangeBase,
@@ -26,7 +26,7 @@
   >;
   private readonly priority: CallPriority;
 
-  /** `removedTokens`: the tokens of removed partitions, which the plan may rest on. */
+  /** `removedTokens`: fencing tokens of removed partitions; the change is conditional on those whose shares the plan reclaims. */
   constructor(
     private readonly context: Context,
     private readonly state: PartitionState,
@@ -42,23 +42,25 @@
     };
     this.transfer = new PendingTransfer(base, plan.writes);
     this.priority =
-      plan.caps.length > 0 ? CallPriority.Leader : CallPriority.Background;
+      plan.teamsWithNewCap.length > 0
+        ? CallPriority.Leader
+        : CallPriority.Background;
   }
 
-  /** What of a team's limit it gives away. */
-  reservedOf(team: string): ResourceAmounts {
-    const reserved = this.plan.released.get(team);
-    return reserved ? [reserved[0], reserved[1]] : [0, 0];
+  /** How much of a team's quota this change releases. */
+  releasedOf(team: string): ResourceAmounts {
+    const released = this.plan.released.get(team);
+    return released ? [released[0], released[1]] : [0, 0];
   }
 
-  /** Whether the records show how it ended. */
+  /** Whether a record has changed since, which shows whether this change was applied. */
   isSettled(): boolean {
     return this.transfer.baseRevision.records.some(
       ([key, version]) => this.versionOf(key) !== version,
     );
   }
 
-  /** Sends the transaction, again after a refusal; `onNotApplied`: it was surely not carried out. */
+  /** Sends the transaction, or sends it again after a refusal. `onNotApplied` is called if it was certainly not applied. */
   send(onNotApplied: () => void): void {
     this.transfer.send(
       (base, writes, done) => this.commit(base, writes, done),
@@ -92,7 +94,7 @@
 
   // ---- log -------------------------------------------------------------------------------------------------
 
-  logPlanned(agreed: boolean): void {
+  logPlanned(limitsAgreed: boolean): void {
     for (const { team, to, amounts: give, reason } of this.plan.transfers)
       this.context.log("transferring quota to another partition", {
         team,
@@ -101,13 +103,13 @@
         gpus: give[1],
         reason,
       });
-    for (const team of this.plan.caps)
-      this.context.log("writing team quota", { team, agreed });
+    for (const team of this.plan.teamsWithNewCap)
+      this.context.log("writing team quota", { team, agreed: limitsAgreed });
     for (const partition of this.plan.removedPartitions)
       this.context.log("reclaiming quota of removed partition", { partition });
   }
 
-  /** `entryOf`: what is written of a team now. */
+  /** `entryOf`: the team's current entry in the records. */
   logSettled(entryOf: (team: string) => QuotaEntry | null): void {
     this.context.log("quota change settled", {
       partition: this.state.partition,
--- a/src/coordination/quota/quota-demand.ts
+++ b/src/coordination/quota/quota-demand.ts
@@ -1,6 +1,6 @@
 /**
- * Which waiting tasks of a partition ask for parts of their teams' limits. Owns the list by team, recomputed from the jobs
- * and machines a few times a second.
+ * Waiting tasks of a partition that need quota of their teams. Owns the list of these by team, which is recomputed from the jobs
+ * and machines a few times per second.
  */
 import type { Context } from "../context.js";
 import type { JobSpec } from "../model.js";
@@ -19,60 +19,60 @@
 import { freeOn, type JobRun } from "../machines/worker-state.js";
 import type { ResourceAmounts } from "./resource-amounts.js";
 
-/** Tasks of one job that wait for a part of a limit. */
+/** Waiting tasks of one job that need quota. */
 export interface WaitingTasks {
-  /** What they take together. */
+  /** What all of them need together. */
   need: ResourceAmounts;
-  /** Whose turn it is, as the queues have it: a time of day, in whole ms. */
-  turnMs: number;
-  /** Time of day, in ms, since which they could run. */
+  /** Place in the queue order: a time of day, in whole ms. */
+  queueOrderMs: number;
+  /** When the job became ready, in ms since the epoch. */
   readyAt: number;
-  /** They have a place at once, or have waited for so long that they count as if they had. */
+  /** Whether they have free slots, or have waited for so long that they count as if they had. */
   isStartable: boolean;
-  /** What has to start at once: one task, or a whole gang. */
+  /** What has to start together: the need of one task, or of a whole gang. */
   unit: ResourceAmounts;
-  /** How many of these wait. */
+  /** Number of waiting units. */
   units: number;
-  /** The part of a gang whose other parts, in other partitions, have to start with it. */
+  /** Whether they belong to a gang that is spread over partitions and must start in all of them together. */
   isPartOfGang: boolean;
 }
 
-/** What jobs that ask for nearly the same find; `placesNow` shrinks as jobs take of it. */
-interface PlacesOfKind {
-  hasPlace: boolean;
-  placesNow: number;
+/** Slots for jobs with nearly equal requirements; `freeSlots` decreases as jobs are assigned to them. */
+interface SlotsOfKind {
+  canGetSlot: boolean;
+  freeSlots: number;
 }
 
-/** The waiting tasks are looked at anew no more often than this. */
+/** Minimum interval between recomputations of the list. */
 const RECOMPUTE_INTERVAL_MS = 300;
 /**
- * Who has waited for this long comes before younger work that has a place already, though its own place is yet to be
- * rented: a stream of small jobs would keep a part of the limit from it for ever.
+ * Tasks that have waited for this long count as startable, although their machines are yet to be rented. Otherwise a stream of
+ * small jobs with free slots could keep quota from them forever.
  */
-const AGED_MS = 20_000;
-/** Tasks of an array whose places are yet to be rented ask for so much at once: the rest will ask as these start. */
-const MAX_TASKS_TO_COME = 20;
-/** The oldest waiting jobs of a team that are looked at. */
+const STARTABLE_AFTER_MS = 20_000;
+/** At most this many tasks of an array demand quota for machines yet to be rented; the rest follow as these start. */
+const MAX_TASKS_WITHOUT_SLOT = 20;
+/** Jobs of each team that are considered, in queue order. */
 const MAX_JOBS_PER_TEAM = 100;
-/** Jobs whose memory lies in the same step of this size share one look at the machines. */
+/** Jobs whose memory requirements round up to the same multiple of this share one count of slots. */
 const MEMORY_STEP_GB = 8;
 
 /**
- * What waits here of each team, whether it has a place, and since when. Work without any place, now or to be rented,
- * wants nothing: a part of a limit that it had would be kept from others for nothing.
+ * The waiting tasks of each team that have a slot, or can get one on a machine to be rented. Tasks that can't get a slot demand no
+ * quota: it would be withheld from other partitions without being used.
  */
 export class QuotaDemand {
   private computedMs = -Infinity;
   private byTeam = new Map<string, WaitingTasks[]>();
 
-  /** `hasPlace`: whether the partition has, or may get, a machine with free resources for a task of such a job. */
+  /** `canGetSlot`: whether the partition has, or can rent, a machine with free resources for a task of such a job. */
   constructor(
     private readonly context: Context,
     private readonly state: PartitionState,
-    private readonly hasPlace: (spec: JobSpec) => boolean,
+    private readonly canGetSlot: (spec: JobSpec) => boolean,
   ) {}
 
-  /** In the order of their turns. */
+  /** Waiting tasks of a team, in queue order. */
   waitingOf(team: string): readonly WaitingTasks[] {
     if (this.context.nowMs - this.computedMs >= RECOMPUTE_INTERVAL_MS)
       this.recompute();
@@ -82,71 +82,73 @@
   private recompute(): void {
     this.computedMs = this.context.nowMs;
     this.byTeam = new Map();
-    const kinds = new Map<string, PlacesOfKind>();
+    const kinds = new Map<string, SlotsOfKind>();
     const jobCounts = new Map<string, number>();
-    for (const job of this.jobsByTurn()) {
+    for (const job of this.jobsInQueueOrder()) {
       const { spec } = job.view;
       const jobCount = (jobCounts.get(spec.team) ?? 0) + 1;
       jobCounts.set(spec.team, jobCount);
-      // The limit of a team that the settings don't name is never short.
+      // A team that is not in the settings has no quota to demand.
       const team = this.context.settings.teams.get(spec.team);
       if (!team || jobCount > MAX_JOBS_PER_TEAM || !canBeginUnder(team, spec))
         continue;
-      const places = this.placesOfKind(spec, kinds);
-      if (places.hasPlace || places.placesNow > 0) this.addJob(job, places);
+      const slots = this.slotsOfKind(spec, kinds);
+      if (slots.canGetSlot || slots.freeSlots > 0) this.addJob(job, slots);
     }
   }
 
-  private jobsByTurn(): JobRun[] {
+  private jobsInQueueOrder(): JobRun[] {
     return [...this.state.jobs.values()]
       .filter((job) => this.state.mayStart(job) && !job.pendingTransfer)
       .sort(
-        (a, b) => this.turnOf(a) - this.turnOf(b) || (a.id < b.id ? -1 : 1),
+        (first, second) =>
+          this.queueOrderOf(first) - this.queueOrderOf(second) ||
+          (first.id < second.id ? -1 : 1),
       );
   }
 
-  /** Parts of a limit go where the queues go, in every partition: to the one that could start what comes first next. */
-  private turnOf(job: JobRun): number {
+  /** The order of the scheduling queues, so that quota goes to the partition whose job is next across all partitions. */
+  private queueOrderOf(job: JobRun): number {
     const { readyAt, spec } = job.view;
     return this.context.tuning.fleetOrder
       ? queueOrderMs(readyAt, spec, this.state.unfinishedTasks(job))
       : readyAt;
   }
 
-  private placesOfKind(
+  private slotsOfKind(
     spec: JobSpec,
-    kinds: Map<string, PlacesOfKind>,
-  ): PlacesOfKind {
-    const short = isShort(spec, this.context.tuning);
-    const key = kindKeyOf(spec, short);
+    kinds: Map<string, SlotsOfKind>,
+  ): SlotsOfKind {
+    const isShortJob = isShort(spec, this.context.tuning);
+    const key = kindKeyOf(spec, isShortJob);
     let kind = kinds.get(key);
     if (!kind) {
       kind = {
-        hasPlace: this.hasPlace(spec),
-        placesNow: this.countPlacesNow(spec, short),
+        canGetSlot: this.canGetSlot(spec),
+        freeSlots: this.countFreeSlots(spec, isShortJob),
       };
       kinds.set(key, kind);
     }
     return kind;
   }
 
-  private addJob(job: JobRun, places: PlacesOfKind): void {
+  private addJob(job: JobRun, slots: SlotsOfKind): void {
     const { spec, readyAt } = job.view;
     const waiting = job.waiting.size;
-    const isWhole = startsWhole(spec) || spec.kind === "service";
-    const fitting =
-      isWhole && places.placesNow < waiting
+    const startsTogether = startsWhole(spec) || spec.kind === "service";
+    const withSlot =
+      startsTogether && slots.freeSlots < waiting
         ? 0
-        : Math.min(waiting, places.placesNow);
-    places.placesNow -= fitting;
-    const isAged = this.context.wallMs - readyAt > AGED_MS;
-    if (isWhole) {
-      this.addTasks(job, waiting, fitting === waiting || isAged);
+        : Math.min(waiting, slots.freeSlots);
+    slots.freeSlots -= withSlot;
+    const isAged = this.context.wallMs - readyAt > STARTABLE_AFTER_MS;
+    if (startsTogether) {
+      this.addTasks(job, waiting, withSlot === waiting || isAged);
       return;
     }
-    const toCome = Math.min(waiting - fitting, MAX_TASKS_TO_COME);
-    this.addTasks(job, fitting + (isAged ? toCome : 0), true);
-    if (!isAged) this.addTasks(job, toCome, false);
+    const withoutSlot = Math.min(waiting - withSlot, MAX_TASKS_WITHOUT_SLOT);
+    this.addTasks(job, withSlot + (isAged ? withoutSlot : 0), true);
+    if (!isAged) this.addTasks(job, withoutSlot, false);
   }
 
   private addTasks(job: JobRun, taskCount: number, isStartable: boolean): void {
@@ -160,9 +162,9 @@
     }
     list.push({
       need: [spec.cpus * taskCount, spec.gpus * taskCount],
-      // Whole milliseconds, as they are published: two partitions that saw the same time differently each took the other to
-      // be first, and neither took what nobody had.
-      turnMs: Math.round(this.turnOf(job)),
+      // Whole milliseconds, as published: when two partitions had different values of the same time, each could take the other
+      // to be first, and neither took the unassigned quota.
+      queueOrderMs: Math.round(this.queueOrderOf(job)),
       readyAt,
       isStartable,
       unit: [spec.cpus * unitTasks, spec.gpus * unitTasks],
@@ -171,12 +173,15 @@
     });
   }
 
-  /** Whether all tasks of the job that have to start at once have a place, now or to be rented, whoever else may use it. */
+  /** Whether all tasks that have to start together can get slots, free or on machines to be rented, regardless of other jobs. */
   canBePlaced(job: JobRun): boolean {
     const { spec } = job.view;
-    if (this.hasPlace(spec)) return true;
-    const places = this.placesByZone(spec, isShort(spec, this.context.tuning));
-    const inZones = [...places.values()].map((count) =>
+    if (this.canGetSlot(spec)) return true;
+    const slotsByZone = this.freeSlotsByZone(
+      spec,
+      isShort(spec, this.context.tuning),
+    );
+    const inZones = [...slotsByZone.values()].map((count) =>
       Math.min(count, maxTasksPerZone(spec)),
     );
     const total = spec.samePlace
@@ -185,36 +190,39 @@
     return total >= (spec.kind === "gang" ? job.waiting.size : 1);
   }
 
-  /** Tasks of such a job that would start at once if the limit let them; with `samePlace` in the best zone. */
-  private countPlacesNow(spec: JobSpec, short: boolean): number {
-    const places = [...this.placesByZone(spec, short).values()];
+  /** Number of tasks of such a job that could start at once if quota allowed it; with `samePlace`, in the best zone. */
+  private countFreeSlots(spec: JobSpec, isShortJob: boolean): number {
+    const slotCounts = [...this.freeSlotsByZone(spec, isShortJob).values()];
     return spec.samePlace
-      ? Math.max(0, ...places)
-      : places.reduce((sum, count) => sum + count, 0);
+      ? Math.max(0, ...slotCounts)
+      : slotCounts.reduce((sum, count) => sum + count, 0);
   }
 
-  private placesByZone(spec: JobSpec, short: boolean): Map<string, number> {
+  private freeSlotsByZone(
+    spec: JobSpec,
+    isShortJob: boolean,
+  ): Map<string, number> {
     const { usable, reserved } = this.state.usableWorkers();
-    const placesByZone = new Map<string, number>();
+    const slotsByZone = new Map<string, number>();
     for (const worker of usable) {
       const { id, type, typeName, zone, spot } = worker;
       if (
-        (!short && reserved.has(id)) ||
+        (!isShortJob && reserved.has(id)) ||
         this.state.isReservedForOther(worker) ||
         !isAllowedOn(spec, typeName, zone, spot) ||
         !isSuitable(spec, type, spot, this.context.catalog)
       )
         continue;
-      const places = placesByZone.get(zone) ?? 0;
-      placesByZone.set(zone, places + fitCount(spec, freeOn(worker)));
+      const slots = slotsByZone.get(zone) ?? 0;
+      slotsByZone.set(zone, slots + fitCount(spec, freeOn(worker)));
     }
-    return placesByZone;
+    return slotsByZone;
   }
 }
 
 /**
- * Whether the job can begin under the team's present limit. One that was accepted under a larger limit may not, and what it
- * waited for would be kept from all others.
+ * Whether the team's current limit is enough for the job to begin. It may not be if the job was accepted under a larger limit;
+ * quota reserved for such a job would be withheld from all others without being used.
  */
 export function canBeginUnder(team: Team, spec: JobSpec): boolean {
   const minTasks = spec.kind === "array" ? 1 : spec.tasks;
@@ -224,8 +232,8 @@
   );
 }
 
-/** Jobs whose amounts differ by little share one look at the machines. */
-const kindKeyOf = (spec: JobSpec, short: boolean): string =>
+/** Jobs whose requirements differ only slightly share one count of slots. */
+const kindKeyOf = (spec: JobSpec, isShortJob: boolean): string =>
   JSON.stringify([
     Math.ceil(spec.cpus),
     spec.gpus,
@@ -234,5 +242,5 @@
     spec.zone,
     spec.spot,
     spec.samePlace,
-    short,
+    isShortJob,
   ]);
--- a/src/coordination/quota/quota-plan.ts
+++ b/src/coordination/quota/quota-plan.ts
@@ -1,6 +1,6 @@
 /**
- * Plans what a partition writes next of the teams' limits, as a pure function of what it knows: the verification model and the
- * partition leader run the same code. Owns no state.
+ * Plans the next change to the quota records as a pure function, which the partition leader and the verification model both
+ * call. Owns no state.
  */
 import type { Team } from "../../config/settings.js";
 import { rewriteRecords } from "./quota-record-writer.js";
@@ -10,8 +10,8 @@
 import { perDimension, roundDownToHundredth } from "./resource-amounts.js";
 
 /**
- * What this partition writes next of the teams' limits; null: all is as it should be. One plan carries all its changes:
- * several teams, several takers, limits that were raised or lowered, parts of partitions that are gone.
+ * The next change to the quota records; null if none is needed. One plan combines all changes: transfers of several teams' quota
+ * to several partitions, raised and lowered limits, and the shares of removed partitions.
  */
 export function planQuotas(situation: QuotaSituation): QuotaPlan | null {
   const plan: QuotaPlan = {
@@ -19,18 +19,20 @@
     released: new Map(),
     transfers: [],
     removedPartitions: [],
-    caps: [],
+    teamsWithNewCap: [],
   };
   const changed = new Map<string, NewQuotaEntry>();
   for (const team of situation.teams.values()) {
     const entry = planTeam(situation, team, plan);
     if (entry) changed.set(team.name, entry);
   }
-  const { writes, done } = rewriteRecords(situation.records, changed, {
+  const { writes, writtenTeams } = rewriteRecords(situation.records, changed, {
     maxValueBytes: situation.maxValueBytes,
     maxRecords: situation.maxRecords,
   });
-  return done.size === 0 ? null : { ...onlyTeams(plan, done), writes };
+  return writtenTeams.size === 0
+    ? null
+    : { ...onlyTeams(plan, writtenTeams), writes };
 }
 
 function planTeam(
@@ -41,33 +43,40 @@
   const written = entryOf(situation.records, team.name);
   if (written)
     return new QuotaTeamPlanner(situation, team, written, plan).planEntry();
-  const first = firstEntry(team, situation.partitions);
-  if (first) plan.caps.push(team.name);
-  return first;
+  const initial = initialEntry(team, situation.partitions);
+  if (initial) plan.teamsWithNewCap.push(team.name);
+  return initial;
 }
 
-/** Equal parts, which is what the version before goes by where nothing is written; null for a team without a limit. */
-function firstEntry(
+/** Equal shares, as the previous version assumes where no entry exists; null for a team without a limit. */
+function initialEntry(
   team: Team,
   partitions: readonly string[],
 ): NewQuotaEntry | null {
   const cap = limitOf(team);
   if (cap[0] === Infinity && cap[1] === Infinity) return null;
-  const part = perDimension((dimension) =>
+  const share = perDimension((dimension) =>
     cap[dimension] === Infinity
       ? 0
       : roundDownToHundredth(cap[dimension] / partitions.length),
   );
-  const parts = Object.fromEntries(
-    partitions.map((partition) => [partition, part]),
+  const shares = Object.fromEntries(
+    partitions.map((partition) => [partition, share]),
   );
-  return { cap, shares: parts };
+  return { cap, shares };
 }
 
-/** The plan without the teams whose change did not fit into one transaction: they wait for the next. */
-const onlyTeams = (plan: QuotaPlan, done: ReadonlySet<string>): QuotaPlan => ({
+/** The plan without the teams whose changes did not fit into the transaction; the next plan retries them. */
+const onlyTeams = (
+  plan: QuotaPlan,
+  writtenTeams: ReadonlySet<string>,
+): QuotaPlan => ({
   ...plan,
-  released: new Map([...plan.released].filter(([team]) => done.has(team))),
-  transfers: plan.transfers.filter(({ team }) => done.has(team)),
-  caps: plan.caps.filter((team) => done.has(team)),
+  released: new Map(
+    [...plan.released].filter(([team]) => writtenTeams.has(team)),
+  ),
+  transfers: plan.transfers.filter(({ team }) => writtenTeams.has(team)),
+  teamsWithNewCap: plan.teamsWithNewCap.filter((team) =>
+    writtenTeams.has(team),
+  ),
 });
--- a/src/coordination/quota/quota-record-writer.ts
+++ b/src/coordination/quota/quota-record-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Puts changed entries of teams' limits into the quota records, within the size of a value and the number of records that one
- * transaction may write. Owns the new values while they are put together.
+ * Puts changed entries into the quota records, within the maximum size of a record and the maximum number of records per
+ * transaction. Owns the new values until they are complete.
  */
 import {
   bytesOf,
@@ -16,16 +16,16 @@
 } from "./quota-records.js";
 import { perDimension, type ResourceAmounts } from "./resource-amounts.js";
 
-/** What one transaction can carry. */
+/** Maximum size of each record and number of records in one transaction. */
 export interface RecordLimits {
   maxValueBytes: number;
   maxRecords: number;
 }
 
-/** New values by key, and the teams whose changes they hold; the other changes wait for the next transaction. */
+/** New values by key, and the teams whose changes they include; the other changes wait for the next transaction. */
 export interface RewrittenRecords {
   writes: Map<string, QuotaShares>;
-  done: Set<string>;
+  writtenTeams: Set<string>;
 }
 
 interface NewValue {
@@ -33,24 +33,24 @@
   bytes: number;
 }
 
-/** The two objects that are counted have four braces, for which the record has two commas. */
+/** `entryBytes` counts the four braces of two objects, in place of which the record has two commas. */
 const SURPLUS_BYTES = 2;
 
-/** Bytes that an entry adds to a record: its parts and its cap. */
-const entryBytes = (team: string, parts: object, cap: object): number =>
-  bytesOf({ [team]: parts }) + bytesOf({ [team]: cap }) - SURPLUS_BYTES;
+/** Bytes that an entry adds to a record, with its shares and its cap. */
+const entryBytes = (team: string, shares: object, cap: object): number =>
+  bytesOf({ [team]: shares }) + bytesOf({ [team]: cap }) - SURPLUS_BYTES;
 
-/** The records with some entries written anew: what has no room in its record goes to the next one that has. */
+/** Rewrites the records with changed entries. An entry that no longer fits into its record moves to the first one where it fits. */
 export function rewriteRecords(
   records: QuotaRecords,
   changed: ReadonlyMap<string, NewQuotaEntry>,
   limits: RecordLimits,
 ): RewrittenRecords {
   const writer = new QuotaRecordWriter(records, changed.size, limits);
-  const done = new Set<string>();
+  const writtenTeams = new Set<string>();
   for (const [team, entry] of changed)
-    if (writer.put(team, entry)) done.add(team);
-  return { writes: writer.writes(), done };
+    if (writer.put(team, entry)) writtenTeams.add(team);
+  return { writes: writer.writes(), writtenTeams };
 }
 
 class QuotaRecordWriter {
@@ -68,7 +68,7 @@
 
   /** Returns whether the entry could be put into a record. */
   put(team: string, entry: NewQuotaEntry): boolean {
-    // JSON knows no Infinity: 0 stands for it.
+    // Infinity is stored as 0, because JSON can't represent it.
     const cap = perDimension((dimension) =>
       entry.cap[dimension] === Infinity ? 0 : entry.cap[dimension],
     );
@@ -90,7 +90,7 @@
     return false;
   }
 
-  /** The record where the entry is, else the first one with room. */
+  /** Keys of the records to try: first the entry's current record, then all others in order. */
   private candidateKeys(presentKey: string | undefined): string[] {
     const keys = presentKey === undefined ? [] : [presentKey];
     const moreRecords = this.records.size + this.changedCount;
@@ -102,7 +102,7 @@
     return keys;
   }
 
-  /** How many records are written once the entry is put there; moving it to another record is a change of both. */
+  /** Number of records to write if the entry is put at `key`; moving it from another record changes both. */
   private countRecordsWith(
     key: string,
     presentKey: string | undefined,
@@ -120,7 +120,7 @@
     this.newValues.set(key, { value: record.value, bytes });
   }
 
-  /** The new value at this key, or a copy of the present one. */
+  /** The new value at this key, or a copy of the current one. */
   private open(key: string): NewValue {
     const changed = this.newValues.get(key);
     if (changed) return changed;
@@ -136,9 +136,9 @@
 const capsOf = ({ value }: NewValue): Record<string, ResourceAmounts> =>
   (value[CAPS_NAME] ??= {});
 
-/** Bytes that the team's entry takes in the value now. */
+/** Size of the team's entry in the value; 0 if it has none. */
 function presentBytes(record: NewValue, team: string): number {
-  const parts = record.value[team];
-  if (!parts) return 0;
-  return entryBytes(team, parts, capsOf(record)[team] ?? [0, 0]);
+  const shares = record.value[team];
+  if (!shares) return 0;
+  return entryBytes(team, shares, capsOf(record)[team] ?? [0, 0]);
 }
--- a/src/coordination/quota/quota-records.ts
+++ b/src/coordination/quota/quota-records.ts
@@ -1,12 +1,12 @@
 /**
- * The records of the teams' limits, as a pure matter of values. For each team a record holds the parts of its limit by
- * partition, and the limit that they are parts of (its `cap`: the generation of the entry). What is written holds, whatever
- * the settings of whoever reads it say: a partition that a team's entry does not name has no part of it.
+ * Pure functions on the quota records. For each team a record contains each partition's share of the team's limit, and its `cap`:
+ * the limit that was divided into these shares. The records take precedence over the settings of the controller that reads
+ * them: a partition that is not in a team's entry has no share of its limit.
  *
- * Invariant (quota): a partition starts tasks only within its own part; a part is lessened only by the partition that has it,
- * which keeps below what it will have left from before that commit is sent; a part grows only out of what such a commit, or
- * nobody, has. So what partitions may use never adds up to more than the cap, whichever commits are lost, late, doubled or
- * unanswered. Design: docs/design/limits.md.
+ * Invariant (quota): a partition starts tasks only within its own share. A share is reduced only by the partition that has it,
+ * which stays within the reduced share from before it sends that transaction. A share grows only by what the same transaction
+ * takes from another share, or by quota that is not assigned to any partition. So what all partitions may use never exceeds the
+ * cap in total, whichever transactions are lost, delayed, duplicated or unanswered. Design: docs/design/limits.md.
  */
 import type { Team } from "../../config/settings.js";
 import { QUOTA_KEY, type QuotaShares } from "../../storage/records.js";
@@ -18,22 +18,22 @@
   type ResourceAmounts,
 } from "./resource-amounts.js";
 
-/** Sums of earlier versions' unrounded parts differ from the limit by less than this. */
+/** Earlier versions stored unrounded shares, whose sum differs from the limit by less than this. */
 export const MAX_ROUNDING_ERROR = 0.05;
 
-/** The team's limit by the settings; Infinity: none. */
+/** The team's limit in the settings; Infinity if there is none. */
 export const limitOf = (team: Team): ResourceAmounts => [
   team.cpusMax,
   team.gpusMax,
 ];
 
 /**
- * Under this name a record holds the cap of each team in it. No team can have it, for names have no slashes; the
- * version before reads it as one more team and writes it back as it is.
+ * Name under which a record contains the caps of its teams. It can't collide with a team, because team names have no slashes. The
+ * previous version reads it as another team and writes it back unchanged.
  */
 export const CAPS_NAME = "/cap";
 
-/** A record as read: the parts by team and partition, and the revision of its key. */
+/** A record as read: shares by team and partition, and the revision of its key. */
 export interface QuotaRecord {
   shares: QuotaShares;
   revision: number;
@@ -42,48 +42,48 @@
 /** Records by key. */
 export type QuotaRecords = ReadonlyMap<string, QuotaRecord>;
 
-/** An entry as it is to be written. */
+/** A team's entry to be written. */
 export interface NewQuotaEntry {
   /** By partition. */
   shares: Record<string, ResourceAmounts>;
-  /** Infinity: none. */
+  /** The limit that the shares divide; Infinity if there is none. */
   cap: ResourceAmounts;
 }
 
-/** What a record says of one team. */
+/** A team's entry as read from a record. */
 export interface QuotaEntry extends NewQuotaEntry {
   /** Key of the record. */
   key: string;
-  /** All parts together. */
+  /** Sum of all shares. */
   sum: ResourceAmounts;
 }
 
-/** What the record at this key says of a team; null: nothing. */
+/** The team's entry in the record with this key; null if it has none. */
 export function entryIn(
   key: string,
   shares: QuotaShares,
   team: string,
 ): QuotaEntry | null {
-  const parts = shares[team];
-  if (!parts || team === CAPS_NAME) return null;
+  const teamShares = shares[team];
+  if (!teamShares || team === CAPS_NAME) return null;
   const sum: ResourceAmounts = [0, 0];
-  for (const part of Object.values(parts))
-    for (const dimension of DIMENSIONS) sum[dimension] += part[dimension];
-  // Without a cap it was written by the version before, whose parts make up the whole limit.
+  for (const share of Object.values(teamShares))
+    for (const dimension of DIMENSIONS) sum[dimension] += share[dimension];
+  // An entry without a cap was written by the previous version, whose shares add up to the limit.
   const written = shares[CAPS_NAME]?.[team] ?? sum;
-  // JSON knows no Infinity: 0 stands for it.
+  // Infinity is stored as 0, because JSON can't represent it.
   const cap = perDimension((dimension) => written[dimension] || Infinity);
-  return { key, shares: parts, sum, cap };
+  return { key, shares: teamShares, sum, cap };
 }
 
-/** What the records say of a team; the first record goes before the others. */
+/** The team's entry in the records; null if it has none. The record at `QUOTA_KEY` takes precedence over the others. */
 export function entryOf(
   records: QuotaRecords,
   team: string,
 ): QuotaEntry | null {
-  const root = records.get(QUOTA_KEY);
-  const first = root && entryIn(QUOTA_KEY, root.shares, team);
-  if (first) return first;
+  const mainRecord = records.get(QUOTA_KEY);
+  const mainEntry = mainRecord && entryIn(QUOTA_KEY, mainRecord.shares, team);
+  if (mainEntry) return mainEntry;
   for (const [key, record] of records) {
     const entry = key === QUOTA_KEY ? null : entryIn(key, record.shares, team);
     if (entry) return entry;
@@ -91,15 +91,16 @@
   return null;
 }
 
-/** Whether more is handed out than the limit allows, until the partitions have given back what they don't use of it. */
+/** Whether the shares exceed the cap, as after a limit was lowered, until the partitions have released what they don't use. */
 export const isOverAllocated = (
   entry: QuotaEntry,
   dimension: Dimension,
 ): boolean => entry.sum[dimension] > entry.cap[dimension] + EPSILON;
 
 /**
- * Up to how much a partition may start tasks of a team, by what is written and by its own settings; `use`: what it uses
- * already. Where more is handed out than the smallest limit that is known of, nothing starts: tasks that run go on.
+ * Up to how much a partition may use of a team's limit, by the records and by its own settings. `use`: what it uses now. While the
+ * shares exceed the cap, or the cap (without an entry: Infinity) exceeds the limit in the settings, no task starts, and running
+ * tasks continue.
  */
 export function maxUsage(
   team: Team,
@@ -112,7 +113,7 @@
     const cap = entry ? entry.cap[dimension] : Infinity;
     if (!entry || cap === Infinity)
       return limit[dimension] === Infinity ? Infinity : use()[dimension];
-    // A limit lowered in the own settings is to be written first, so that all go by it.
+    // The limit was lowered in this controller's settings: the records must be updated first, so that all controllers apply it.
     const isLowered = cap > limit[dimension] + MAX_ROUNDING_ERROR;
     if (isLowered || isOverAllocated(entry, dimension)) return use()[dimension];
     return entry.shares[partition]?.[dimension] ?? 0;
--- a/src/coordination/quota/quota-report.ts
+++ b/src/coordination/quota/quota-report.ts
@@ -1,40 +1,40 @@
 /**
- * What a partition publishes of each team with its capacity record: use, wants and what waits; and the wants once more as an
- * earlier version reads them. Owns no state.
+ * What a partition publishes about each team in its capacity record: use, demand and waiting tasks, and the demand once more in
+ * the format of an earlier version. Owns no state.
  */
 import type { QuotaWant, TeamRow } from "../../storage/records.js";
 import type { PartitionDemand } from "./partition-demand.js";
 import type { WaitingTasks } from "./quota-demand.js";
 import { isAnyPositive, type ResourceAmounts } from "./resource-amounts.js";
 
-/** The rows of a capacity record that concern teams, by team. */
+/** The per-team rows of a capacity record, by team. */
 export interface QuotaReport {
   teams: Map<string, TeamRow>;
   wants: Map<string, QuotaWant>;
 }
 
-/** How a team stands in one partition. */
+/** A team's use and demand in one partition. */
 export interface TeamQuotaState {
   demand: PartitionDemand | null;
-  /** On machines, known to be there. */
+  /** Known to be on machines. */
   use: ResourceAmounts;
-  /** The most that may be on machines. */
+  /** Upper bound of what may be on machines. */
   possibleUse: ResourceAmounts;
-  /** What waits and has a place, now or to be rented. */
+  /** Needed by waiting tasks that have a slot, or can get one on a machine to be rented. */
   waiting: ResourceAmounts;
-  /** What others may borrow. */
+  /** What other partitions may borrow. */
   idle: ResourceAmounts;
 }
 
-/** The row of a team; null when there is nothing to say of it. */
+/** The row of a team; null if there is nothing to report. */
 export function teamRowOf(state: TeamQuotaState): TeamRow | null {
   const { demand, use, possibleUse, waiting, idle } = state;
-  const isIdle =
+  const hasNothingToReport =
     !demand &&
     !isAnyPositive(use) &&
     !isAnyPositive(possibleUse) &&
     !isAnyPositive(waiting);
-  if (isIdle) return null;
+  if (hasNothingToReport) return null;
   return {
     use,
     possibleUse: possibleUse,
@@ -53,7 +53,7 @@
   };
 }
 
-/** The want of a team as an earlier version reads it. */
+/** The demand of a team in the format of an earlier version. */
 export function quotaWantOf(
   demand: PartitionDemand,
   waiting: readonly WaitingTasks[],
@@ -68,7 +68,7 @@
   };
 }
 
-/** JSON knows no Infinity. */
+/** Infinity is stored as 0, because JSON can't represent it. */
 const finiteOrZero = ([cpus, gpus]: ResourceAmounts): ResourceAmounts => [
   Number.isFinite(cpus) ? cpus : 0,
   Number.isFinite(gpus) ? gpus : 0,
--- a/src/coordination/quota/quota-reservations.ts
+++ b/src/coordination/quota/quota-reservations.ts
@@ -1,6 +1,6 @@
 /**
- * Reservation of a team's limit for a large job whose first start is overdue: all partitions hold back the team's other work
- * until the job has what it lacks. Owns which job of this partition asks for one. Design: docs/design/limits.md.
+ * Reserves a team's quota for a large job whose first start is overdue: all partitions hold back the team's other jobs until
+ * this one has the quota that it lacks. Owns the overdue jobs of this partition. Design: docs/design/limits.md.
  */
 import type { Team } from "../../config/settings.js";
 import type { Context } from "../context.js";
@@ -19,45 +19,48 @@
   roundUpToHundredth,
 } from "./resource-amounts.js";
 
-/** A reservation, and the partition that its job waits in. */
+/** A reservation, with the partition in which its job waits. */
 export interface PartitionReservation extends QuotaReservation {
   partition: string;
 }
 
-/** A job of this partition that a reservation is for. */
+/** A job of this partition that needs a reservation. */
 interface OverdueJob {
   job: JobRun;
-  /** What has to start at once. */
+  /** What has to start together: the need of one task, or of the gang's tasks that wait here. */
   need: ResourceAmounts;
-  /** When it last lacked quota: a job that only waits for machines holds nobody back. */
-  lackedMs: number;
+  /** When it last lacked quota, in steady time: a job that only waits for machines must not hold back others for long. */
+  lastMissingMs: number;
 }
 
-/** Overdue jobs are looked for no more often than this. */
+/** Minimum interval between searches for overdue jobs. */
 const CHECK_INTERVAL_MS = 1_000;
-/** Parts of `begin_within_s`: the age from which quota is reserved for a job, and up to which. */
-const RESERVED_FROM = 0.4;
-const RESERVED_UNTIL = 1.25;
-/** A job is large if it takes so many times what the end of the smallest running task frees: smaller ones find their turn. */
+/** Ages, as multiples of `begin_within_s`, from which and up to which quota is reserved for a job. */
+const RESERVE_FROM_AGE = 0.4;
+const RESERVE_UNTIL_AGE = 1.25;
+/**
+ * A job is large if it needs at least this many times what the smallest running task of the team frees when it ends. Smaller jobs
+ * get their quota in the queue order without a reservation.
+ */
 const LARGE_JOB_FACTOR = 2;
-/** In each period quota is reserved for so long; the rest is open to all work, none of which may wait for 90 s. */
-const PERIOD_MS = 75_000;
-const RESERVING_MS = 60_000;
-/** Quota that a job lacked is kept for it for so long, in which it starts, or a machine is rented and boots. */
-const KEEP_RESERVED_MS = 30_000;
-/** Overdue jobs of a team that are examined for a place on the machines. */
+/** Reservations apply in the first 60 s of each 75 s. In the rest, all jobs may start, because none should wait for 90 s. */
+const RESERVATION_PERIOD_MS = 75_000;
+const RESERVATION_PHASE_MS = 60_000;
+/** How long quota is kept for a job once it no longer lacks any: long enough to start, or to rent and boot a machine. */
+const KEEP_AFTER_SHORTFALL_MS = 30_000;
+/** Overdue jobs of a team that are checked for slots on machines. */
 const MAX_JOBS_EXAMINED = 5;
 const MS_PER_S = 1_000;
 
-/** The reservations of all teams, as this partition sees them. */
+/** The reservations of all teams, as known to this partition. */
 export class QuotaReservations {
   private checkedMs = -Infinity;
   private readonly overdueByTeam = new Map<string, OverdueJob>();
-  /** Of the teams asked about in this step. */
+  /** Cache of `inForce` for the current step. */
   private inForceByTeam = new Map<string, PartitionReservation | null>();
-  private inForceMs = -Infinity;
+  private inForceComputedMs = -Infinity;
 
-  /** `freeOf`: what this partition may still use of a team. */
+  /** `freeOf`: unused quota of a team in this partition. */
   constructor(
     private readonly context: Context,
     private readonly state: PartitionState,
@@ -65,24 +68,25 @@
     private readonly freeOf: (team: string) => ResourceAmounts,
   ) {}
 
-  /** The reservation that all partitions serve now; null: there is none. */
+  /** The one reservation of a team that all partitions apply now; null if there is none. */
   inForce(team: string): PartitionReservation | null {
-    if (this.inForceMs !== this.context.nowMs) {
-      this.inForceMs = this.context.nowMs;
+    if (this.inForceComputedMs !== this.context.nowMs) {
+      this.inForceComputedMs = this.context.nowMs;
       this.inForceByTeam = new Map();
     }
     let reservation = this.inForceByTeam.get(team);
     if (reservation === undefined) {
-      reservation = this.firstOf(team);
+      reservation = this.findInForce(team);
       this.inForceByTeam.set(team, reservation);
     }
     return reservation;
   }
 
-  private firstOf(team: string): PartitionReservation | null {
-    if (this.context.wallMs % PERIOD_MS >= RESERVING_MS) return null;
+  private findInForce(team: string): PartitionReservation | null {
+    if (this.context.wallMs % RESERVATION_PERIOD_MS >= RESERVATION_PHASE_MS)
+      return null;
     const { cache, partitions } = this.context;
-    let first = this.own(team);
+    let first = this.ownReservation(team);
     for (const [partition, { teams }] of cache.capacities) {
       const published = teams?.get(team)?.reservation;
       const isLed =
@@ -94,40 +98,44 @@
     return first;
   }
 
-  /** What this partition asks for: for its first overdue job, while that lacks quota and for a while after. */
-  own(team: string): PartitionReservation | null {
+  /** The reservation for this partition's first overdue job, while it lacks quota and for a time after; null if there is none. */
+  ownReservation(team: string): PartitionReservation | null {
     this.checkIfDue();
     const overdue = this.overdueByTeam.get(team);
     if (!overdue) return null;
     const { nowMs } = this.context;
-    const lacks = lackingOf(overdue.need, this.freeOf(team));
-    if (isAnyPositive(lacks)) overdue.lackedMs = nowMs;
-    if (nowMs - overdue.lackedMs > KEEP_RESERVED_MS) return null;
+    const missing = missingOf(overdue.need, this.freeOf(team));
+    if (isAnyPositive(missing)) overdue.lastMissingMs = nowMs;
+    if (nowMs - overdue.lastMissingMs > KEEP_AFTER_SHORTFALL_MS) return null;
     return {
       partition: this.state.partition,
-      missing: lacks,
+      missing,
       readyAt: readyAtOf(overdue.job),
       priority: priorityOf(overdue.job),
     };
   }
 
-  /** What is published: only what lacks something holds others back. */
-  published(team: string): QuotaReservation | undefined {
-    const own = this.own(team);
-    if (!own || !isAnyPositive(own.missing)) return undefined;
-    const { missing: lacks, readyAt, priority } = own;
-    return { missing: lacks, readyAt, priority };
+  /** The reservation to publish: none once the job lacks no quota, so that other partitions don't hold back their jobs for it. */
+  reservationToPublish(team: string): QuotaReservation | undefined {
+    const ownReservation = this.ownReservation(team);
+    if (!ownReservation || !isAnyPositive(ownReservation.missing))
+      return undefined;
+    const { missing, readyAt, priority } = ownReservation;
+    return { missing, readyAt, priority };
   }
 
-  /** What this partition keeps for its own overdue job, unless `reservation` comes before that. */
-  keptFrom(team: string, reservation: PartitionReservation): ResourceAmounts {
-    const own = this.own(team);
+  /** Quota kept for this partition's own overdue job, unless `reservation` takes precedence over it. */
+  keptForOverdueJob(
+    team: string,
+    reservation: PartitionReservation,
+  ): ResourceAmounts {
+    const own = this.ownReservation(team);
     const overdue = this.overdueByTeam.get(team);
     if (!own || !overdue || isBefore(reservation, own)) return [0, 0];
     return overdue.need;
   }
 
-  /** Whether a job may not start now, because what its team has left is reserved for another. */
+  /** Whether a job must not start now because its team's quota is reserved for another one. */
   isHeldBack(job: JobRun): boolean {
     const reservation = this.inForce(job.view.spec.team);
     if (!reservation || priorityOf(job) > reservation.priority) return false;
@@ -140,7 +148,7 @@
   private checkIfDue(): void {
     if (this.context.nowMs - this.checkedMs < CHECK_INTERVAL_MS) return;
     this.checkedMs = this.context.nowMs;
-    const before = new Map(this.overdueByTeam);
+    const previousByTeam = new Map(this.overdueByTeam);
     this.overdueByTeam.clear();
     const smallestByTeam = new Map<string, ResourceAmounts>();
     const candidates = [...this.state.jobs.values()]
@@ -153,9 +161,14 @@
       examined.set(team, count);
       if (this.overdueByTeam.has(team) || count > MAX_JOBS_EXAMINED) continue;
       if (!this.quotaDemand.canBePlaced(job)) continue;
-      const known = before.get(team);
-      const lackedMs = known?.job === job ? known.lackedMs : -Infinity;
-      this.overdueByTeam.set(team, { job, need: needOf(job), lackedMs });
+      const previous = previousByTeam.get(team);
+      const lastMissingMs =
+        previous?.job === job ? previous.lastMissingMs : -Infinity;
+      this.overdueByTeam.set(team, {
+        job,
+        need: needOf(job),
+        lastMissingMs,
+      });
     }
   }
 
@@ -164,8 +177,8 @@
     const { spec, readyAt } = job.view;
     const ageS = (wallMs - readyAt) / MS_PER_S;
     if (
-      ageS < tuning.beginWithinS * RESERVED_FROM ||
-      ageS > tuning.beginWithinS * RESERVED_UNTIL
+      ageS < tuning.beginWithinS * RESERVE_FROM_AGE ||
+      ageS > tuning.beginWithinS * RESERVE_UNTIL_AGE
     )
       return false;
     const team = settings.teams.get(spec.team);
@@ -194,20 +207,20 @@
     );
   }
 
-  /** What the smallest running tasks of the team take, of each resource that any takes; Infinity: none does. */
+  /** For each resource, the least that any running task of the team uses; Infinity if none uses it. */
   private smallestRunning(team: string): ResourceAmounts {
     const smallest: ResourceAmounts = [Infinity, Infinity];
-    const note = ({ cpus, gpus }: JobSpec): void => {
+    const include = ({ cpus, gpus }: JobSpec): void => {
       if (cpus > 0) smallest[0] = Math.min(smallest[0], cpus);
       if (gpus > 0) smallest[1] = Math.min(smallest[1], gpus);
     };
     for (const { view, active } of this.state.jobs.values())
-      if (view.spec.team === team && active.size > 0) note(view.spec);
+      if (view.spec.team === team && active.size > 0) include(view.spec);
     const { cache } = this.context;
     for (const { running } of cache.capacities.values())
       for (const id of running.keys()) {
         const spec = cache.jobs.get(id)?.spec;
-        if (spec?.team === team) note(spec);
+        if (spec?.team === team) include(spec);
       }
     return smallest;
   }
@@ -216,14 +229,14 @@
 const isLimited = (team: Team): boolean =>
   Number.isFinite(team.cpusMax) || Number.isFinite(team.gpusMax);
 
-/** What has to start at once of a job: one task, or the part of a gang that waits here. */
+/** What has to start together of a job: the need of one task, or of the gang's tasks that wait here. */
 function needOf(job: JobRun): ResourceAmounts {
   const { spec } = job.view;
   const tasks = spec.kind === "gang" ? job.waiting.size : 1;
   return [spec.cpus * tasks, spec.gpus * tasks];
 }
 
-const lackingOf = (
+const missingOf = (
   need: Readonly<ResourceAmounts>,
   free: Readonly<ResourceAmounts>,
 ): ResourceAmounts =>
@@ -231,7 +244,7 @@
     Math.max(0, roundUpToHundredth(need[dimension] - free[dimension])),
   );
 
-/** Whole milliseconds, as they are published: all partitions are to see the same order. */
+/** In whole milliseconds, as published, so that all partitions compute the same order. */
 const readyAtOf = (job: JobRun): number => Math.round(job.view.readyAt);
 
 const priorityOf = (job: JobRun): number =>
@@ -242,7 +255,7 @@
   first.view.readyAt - second.view.readyAt ||
   (first.id < second.id ? -1 : 1);
 
-/** One order for all partitions, so that two of them never reserve for two jobs at once. */
+/** Precedence of reservations, equal in all partitions, so that they agree on the one in force. */
 function isBefore(
   first: PartitionReservation,
   second: PartitionReservation,
--- a/src/coordination/quota/quota-situation.ts
+++ b/src/coordination/quota/quota-situation.ts
@@ -1,4 +1,4 @@
-/** What planning of the teams' limits starts from, and what it results in. Owns no state. */
+/** Input and output of planning changes to the quota records. Owns no state. */
 import type { Team } from "../../config/settings.js";
 import type { QuotaShares } from "../../storage/records.js";
 import type { PartitionDemand } from "./partition-demand.js";
@@ -6,77 +6,80 @@
 import type { QuotaRecords } from "./quota-records.js";
 import type { ResourceAmounts } from "./resource-amounts.js";
 
-/** What a partition knows when it considers the records of the limits; none of it is changed. */
+/** What a partition leader knows when it plans changes to the quota records; planning modifies none of it. */
 export interface QuotaSituation {
   partition: string;
   /** All partitions that the settings name. */
   partitions: readonly string[];
   teams: ReadonlyMap<string, Team>;
   records: QuotaRecords;
-  /** The most bytes that a record may have. */
+  /** Maximum size of a record, in bytes. */
   maxValueBytes: number;
-  /** Records that one commit may write. */
+  /** Maximum number of records in one transaction. */
   maxRecords: number;
-  /** What this partition uses of a team, counting all that may be running. */
+  /** What a team uses in this partition, including tasks that may be running. */
   use(team: string): ResourceAmounts;
-  /** The same, counting only what surely runs; null: not known yet (the failover fence). */
+  /** What a team certainly uses in this partition; null during a failover, when it is not known. */
   confirmedUse(team: string): ResourceAmounts | null;
-  /** What this partition wants, by team. */
+  /** Demand of this partition, by team. */
   ownDemands: ReadonlyMap<string, PartitionDemand>;
-  /** What the others want, by partition and team. */
+  /** Demand of the other partitions, by partition and team. */
   otherDemands: ReadonlyMap<string, ReadonlyMap<string, PartitionDemand>>;
-  /** What the own waiting tasks that come before such a demand are going to use; `since` in ms since the epoch. */
+  /**
+   * What this partition's waiting tasks need that come before the demand of another partition, which is given by its place in the
+   * queue order and by whether its tasks are startable.
+   */
   needAheadOf(
     team: string,
-    since: number,
+    queueOrderMs: number,
     partition: string,
-    now: boolean,
+    isStartable: boolean,
   ): ResourceAmounts;
-  /** What this partition has free and nothing that waits here can use. */
+  /** Free quota that no task waiting in this partition can use. */
   lendable(team: string): ResourceAmounts;
-  /** What this partition keeps for waiting tasks that idle quota elsewhere completes. */
+  /** Free quota kept for waiting tasks that can start once idle quota of other partitions is added. */
   keptForBackfill(team: string): ResourceAmounts;
-  /** The large job that quota is reserved for now; null: there is none. */
+  /** The reservation in force for an overdue large job of the team; null if there is none. */
   reservation(team: string): PartitionReservation | null;
-  /** What this partition keeps for its own overdue job while quota is reserved. */
+  /** Quota kept for this partition's own overdue job while `reservation` is in force. */
   keptForOverdueJob(
     team: string,
     reservation: PartitionReservation,
   ): ResourceAmounts;
-  /** Every live controller goes by the same limits as this one. */
+  /** Whether every live controller has the same limits in its settings as this one. */
   limitsAgreed: boolean;
-  /** Partitions that no settings name any more and of which nothing can run. */
+  /** Partitions that are no longer in the settings and can't have any running task. */
   removedPartitions: ReadonlySet<string>;
-  /** Whether parts of teams in that record may go from partition to partition. */
+  /** Whether shares in the record with this key may be transferred between partitions. */
   mayMoveShares(key: string): boolean;
 }
 
-/** Why a part of a limit goes to another partition. */
-export type GiftReason =
-  /** Its work has its turn. */
+/** Why quota is transferred to another partition. */
+export type TransferReason =
+  /** Its waiting tasks are next in the queue order. */
   | "turn"
-  /** For a large job whose first start is overdue. */
+  /** It has the reservation in force, for an overdue large job. */
   | "reservation"
-  /** Its tasks fit into what nothing here can use. */
+  /** Its tasks can use quota that is idle in this partition. */
   | "backfill";
 
-/** What a plan gives to another partition. */
-export interface QuotaGift {
+/** Quota of a team that a plan transfers to another partition. */
+export interface QuotaTransfer {
   team: string;
   to: string;
   amounts: ResourceAmounts;
-  reason: GiftReason;
+  reason: TransferReason;
 }
 
-/** What a partition writes in one commit. */
+/** What a partition leader writes in one transaction. */
 export interface QuotaPlan {
   /** New values of records, by key. */
   writes: Map<string, QuotaShares>;
-  /** By team: what this partition gives away, and does not use from before the commit is sent. */
+  /** By team, the quota that this partition gives up. It stops using this before it sends the transaction. */
   released: Map<string, ResourceAmounts>;
-  transfers: QuotaGift[];
-  /** Partitions whose absence it rests on. */
+  transfers: QuotaTransfer[];
+  /** Removed partitions whose shares the plan reclaims: valid only while they have no leader. */
   removedPartitions: string[];
-  /** Teams whose limit was written anew. */
-  caps: string[];
+  /** Teams whose cap the plan writes or changes. */
+  teamsWithNewCap: string[];
 }
--- a/src/coordination/quota/quota-takers.ts
+++ b/src/coordination/quota/quota-takers.ts
@@ -1,4 +1,4 @@
-/** Orders the partitions that want more of a team's limit. Owns no state. */
+/** Orders the partitions that demand more of a team's quota. Owns no state. */
 import { EPSILON } from "../scheduling/placement.js";
 import type { PartitionDemand } from "./partition-demand.js";
 import type { PartitionReservation } from "./quota-reservations.js";
@@ -9,31 +9,32 @@
   type ResourceAmounts,
 } from "./resource-amounts.js";
 
-/** A partition that wants more of a team's CPUs, or of its accelerators. */
+/** A partition that demands more of one resource of a team's quota. */
 export interface QuotaTaker {
   partition: string;
-  /** Time of day, in ms, of the turn of its oldest work that wants this. */
-  sinceMs: number;
-  /** The work has a place at once, or has waited for long. */
-  now: boolean;
+  /** Place in the queue order of the first tasks that lack this resource: a time of day, in ms. */
+  queueOrderMs: number;
+  /** Whether these tasks have a free slot, or have waited for so long that they count as if they had. */
+  isStartable: boolean;
   wanted: number;
 }
 
-/** Who can use it at once comes first, then whose work has waited for longest. */
-const compareTakers = (a: QuotaTaker, b: QuotaTaker): number =>
-  Number(b.now) - Number(a.now) ||
-  a.sinceMs - b.sinceMs ||
-  (a.partition < b.partition ? -1 : 1);
+/** Partitions with startable tasks come first, then those whose tasks are first in the queue order. */
+const compareTakers = (first: QuotaTaker, second: QuotaTaker): number =>
+  Number(second.isStartable) - Number(first.isStartable) ||
+  first.queueOrderMs - second.queueOrderMs ||
+  (first.partition < second.partition ? -1 : 1);
 
 /**
- * Who wants more of a team's CPUs, or of its accelerators: who can use it at once comes first, then who has waited for longest
- * for just that. With one time for both, a partition whose oldest work lacked CPUs also came first for accelerators that only
- * its youngest work wanted, and was asked for them again at once: they went to and fro for as long as both waited.
+ * The partitions that demand more of one resource of a team's quota, in the order in which they get it. The queue order is kept
+ * for each resource: with one time for both, a partition whose oldest tasks lacked CPUs also came first for accelerators that
+ * only its youngest tasks lacked, then was at once asked to give them back, and they moved back and forth as long as both
+ * partitions waited.
  */
 export function takersOf(
   situation: QuotaSituation,
   team: string,
-  parts: Readonly<Record<string, ResourceAmounts>>,
+  shares: Readonly<Record<string, ResourceAmounts>>,
   dimension: Dimension,
 ): QuotaTaker[] {
   const takers: QuotaTaker[] = [];
@@ -41,106 +42,121 @@
     const demand = demands.get(team);
     const isNamed = situation.partitions.includes(partition);
     if (demand && isNamed && partition !== situation.partition)
-      takers.push(...wantsOf(partition, demand, parts[partition], dimension));
+      takers.push(
+        ...takersFor(partition, demand, shares[partition], dimension),
+      );
   }
   const own = situation.ownDemands.get(team);
   if (own) {
     const { partition } = situation;
-    takers.push(...wantsOf(partition, own, parts[partition], dimension));
+    takers.push(...takersFor(partition, own, shares[partition], dimension));
   }
   return takers.sort(compareTakers);
 }
 
-function wantsOf(
+function takersFor(
   partition: string,
   demand: PartitionDemand,
-  part: Readonly<ResourceAmounts> | undefined,
+  share: Readonly<ResourceAmounts> | undefined,
   dimension: Dimension,
 ): QuotaTaker[] {
   const all = perDimension(
     (each) => demand.startable[each] + demand.awaitingMachines[each],
   );
-  const now = remaining(demand.startable, demand.baseShare, part, dimension);
-  const soon = remaining(all, demand.baseShare, part, dimension) - now;
+  const startable = stillWanted(
+    demand.startable,
+    demand.baseShare,
+    share,
+    dimension,
+  );
+  const awaitingMachines =
+    stillWanted(all, demand.baseShare, share, dimension) - startable;
   const takers: QuotaTaker[] = [
     {
       partition,
-      sinceMs: demand.startableSinceMs[dimension],
-      now: true,
-      wanted: now,
+      queueOrderMs: demand.startableSinceMs[dimension],
+      isStartable: true,
+      wanted: startable,
     },
     {
       partition,
-      sinceMs: demand.awaitingMachinesSinceMs[dimension],
-      now: false,
-      wanted: soon,
+      queueOrderMs: demand.awaitingMachinesSinceMs[dimension],
+      isStartable: false,
+      wanted: awaitingMachines,
     },
   ];
   return takers.filter(({ wanted }) => wanted > EPSILON);
 }
 
-/** The partition of the job that quota is reserved for, with what it still lacks; null: nothing of this. */
+/**
+ * The partition that has the reservation in force, with what its job still lacks of this resource; null if it is not known to lack
+ * anything.
+ */
 export function reservingTaker(
   situation: QuotaSituation,
-  { partition, missing: lacks, readyAt }: PartitionReservation,
+  { partition, missing, readyAt }: PartitionReservation,
   team: string,
-  parts: Readonly<Record<string, ResourceAmounts>>,
+  shares: Readonly<Record<string, ResourceAmounts>>,
   dimension: Dimension,
 ): QuotaTaker | null {
   const isOwn = partition === situation.partition;
   const demands = isOwn
     ? situation.ownDemands
     : situation.otherDemands.get(partition);
-  const beyond = demands?.get(team)?.baseShare;
-  if (!beyond) return null;
-  const wanted = remaining(lacks, beyond, parts[partition], dimension);
+  const baseShare = demands?.get(team)?.baseShare;
+  if (!baseShare) return null;
+  const wanted = stillWanted(missing, baseShare, shares[partition], dimension);
   return wanted > EPSILON
-    ? { partition, sinceMs: readyAt, now: true, wanted }
+    ? { partition, queueOrderMs: readyAt, isStartable: true, wanted }
     : null;
 }
 
-/** A partition whose tasks could start with what is idle elsewhere, and what they lack. */
+/** A partition whose tasks could start with idle quota of other partitions, and how much they lack. */
 export interface BackfillTaker {
   partition: string;
-  lacks: ResourceAmounts;
+  missing: ResourceAmounts;
 }
 
-/** The other partitions that ask for idle quota of a team, in the order of the turns of their oldest work. */
+/** The other partitions that ask for idle quota of a team, in the queue order of their first startable tasks. */
 export function backfillTakersOf(
   situation: QuotaSituation,
   team: string,
-  parts: Readonly<Record<string, ResourceAmounts>>,
+  shares: Readonly<Record<string, ResourceAmounts>>,
 ): BackfillTaker[] {
-  const takers: (BackfillTaker & { sinceMs: number })[] = [];
+  const takers: (BackfillTaker & { queueOrderMs: number })[] = [];
   for (const [partition, demands] of situation.otherDemands) {
     const demand = demands.get(team);
     const isNamed = situation.partitions.includes(partition);
     if (!demand?.backfill || !isNamed || partition === situation.partition)
       continue;
-    const { backfill, baseShare: beyond, startableSinceMs: nowSince } = demand;
-    const lacks = perDimension((dimension) =>
-      remaining(backfill, beyond, parts[partition], dimension),
+    const { backfill, baseShare, startableSinceMs } = demand;
+    const missing = perDimension((dimension) =>
+      stillWanted(backfill, baseShare, shares[partition], dimension),
     );
-    takers.push({ partition, lacks, sinceMs: Math.min(...nowSince) });
+    takers.push({
+      partition,
+      missing,
+      queueOrderMs: Math.min(...startableSinceMs),
+    });
   }
   return takers.sort(
     (first, second) =>
-      first.sinceMs - second.sinceMs ||
+      first.queueOrderMs - second.queueOrderMs ||
       (first.partition < second.partition ? -1 : 1),
   );
 }
 
-/** What is left of a want after what has come since it was published. */
-const remaining = (
+/** The demand that remains after the partition's share has grown since it was published. */
+const stillWanted = (
   wanted: Readonly<ResourceAmounts>,
-  beyond: Readonly<ResourceAmounts>,
-  part: Readonly<ResourceAmounts> | undefined,
+  baseShare: Readonly<ResourceAmounts>,
+  share: Readonly<ResourceAmounts> | undefined,
   dimension: Dimension,
 ): number =>
   Math.max(
     0,
     Math.min(
       wanted[dimension],
-      wanted[dimension] + beyond[dimension] - (part?.[dimension] ?? 0),
+      wanted[dimension] + baseShare[dimension] - (share?.[dimension] ?? 0),
     ),
   );
--- a/src/coordination/quota/quota-team-planner.ts
+++ b/src/coordination/quota/quota-team-planner.ts
@@ -1,12 +1,13 @@
 /**
- * Plans the next entry of one team in the quota records: follows the settings' limit, states what is in use, gives back what
- * is too much, and moves parts to partitions that want more. Owns the new entry while it is worked out.
+ * Plans the next entry of one team in the quota records: adopts the limit in the settings, raises this partition's share to its
+ * use, releases its unused quota while the shares exceed the cap, and transfers quota to partitions that demand more. Owns the
+ * new entry until it is complete.
  */
 import type { Team } from "../../config/settings.js";
 import { EPSILON } from "../scheduling/placement.js";
 import type { PartitionReservation } from "./quota-reservations.js";
 import type {
-  GiftReason,
+  TransferReason,
   QuotaPlan,
   QuotaSituation,
 } from "./quota-situation.js";
@@ -32,18 +33,18 @@
   roundUpToHundredth,
 } from "./resource-amounts.js";
 
-/** One team's part of a plan. What it gives away, and why, is noted in the plan. */
+/** Plans one team's entry, and adds its transfers and released quota to the plan. */
 export class QuotaTeamPlanner {
-  private readonly parts: Record<string, ResourceAmounts>;
+  private readonly shares: Record<string, ResourceAmounts>;
   private readonly cap: ResourceAmounts;
   private readonly limit: ResourceAmounts;
-  /** What this partition uses, counting all that may be running. */
+  /** What the team uses in this partition, including tasks that may be running. */
   private readonly use: ResourceAmounts;
-  /** The same, counting only what surely runs; null: not known yet. */
+  /** What it certainly uses in this partition; null during a failover, when it is not known. */
   private readonly confirmedUse: ResourceAmounts | null;
-  /** What this partition gives away. */
-  private readonly reserved: ResourceAmounts = [0, 0];
-  /** The large job that quota is reserved for now. */
+  /** Quota that this partition gives up. */
+  private readonly released: ResourceAmounts = [0, 0];
+  /** The reservation in force for an overdue large job of the team. */
   private readonly reservation: PartitionReservation | null;
   private isChanged = false;
 
@@ -53,10 +54,10 @@
     private readonly written: QuotaEntry,
     private readonly plan: QuotaPlan,
   ) {
-    this.parts = Object.fromEntries(
-      Object.entries(written.shares).map(([partition, part]) => [
+    this.shares = Object.fromEntries(
+      Object.entries(written.shares).map(([partition, share]) => [
         partition,
-        [...part],
+        [...share],
       ]),
     );
     this.cap = [...written.cap];
@@ -66,37 +67,37 @@
     this.reservation = situation.reservation(team.name);
   }
 
-  /** The entry to be written; null: it stays as it is. */
+  /** The entry to be written; null if it does not change. */
   planEntry(): NewQuotaEntry | null {
     for (const dimension of DIMENSIONS) {
       this.adoptLimit(dimension);
       if (this.cap[dimension] === Infinity) continue;
       this.clearRemovedPartitions(dimension);
-      this.stateUse(dimension);
-      this.giveBackExcess(dimension);
+      this.raiseShareToUse(dimension);
+      this.releaseExcess(dimension);
     }
-    if (this.mayMove()) {
+    if (this.mayMoveShares()) {
       for (const dimension of DIMENSIONS) this.moveToTakers(dimension);
       if (!this.reservation) this.lendIdle();
     }
-    if (this.reserved.some((amount) => amount > 0))
-      this.plan.released.set(this.team.name, this.reserved);
-    return this.isChanged ? { shares: this.parts, cap: this.cap } : null;
+    if (this.released.some((amount) => amount > 0))
+      this.plan.released.set(this.team.name, this.released);
+    return this.isChanged ? { shares: this.shares, cap: this.cap } : null;
   }
 
-  /** The partition's part, written as nothing when it has none. */
-  private partOf(partition: string): ResourceAmounts {
-    return (this.parts[partition] ??= [0, 0]);
+  /** The partition's share in the new entry, added as zero if there is none. */
+  private shareOf(partition: string): ResourceAmounts {
+    return (this.shares[partition] ??= [0, 0]);
   }
 
   private total(dimension: Dimension): number {
-    return Object.values(this.parts).reduce(
-      (sum, part) => sum + part[dimension],
+    return Object.values(this.shares).reduce(
+      (sum, share) => sum + share[dimension],
       0,
     );
   }
 
-  /** Lowering a limit waits for nobody; raising it waits until every live controller goes by the raised one. */
+  /** Lowers the cap at once, but raises it only when every live controller has the raised limit in its settings. */
   private adoptLimit(dimension: Dimension): void {
     const cap = this.cap[dimension];
     const limit = this.limit[dimension];
@@ -104,60 +105,60 @@
     const isRaised =
       cap < limit - MAX_ROUNDING_ERROR && this.situation.limitsAgreed;
     if (!isLowered && !isRaised) return;
-    // Where there was no limit, nobody's part says what it uses: with the whole limit for each, nothing starts until each has
-    // said so.
+    // Without a limit, the shares did not show what is in use. With the whole limit as each share, the shares exceed the cap, and
+    // no task starts until the partitions have released what they don't use.
     if (isLowered && cap === Infinity)
       for (const partition of new Set([
         ...this.situation.partitions,
-        ...Object.keys(this.parts),
+        ...Object.keys(this.shares),
       ]))
-        this.partOf(partition)[dimension] = roundDownToHundredth(limit);
+        this.shareOf(partition)[dimension] = roundDownToHundredth(limit);
     if (isRaised && limit === Infinity)
-      for (const part of Object.values(this.parts)) part[dimension] = 0;
+      for (const share of Object.values(this.shares)) share[dimension] = 0;
     this.cap[dimension] = limit;
     this.isChanged = true;
-    this.plan.caps.push(this.team.name);
+    this.plan.teamsWithNewCap.push(this.team.name);
   }
 
   private clearRemovedPartitions(dimension: Dimension): void {
     for (const partition of this.situation.removedPartitions) {
-      const part = this.partOf(partition);
-      if (!(part[dimension] > EPSILON)) continue;
-      // Nothing of it can run any more, and it stays written as nothing: the version before takes what is not
-      // written for an equal part.
-      part[dimension] = 0;
+      const share = this.shareOf(partition);
+      if (!(share[dimension] > EPSILON)) continue;
+      // None of its tasks can be running. The share is kept as zero, because the previous version assumes an equal share for
+      // a partition that is not in the entry.
+      share[dimension] = 0;
       this.isChanged = true;
       if (!this.plan.removedPartitions.includes(partition))
         this.plan.removedPartitions.push(partition);
     }
   }
 
-  /** What runs here is more than the part: said openly, so that nobody starts anything on what is used already. */
-  private stateUse(dimension: Dimension): void {
+  /** If more runs here than the share allows, raises the share, so that no other partition uses the same quota. */
+  private raiseShareToUse(dimension: Dimension): void {
     if (!this.confirmedUse) return;
     const use = this.confirmedUse[dimension];
-    const part = this.partOf(this.situation.partition);
-    if (use <= part[dimension] + MAX_ROUNDING_ERROR) return;
-    part[dimension] = roundUpToHundredth(use);
+    const share = this.shareOf(this.situation.partition);
+    if (use <= share[dimension] + MAX_ROUNDING_ERROR) return;
+    share[dimension] = roundUpToHundredth(use);
     this.isChanged = true;
   }
 
-  /** While more is handed out than there is, this partition gives back what it does not use. */
-  private giveBackExcess(dimension: Dimension): void {
+  /** While the shares exceed the cap, releases what this partition does not use. */
+  private releaseExcess(dimension: Dimension): void {
     const cap = this.cap[dimension];
     const sum = this.total(dimension);
-    const part = this.partOf(this.situation.partition);
+    const share = this.shareOf(this.situation.partition);
     const excess = roundDownToHundredth(
-      Math.min(sum - cap, part[dimension] - this.use[dimension]),
+      Math.min(sum - cap, share[dimension] - this.use[dimension]),
     );
     if (sum <= cap + EPSILON || excess <= EPSILON) return;
-    part[dimension] = roundDownToHundredth(part[dimension] - excess);
-    this.reserved[dimension] += excess;
+    share[dimension] = roundDownToHundredth(share[dimension] - excess);
+    this.released[dimension] += excess;
     this.isChanged = true;
   }
 
-  /** While more is handed out than there is, nothing moves: what is given back is not for anyone. */
-  private mayMove(): boolean {
+  /** No quota is transferred while the shares exceed the cap: what is released then is for no other partition. */
+  private mayMoveShares(): boolean {
     const isWithinCap = DIMENSIONS.every(
       (dimension) =>
         this.cap[dimension] === Infinity ||
@@ -167,7 +168,7 @@
     return isWithinCap && this.situation.mayMoveShares(this.written.key);
   }
 
-  /** Gives of the own part to partitions that want more, and takes of what nobody has. */
+  /** Transfers quota from this partition to those that demand more, and takes unassigned quota for this one. */
   private moveToTakers(dimension: Dimension): void {
     const cap = this.cap[dimension];
     if (cap === Infinity) return;
@@ -182,113 +183,131 @@
       unassigned -= available;
       if (taker.partition === situation.partition)
         this.takeUnassigned(available, dimension);
-      else this.giveTo(taker, taker.wanted - available, dimension);
+      else this.transferTo(taker, taker.wanted - available, dimension);
     }
   }
 
-  /** In the order of their turns, but first the one that quota is reserved for. */
+  /** The partition with the reservation in force, then all others in their order. */
   private takers(
     dimension: Dimension,
-  ): (QuotaTaker & { reason: GiftReason })[] {
-    const { situation, team, parts, reservation } = this;
-    const takers = takersOf(situation, team.name, parts, dimension).map(
-      (taker) => ({ ...taker, reason: "turn" as GiftReason }),
+  ): (QuotaTaker & { reason: TransferReason })[] {
+    const { situation, team, shares, reservation } = this;
+    const takers = takersOf(situation, team.name, shares, dimension).map(
+      (taker) => ({ ...taker, reason: "turn" as TransferReason }),
     );
     const first =
       reservation &&
-      reservingTaker(situation, reservation, team.name, parts, dimension);
+      reservingTaker(situation, reservation, team.name, shares, dimension);
     return first ? [{ ...first, reason: "reservation" }, ...takers] : takers;
   }
 
-  /** What nobody has is there for whoever comes first, who takes it by this commit and uses it once it is written. */
+  /** Takes quota that is not assigned to any partition; it may be used once the transaction is committed. */
   private takeUnassigned(amount: number, dimension: Dimension): void {
     if (amount <= EPSILON) return;
-    const part = this.partOf(this.situation.partition);
-    part[dimension] = roundDownToHundredth(part[dimension] + amount);
+    const share = this.shareOf(this.situation.partition);
+    share[dimension] = roundDownToHundredth(share[dimension] + amount);
     this.isChanged = true;
   }
 
-  /** Gives what this partition neither uses nor needs for its own work that comes first. */
-  private giveTo(
-    taker: QuotaTaker & { reason: GiftReason },
+  /** Transfers what this partition neither uses nor keeps for its own waiting tasks that come first. */
+  private transferTo(
+    taker: QuotaTaker & { reason: TransferReason },
     wanted: number,
     dimension: Dimension,
   ): void {
     const { partition, reason } = taker;
-    const ownPart = this.partOf(this.situation.partition);
-    const kept = this.keptFrom(taker, dimension);
-    const spare = ownPart[dimension] - this.use[dimension] - kept;
-    this.give(partition, Math.min(wanted, spare), dimension, reason);
+    const ownShare = this.shareOf(this.situation.partition);
+    const kept = this.keptForOwnJobs(taker, dimension);
+    const spare = ownShare[dimension] - this.use[dimension] - kept;
+    this.transfer(partition, Math.min(wanted, spare), dimension, reason);
   }
 
-  private keptFrom(
-    { partition, sinceMs, now, reason }: QuotaTaker & { reason: GiftReason },
+  private keptForOwnJobs(
+    {
+      partition,
+      queueOrderMs,
+      isStartable,
+      reason,
+    }: QuotaTaker & { reason: TransferReason },
     dimension: Dimension,
   ): number {
     const { situation, reservation } = this;
     const team = this.team.name;
-    const reserved = reservation
+    const kept = reservation
       ? situation.keptForOverdueJob(team, reservation)[dimension]
       : situation.keptForBackfill(team)[dimension];
-    if (reason === "reservation") return reserved;
-    const forTurns = situation.needAheadOf(team, sinceMs, partition, now)[
-      dimension
-    ];
-    return Math.max(forTurns, reserved);
+    if (reason === "reservation") return kept;
+    const needAhead = situation.needAheadOf(
+      team,
+      queueOrderMs,
+      partition,
+      isStartable,
+    )[dimension];
+    return Math.max(needAhead, kept);
   }
 
-  /** Lends what nothing that waits here can use to partitions whose tasks it completes. */
+  /** Lends quota that no task waiting here can use to partitions whose tasks can start with it. */
   private lendIdle(): void {
-    const { situation, team, parts } = this;
+    const { situation, team, shares } = this;
     const idle = situation.lendable(team.name);
     if (!isAnyPositive(idle)) return;
-    for (const { partition, lacks } of backfillTakersOf(
+    for (const { partition, missing } of backfillTakersOf(
       situation,
       team.name,
-      parts,
+      shares,
     ))
       for (const dimension of DIMENSIONS) {
         if (this.cap[dimension] === Infinity) continue;
         const unused =
-          this.partOf(situation.partition)[dimension] - this.use[dimension];
-        const amount = Math.min(lacks[dimension], idle[dimension], unused);
-        idle[dimension] -= this.give(partition, amount, dimension, "backfill");
+          this.shareOf(situation.partition)[dimension] - this.use[dimension];
+        const amount = Math.min(missing[dimension], idle[dimension], unused);
+        idle[dimension] -= this.transfer(
+          partition,
+          amount,
+          dimension,
+          "backfill",
+        );
       }
   }
 
-  /** Moves an amount from the own part to another partition's; returns it, rounded. */
-  private give(
+  /** Moves an amount from this partition's share to another one; returns the amount moved, which is rounded down. */
+  private transfer(
     to: string,
     wanted: number,
     dimension: Dimension,
-    reason: GiftReason,
+    reason: TransferReason,
   ): number {
     const amount = roundDownToHundredth(Math.max(0, wanted));
     if (amount <= EPSILON) return 0;
-    const ownPart = this.partOf(this.situation.partition);
-    const takerPart = this.partOf(to);
+    const ownPart = this.shareOf(this.situation.partition);
+    const takerShare = this.shareOf(to);
     ownPart[dimension] = roundDownToHundredth(ownPart[dimension] - amount);
-    takerPart[dimension] = roundDownToHundredth(takerPart[dimension] + amount);
-    this.reserved[dimension] += amount;
+    takerShare[dimension] = roundDownToHundredth(
+      takerShare[dimension] + amount,
+    );
+    this.released[dimension] += amount;
     this.isChanged = true;
-    this.noteGiven(to, amount, dimension, reason);
+    this.noteTransfer(to, amount, dimension, reason);
     return amount;
   }
 
-  private noteGiven(
+  private noteTransfer(
     to: string,
     amount: number,
     dimension: Dimension,
-    reason: GiftReason,
+    reason: TransferReason,
   ): void {
     const team = this.team.name;
-    const { transfers: given } = this.plan;
-    const earlier = given.find(
-      (gift) => gift.team === team && gift.to === to && gift.reason === reason,
+    const { transfers } = this.plan;
+    const existing = transfers.find(
+      (transfer) =>
+        transfer.team === team &&
+        transfer.to === to &&
+        transfer.reason === reason,
     );
-    if (earlier) earlier.amounts[dimension] += amount;
+    if (existing) existing.amounts[dimension] += amount;
     else
-      given.push({
+      transfers.push({
         team,
         to,
         amounts: dimension === 0 ? [amount, 0] : [0, amount],
--- a/test/coordination/quota/backfill.test.ts
+++ b/test/coordination/quota/backfill.test.ts
@@ -9,74 +9,77 @@
 import { QuotaReservations } from "../../../src/coordination/quota/quota-reservations.js";
 import { LimitedWorld } from "./limited-world.js";
 
-// Idle quota is lent to work that fits into it, and quota is reserved for large work whose start is overdue: docs/design/limits.md.
+// Idle quota is lent to jobs that fit into it, and quota is reserved for large jobs whose start is overdue: docs/design/limits.md.
 
-/** From the stated aim: nobody waits for 90 s beside room. */
-const SMALL_WITHIN_S = 90;
-/** From the stated aim: the largest jobs begin within four minutes. */
-const LARGE_WITHIN_S = 240;
-const CONTROLLERS = [1, 2, 3, 5, 7];
+/** Design goal: no job waits for 90 s while there is capacity for it. */
+const MAX_SMALL_WAIT_S = 90;
+/** Design goal: the largest jobs begin within four minutes. */
+const MAX_LARGE_WAIT_S = 240;
+const CONTROLLER_COUNTS = [1, 2, 3, 5, 7];
 
-const waiting = (
+const waitingTasks = (
   cpus: number,
   units: number,
-  over: Partial<WaitingTasks> = {},
+  overrides: Partial<WaitingTasks> = {},
 ): WaitingTasks => ({
   need: [cpus * units, 0],
-  turnMs: 0,
+  queueOrderMs: 0,
   readyAt: 0,
   isStartable: true,
   unit: [cpus, 0],
   units,
   isPartOfGang: false,
-  ...over,
+  ...overrides,
 });
 
-test("idle is what no waiting task can use, in the order of turns", () => {
-  assert.deepEqual(idleAmounts([waiting(4, 3)], [2.8, 1]), [2.8, 1]);
-  assert.deepEqual(idleAmounts([waiting(4, 3)], [6.8, 0]), [2.8, 0]);
+test("idle quota is what no waiting task can use, in queue order", () => {
+  assert.deepEqual(idleAmounts([waitingTasks(4, 3)], [2.8, 1]), [2.8, 1]);
+  assert.deepEqual(idleAmounts([waitingTasks(4, 3)], [6.8, 0]), [2.8, 0]);
   assert.deepEqual(
-    idleAmounts([waiting(4, 3), waiting(1, 2)], [2.8, 0]),
+    idleAmounts([waitingTasks(4, 3), waitingTasks(1, 2)], [2.8, 0]),
     [0.8, 0],
   );
-  assert.deepEqual(idleAmounts([waiting(1, 1), waiting(4, 1)], [4, 0]), [3, 0]);
-  const unlimited = idleAmounts([waiting(4, 1)], [2, Infinity]);
-  assert.deepEqual(unlimited, [2, 0], "what has no limit is lent to nobody");
   assert.deepEqual(
-    idleAmounts([waiting(2, 1, { isPartOfGang: true })], [2, 0]),
+    idleAmounts([waitingTasks(1, 1), waitingTasks(4, 1)], [4, 0]),
+    [3, 0],
+  );
+  const unlimited = idleAmounts([waitingTasks(4, 1)], [2, Infinity]);
+  assert.deepEqual(unlimited, [2, 0], "unlimited resources are not lent");
+  assert.deepEqual(
+    idleAmounts([waitingTasks(2, 1, { isPartOfGang: true })], [2, 0]),
     [2, 0],
-    "the part of a gang starts nothing alone",
+    "quota for one part of a spread gang starts nothing",
   );
 });
 
-test("work asks for idle quota only if that completes it, and for as many tasks as it completes", () => {
-  assert.equal(backfillTarget([waiting(1, 5)], [0, 0], [0, 0]), null);
-  assert.equal(backfillTarget([waiting(4, 5)], [0, 0], [2.8, 0]), null);
+test("idle quota is requested only if tasks can start with it, and for as many tasks as can", () => {
+  assert.equal(backfillTarget([waitingTasks(1, 5)], [0, 0], [0, 0]), null);
+  assert.equal(backfillTarget([waitingTasks(4, 5)], [0, 0], [2.8, 0]), null);
   assert.deepEqual(
-    backfillTarget([waiting(4, 1), waiting(1, 5)], [0, 0], [2.8, 0]),
+    backfillTarget([waitingTasks(4, 1), waitingTasks(1, 5)], [0, 0], [2.8, 0]),
     {
       need: [2, 0],
-      lacks: [2, 0],
+      missing: [2, 0],
     },
   );
-  assert.deepEqual(backfillTarget([waiting(1, 5)], [0.5, 0], [2.8, 0]), {
+  assert.deepEqual(backfillTarget([waitingTasks(1, 5)], [0.5, 0], [2.8, 0]), {
     need: [3, 0],
-    lacks: [2.5, 0],
+    missing: [2.5, 0],
   });
-  const accelerated = waiting(1, 1, { unit: [1, 1], need: [1, 1] });
-  assert.equal(backfillTarget([accelerated], [0, 0], [5, 0]), null);
-  assert.deepEqual(backfillTarget([accelerated], [0, 3], [5, 0]), {
+  const acceleratedTask = waitingTasks(1, 1, { unit: [1, 1], need: [1, 1] });
+  assert.equal(backfillTarget([acceleratedTask], [0, 0], [5, 0]), null);
+  assert.deepEqual(backfillTarget([acceleratedTask], [0, 3], [5, 0]), {
     need: [1, 1],
-    lacks: [1, 0],
+    missing: [1, 0],
   });
-  const withoutPlace = waiting(1, 5, { isStartable: false });
-  assert.equal(backfillTarget([withoutPlace], [0, 0], [5, 0]), null);
+  const withoutSlot = waitingTasks(1, 5, { isStartable: false });
+  assert.equal(backfillTarget([withoutSlot], [0, 0], [5, 0]), null);
 });
 
-/** Larger, older work in east leaves 2 of 10 CPUs; small work comes to another zone. */
-function smallBesideLarge(controllers: number): {
+/** Larger and older tasks in one zone leave 2 of 10 CPUs unused; small tasks arrive in another zone. */
+function runSmallBesideLarge(controllers: number): {
   day: LimitedWorld;
-  beganAfterS: number;
+  startedAfterS: number;
 } {
   const day = new LimitedWorld({
     seed: 40 + controllers,
@@ -87,21 +90,21 @@
   day.submit(10_000, { zone: "east", tasks: 20, cpus: 4, estimateS: 5 });
   const small = day.submit(40_000, { zone: "mid", tasks: 8, estimateS: 600 });
   day.run(160_000, 40_000);
-  return { day, beganAfterS: day.begunS(small, 40_000) };
+  return { day, startedAfterS: day.startedAfterS(small, 40_000) };
 }
 
-// Small work waited for as long as larger, older work of its team did, in whose partition the rest of the limit lay idle.
-test("small work begins beside larger work of its team that can't use the rest of the limit, with 1, 2, 3, 5 and 7 controllers", () => {
-  for (const controllers of CONTROLLERS) {
-    const { day, beganAfterS } = smallBesideLarge(controllers);
+// Small tasks waited as long as the larger and older tasks of their team, whose partition left the rest of the limit idle.
+test("small tasks start beside larger tasks of their team that can't use the rest of the limit, with 1, 2, 3, 5 and 7 controllers", () => {
+  for (const controllers of CONTROLLER_COUNTS) {
+    const { day, startedAfterS } = runSmallBesideLarge(controllers);
     assert.ok(
-      beganAfterS < SMALL_WITHIN_S,
-      `${controllers} controllers: ${beganAfterS} s`,
+      startedAfterS < MAX_SMALL_WAIT_S,
+      `${controllers} controllers: ${startedAfterS} s`,
     );
     const transfers = day.transfersSince(60_000);
     assert.ok(
       transfers.length < 20,
-      `${controllers} controllers: quota goes to and fro\n${transfers.join("\n")}`,
+      `${controllers} controllers: quota moves back and forth\n${transfers.join("\n")}`,
     );
   }
 });
@@ -110,20 +113,20 @@
   const { lendable } = QuotaBackfill.prototype;
   QuotaBackfill.prototype.lendable = () => [0, 0];
   try {
-    assert.ok(smallBesideLarge(3).beganAfterS > SMALL_WITHIN_S);
+    assert.ok(runSmallBesideLarge(3).startedAfterS > MAX_SMALL_WAIT_S);
   } finally {
     QuotaBackfill.prototype.lendable = lendable;
   }
 });
 
-test("the rest of a limit that is scattered over three partitions starts small work in a fourth", () => {
+test("idle quota of three partitions together starts small tasks in a fourth", () => {
   const day = new LimitedWorld({
     seed: 50,
     controllers: 5,
     cpusMax: 15,
     runFactor: 30,
   });
-  // Each of three partitions has 5 CPUs in the end, of which it can't use one.
+  // Each of the three partitions ends up with 5 CPUs, one of which it can't use.
   for (const zone of ["east", "mid", "west"])
     day.submit(10_000, { zone, tasks: 20, cpus: 4, estimateS: 5 });
   const small = day.submit(45_000, {
@@ -133,16 +136,16 @@
     estimateS: 600,
   });
   day.run(150_000, 45_000);
-  assert.ok(day.begunS(small, 45_000) < SMALL_WITHIN_S);
+  assert.ok(day.startedAfterS(small, 45_000) < MAX_SMALL_WAIT_S);
 });
 
-test("the same with accelerators", () => {
+test("idle quota of accelerators is lent", () => {
   const day = new LimitedWorld({
     seed: 51,
     controllers: 2,
     cpusMax: 100,
     gpusMax: 5,
-    machines: 2,
+    machinesPerZone: 2,
     machineType: "big",
     runFactor: 30,
   });
@@ -160,10 +163,10 @@
     estimateS: 600,
   });
   day.run(150_000, 40_000);
-  assert.ok(day.begunS(small, 40_000) < SMALL_WITHIN_S);
+  assert.ok(day.startedAfterS(small, 40_000) < MAX_SMALL_WAIT_S);
 });
 
-test("a leader that ends and a machine that can't be reached while quota is lent: the limit holds, and the small work begins", () => {
+test("a leader crash and an unreachable machine while quota is lent: the limit holds, and the small tasks start", () => {
   for (const seed of [60, 61, 62, 63]) {
     const day = new LimitedWorld({
       seed,
@@ -193,12 +196,15 @@
     });
     day.run(180_000, 70_000);
     assert.ok(isLent);
-    assert.ok(day.begunS(small, 40_000) < SMALL_WITHIN_S, `seed ${seed}`);
+    assert.ok(
+      day.startedAfterS(small, 40_000) < MAX_SMALL_WAIT_S,
+      `seed ${seed}`,
+    );
   }
 });
 
-/** A stream of small work takes all of the limit, and a gang comes that needs 8 of its 10 CPUs; s until it begins. */
-function gangBesideStream(controllers: number): number {
+/** Seconds until a gang that needs 8 of 10 CPUs begins, beside a stream of small tasks that use the whole limit. */
+function startOfGangBesideStreamS(controllers: number): number {
   const day = new LimitedWorld({
     seed: 70 + controllers,
     controllers,
@@ -217,22 +223,22 @@
     tasks: 4,
     cpus: 2,
   });
-  day.run(30_000 + 1_000 * LARGE_WITHIN_S, 30_000);
-  return day.begunS(gang, 30_000);
+  day.run(30_000 + 1_000 * MAX_LARGE_WAIT_S, 30_000);
+  return day.startedAfterS(gang, 30_000);
 }
 
-// What lending takes from large work it gets back in time: quota is reserved for it once it has waited for long.
-test("a large gang begins within four minutes beside a stream of small work of its team, with 1, 2, 3, 5 and 7 controllers", () => {
-  for (const controllers of CONTROLLERS) {
-    const beganAfterS = gangBesideStream(controllers);
+// Lending idle quota must not starve large jobs: quota is reserved for a job that has waited for long.
+test("a large gang begins within four minutes beside a stream of small tasks of its team, with 1, 2, 3, 5 and 7 controllers", () => {
+  for (const controllers of CONTROLLER_COUNTS) {
+    const startedAfterS = startOfGangBesideStreamS(controllers);
     assert.ok(
-      beganAfterS < LARGE_WITHIN_S,
-      `${controllers} controllers: ${beganAfterS} s`,
+      startedAfterS < MAX_LARGE_WAIT_S,
+      `${controllers} controllers: ${startedAfterS} s`,
     );
   }
 });
 
-// All work of the team stood still in a partition whose large gang had its quota and waited for machines.
+// A large gang that had its quota and waited for machines only held back all other jobs of its team in its partition.
 test("a large gang that only waits for machines holds nobody back", () => {
   const { isHeldBack } = QuotaReservations.prototype;
   let heldBack = 0;
@@ -246,7 +252,7 @@
       seed: 80,
       controllers: 2,
       cpusMax: 1_000,
-      machines: 1,
+      machinesPerZone: 1,
       runFactor: 10,
     });
     day.world.capacity = 1;
@@ -259,7 +265,11 @@
       cpus: 4,
     });
     day.run(250_000, 250_000);
-    assert.equal(day.begunS(gang, 10_000), Infinity, "it has no room");
+    assert.equal(
+      day.startedAfterS(gang, 10_000),
+      Infinity,
+      "the machines have no capacity for it",
+    );
     assert.equal(heldBack, 0);
   } finally {
     QuotaReservations.prototype.isHeldBack = isHeldBack;
@@ -270,7 +280,7 @@
   const { inForce } = QuotaReservations.prototype;
   QuotaReservations.prototype.inForce = () => null;
   try {
-    assert.ok(gangBesideStream(3) > LARGE_WITHIN_S);
+    assert.ok(startOfGangBesideStreamS(3) > MAX_LARGE_WAIT_S);
   } finally {
     QuotaReservations.prototype.inForce = inForce;
   }
--- a/test/coordination/quota/limited-world.ts
+++ b/test/coordination/quota/limited-world.ts
@@ -1,4 +1,4 @@
-/** A simulated day on which one team's limit is short: machines in several zones, and jobs submitted at set times. */
+/** A simulated cluster in which one team's limit is scarce: machines in several zones, and jobs submitted at given times. */
 import assert from "node:assert/strict";
 import type { JobSpec } from "../../../src/coordination/model.js";
 import { randomJob } from "../../simulation/workloads.js";
@@ -9,25 +9,25 @@
   controllers: number;
   cpusMax: number;
   gpusMax?: number;
-  /** Machines of each zone that are there from the start, and their type. */
-  machines?: number;
+  /** Machines of each zone that exist from the start. */
+  machinesPerZone?: number;
   machineType?: "small" | "big";
-  /** Tasks run for 1 to 12 s, times this. */
+  /** Factor on the running time of tasks, which is 1 to 12 s. */
   runFactor?: number;
 }
 
 export class LimitedWorld {
   readonly world: World;
-  private jobs = 0;
-  /** When the first task of each job began to run, in ms. */
-  private readonly begunMs = new Map<string, number>();
+  private jobCount = 0;
+  /** When the first task of each job started to run, in simulated ms. */
+  private readonly startedMs = new Map<string, number>();
 
   constructor({
     seed,
     controllers,
     cpusMax,
     gpusMax = Infinity,
-    machines = 3,
+    machinesPerZone: machines = 3,
     machineType = "small",
     runFactor = 1,
   }: LimitedWorldOptions) {
@@ -42,18 +42,19 @@
     const type = world.types.find(({ name }) => name === machineType);
     assert.ok(type);
     for (const zone of type.zones)
-      for (let n = 0; n < machines; n++) world.cloud.add(type, zone, false, 0);
-    world.every(250, () => this.noteBegun());
+      for (let index = 0; index < machines; index++)
+        world.cloud.add(type, zone, false, 0);
+    world.every(250, () => this.noteStarts());
     this.world = world;
   }
 
-  /** Submits a job of the team at a time of the day. */
-  submit(atMs: number, over: Partial<JobSpec> = {}): string {
+  /** Submits a job of the team at a simulated time; returns its id. */
+  submit(atMs: number, overrides: Partial<JobSpec> = {}): string {
     const spec: JobSpec = {
-      ...randomJob(this.world, ++this.jobs),
+      ...randomJob(this.world, ++this.jobCount),
       team: "red",
       kind: "array",
-      jobClass: over.kind === "gang" ? "gangs" : "arrays",
+      jobClass: overrides.kind === "gang" ? "gangs" : "arrays",
       priority: "normal",
       tasks: 1,
       cpus: 1,
@@ -66,7 +67,7 @@
       estimateS: 30,
       checkpointS: 0,
       deadlineS: null,
-      ...over,
+      ...overrides,
     };
     this.world.specs.set(spec.id, spec);
     this.world.at(atMs, () =>
@@ -81,12 +82,12 @@
     return spec.id;
   }
 
-  /** The first second of work of a job, in s after `sinceMs`; Infinity: it has not begun. */
-  begunS(job: string, sinceMs: number): number {
-    return ((this.begunMs.get(job) ?? Infinity) - sinceMs) / 1_000;
+  /** Seconds from `sinceMs` to the start of a job's first task; Infinity if none has started. */
+  startedAfterS(job: string, sinceMs: number): number {
+    return ((this.startedMs.get(job) ?? Infinity) - sinceMs) / 1_000;
   }
 
-  /** Runs until then, looking from `fromMs` on whether anybody is left waiting; no rule may break. */
+  /** Runs until `untilMs`, expects that no invariant is violated and, from `fromMs` on, that no job is left waiting. */
   run(untilMs: number, fromMs = 0): void {
     const { world } = this;
     world.at(fromMs, () =>
@@ -103,7 +104,7 @@
     );
   }
 
-  /** Lines of the log that say that quota was given, from a time of the day on. */
+  /** Log lines about quota transfers from `fromMs` on. */
   transfersSince(fromMs: number): string[] {
     return this.world.logs.filter(
       (line) =>
@@ -112,10 +113,10 @@
     );
   }
 
-  private noteBegun(): void {
+  private noteStarts(): void {
     for (const machine of this.world.workers)
       for (const task of machine.tasks.values())
-        if (task.state !== "exited" && !this.begunMs.has(task.job))
-          this.begunMs.set(task.job, this.world.now);
+        if (task.state !== "exited" && !this.startedMs.has(task.job))
+          this.startedMs.set(task.job, this.world.now);
   }
 }
--- a/test/coordination/quota/process-cluster.ts
+++ b/test/coordination/quota/process-cluster.ts
@@ -4,14 +4,17 @@
 import { Deployment, listen, sleep } from "../../webhooks/processes.js";
 import type { Rng } from "../../simulation/rng.js";
 
-/** Stand-in machines on loopback for real controllers, after PROTOCOL's "Workers -> controller nodes"; and their own count of what runs. */
+/**
+ * Real controller processes with simulated machines on loopback, which speak the protocol of PROTOCOL's "Workers -> controller
+ * nodes" and count on their own what runs.
+ */
 
-const REPORT_MS = 500;
+const HEARTBEAT_MS = 500;
 const LEASE_MS = 2_000;
 
 interface Task {
   job: string;
-  shard: string;
+  id: string;
   attempt: number;
   status: "fetching" | "running" | "exited";
   cause: string | null;
@@ -21,56 +24,56 @@
   orders?: { verb: "start" | "kill" | "clear"; shard: string; try: number }[];
 }
 
-/** What all machines run, by team, at every moment. */
-export class Count {
-  readonly on = new Map<string, number>();
-  readonly done = new Set<string>();
-  readonly where = new Map<string, string>();
-  readonly wrong: string[] = [];
+/** What runs on all machines at this moment; records violations of quotas and tasks that run twice. */
+export class Usage {
+  readonly usedCpus = new Map<string, number>();
+  readonly completed = new Set<string>();
+  readonly workerByTask = new Map<string, string>();
+  readonly violations: string[] = [];
   starts = 0;
 
   constructor(
-    readonly jobs: Map<string, { team: string; cores: number; tasks: number }>,
+    readonly jobs: Map<string, { team: string; cpus: number; tasks: number }>,
     readonly limits: ReadonlyMap<string, number>,
   ) {}
-  begins(shard: string, worker: string): void {
-    const { team, cores } = this.jobs.get(shard.split("/")[0]!)!;
-    const now = (this.on.get(team) ?? 0) + cores;
-    this.on.set(team, now);
+  taskStarted(task: string, worker: string): void {
+    const { team, cpus } = this.jobs.get(task.split("/")[0]!)!;
+    const teamCpus = (this.usedCpus.get(team) ?? 0) + cpus;
+    this.usedCpus.set(team, teamCpus);
     this.starts++;
-    if (now > this.limits.get(team)! + 1e-6)
-      this.wrong.push(`quota: ${team} uses ${now}`);
-    if (this.where.has(shard))
-      this.wrong.push(
-        `ran_twice: ${shard} on ${worker} and ${this.where.get(shard)}`,
+    if (teamCpus > this.limits.get(team)! + 1e-6)
+      this.violations.push(`quota: ${team} uses ${teamCpus}`);
+    if (this.workerByTask.has(task))
+      this.violations.push(
+        `ran_twice: ${task} on ${worker} and ${this.workerByTask.get(task)}`,
       );
-    this.where.set(shard, worker);
+    this.workerByTask.set(task, worker);
   }
-  ends(shard: string): void {
-    const { team, cores } = this.jobs.get(shard.split("/")[0]!)!;
-    this.on.set(team, this.on.get(team)! - cores);
-    this.where.delete(shard);
+  taskEnded(task: string): void {
+    const { team, cpus } = this.jobs.get(task.split("/")[0]!)!;
+    this.usedCpus.set(team, this.usedCpus.get(team)! - cpus);
+    this.workerByTask.delete(task);
   }
 }
 
-export class Machine {
+export class StandInMachine {
   private incarnation = 1;
   private sequence = 0;
   private token = 0;
-  private sentMs = performance.now();
-  private target = 0;
-  private lastMs = 0;
-  private flying = false;
+  private leaseRenewedMs = performance.now();
+  private controllerIndex = 0;
+  private lastSentMs = 0;
+  private isSending = false;
   private timer: NodeJS.Timeout | null = null;
   private readonly tasks = new Map<string, Task>();
   private server: http.Server | null = null;
-  private over = false;
+  private isStopped = false;
 
   constructor(
     readonly name: string,
     readonly zone: string,
-    private readonly d: Deployment,
-    private readonly count: Count,
+    private readonly deployment: Deployment,
+    private readonly usage: Usage,
     private readonly rng: Rng,
     private readonly runMs: [number, number],
   ) {}
@@ -79,32 +82,34 @@
     this.server = await listen(
       http.createServer((req, res) => {
         let text = "";
-        req.on("data", (x) => (text += String(x)));
+        req.on("data", (chunk) => (text += String(chunk)));
         req.on("end", () => {
-          this.expire();
+          this.expireLease();
           const body = text
             ? (JSON.parse(text) as Commands & { watch?: number })
             : {};
-          const ok =
+          const isAccepted =
             req.method === "GET" ||
             (body.baton! >= this.token && body.watch === this.incarnation);
-          if (ok && req.method === "POST") this.obey(body);
+          if (isAccepted && req.method === "POST") this.execute(body);
           res
-            .writeHead(ok ? 200 : 409, { "content-type": "application/json" })
-            .end(JSON.stringify(this.report()));
+            .writeHead(isAccepted ? 200 : 409, {
+              "content-type": "application/json",
+            })
+            .end(JSON.stringify(this.heartbeat()));
         });
       }),
     );
-    this.loop();
+    this.heartbeatLoop();
   }
   async stop(): Promise<void> {
-    this.over = true;
+    this.isStopped = true;
     if (this.timer) clearTimeout(this.timer);
     this.server?.close();
     this.server?.closeAllConnections();
   }
 
-  private report(): object {
+  private heartbeat(): object {
     return {
       berth: this.name,
       address: `127.0.0.1:${(this.server!.address() as AddressInfo).port}`,
@@ -116,124 +121,126 @@
       baton: this.token,
       recallS: null,
       shards: [...this.tasks.values()].map((t) => ({
-        shard: t.shard,
+        shard: t.id,
         try: t.attempt,
         status: t.status,
         ...(t.cause ? { cause: t.cause } : {}),
       })),
     };
   }
-  private expire(): void {
-    if (performance.now() - this.sentMs <= LEASE_MS) return;
-    for (const t of this.tasks.values())
-      if (t.status === "running") this.count.ends(t.shard);
+  private expireLease(): void {
+    if (performance.now() - this.leaseRenewedMs <= LEASE_MS) return;
+    for (const task of this.tasks.values())
+      if (task.status === "running") this.usage.taskEnded(task.id);
     this.tasks.clear();
     this.incarnation++;
-    this.sentMs = performance.now();
+    this.leaseRenewedMs = performance.now();
   }
-  private loop(): void {
-    if (this.over) return;
-    this.expire();
+  private heartbeatLoop(): void {
+    if (this.isStopped) return;
+    this.expireLease();
     void this.send();
     this.timer = setTimeout(
-      () => this.loop(),
-      REPORT_MS * this.rng.real(0.75, 1.25),
+      () => this.heartbeatLoop(),
+      HEARTBEAT_MS * this.rng.real(0.75, 1.25),
     );
   }
-  /** A change: a report comes soon, no more often than every half second. */
-  private changed(): void {
+  /** Sends the next heartbeat early after a change, but at least `HEARTBEAT_MS` after the last one. */
+  private sendSoon(): void {
     if (this.timer) clearTimeout(this.timer);
     this.timer = setTimeout(
-      () => this.loop(),
-      Math.max(1, this.lastMs + REPORT_MS - performance.now()),
+      () => this.heartbeatLoop(),
+      Math.max(1, this.lastSentMs + HEARTBEAT_MS - performance.now()),
     );
   }
   private async send(): Promise<void> {
-    if (this.flying) return;
-    this.flying = true;
-    const sent = (this.lastMs = performance.now());
+    if (this.isSending) return;
+    this.isSending = true;
+    const sentMs = (this.lastSentMs = performance.now());
     const incarnation = this.incarnation;
-    const r = await this.d
-      .reach(this.target, "POST", "/hello", this.report())
+    const reply = await this.deployment
+      .reach(this.controllerIndex, "POST", "/hello", this.heartbeat())
       .catch(() => null);
-    this.flying = false;
-    if (this.over) return;
-    if (r?.status === 200) {
-      const body = r.body as Commands;
-      this.expire();
+    this.isSending = false;
+    if (this.isStopped) return;
+    if (reply?.status === 200) {
+      const body = reply.body as Commands;
+      this.expireLease();
       if (incarnation !== this.incarnation || !(body.baton! >= this.token))
         return;
-      this.sentMs = Math.max(this.sentMs, sent);
-      this.obey(body);
+      this.leaseRenewedMs = Math.max(this.leaseRenewedMs, sentMs);
+      this.execute(body);
       return;
     }
-    const named = r?.status === 421 ? r.body["harbormaster"] : null;
+    const named = reply?.status === 421 ? reply.body["harbormaster"] : null;
     const leader = typeof named === "string" ? named : "";
-    const to = this.d.indexOf(leader);
-    if (to >= 0 && to !== this.target) {
-      this.target = to;
+    const namedIndex = this.deployment.indexOf(leader);
+    if (namedIndex >= 0 && namedIndex !== this.controllerIndex) {
+      this.controllerIndex = namedIndex;
       return void this.send();
     }
-    this.target = (this.target + 1) % this.d.size;
+    this.controllerIndex = (this.controllerIndex + 1) % this.deployment.size;
   }
-  private obey(o: Commands): void {
-    this.token = Math.max(this.token, o.baton!);
-    for (const { verb, shard, try: attempt } of o.orders ?? []) {
+  private execute(commands: Commands): void {
+    this.token = Math.max(this.token, commands.baton!);
+    for (const { verb, shard, try: attempt } of commands.orders ?? []) {
       const key = `${shard}#${attempt}`;
-      const t = this.tasks.get(key);
-      if (verb === "start" && !t) {
-        const fresh: Task = {
+      const task = this.tasks.get(key);
+      if (verb === "start" && !task) {
+        const newTask: Task = {
           job: shard.split("/")[0]!,
-          shard,
+          id: shard,
           attempt,
           status: "fetching",
           cause: null,
         };
-        this.tasks.set(key, fresh);
-        setTimeout(() => this.begin(fresh, key), this.rng.real(2, 30));
-      } else if (verb === "kill" && t && t.status !== "exited")
-        this.exit(t, "stopped");
-      else if (verb === "clear" && t?.status === "exited")
+        this.tasks.set(key, newTask);
+        setTimeout(() => this.startTask(newTask, key), this.rng.real(2, 30));
+      } else if (verb === "kill" && task && task.status !== "exited")
+        this.exitTask(task, "stopped");
+      else if (verb === "clear" && task?.status === "exited")
         this.tasks.delete(key);
     }
   }
-  private begin(t: Task, key: string): void {
-    if (this.tasks.get(key) !== t || t.status !== "fetching") return;
-    this.expire();
-    if (this.tasks.get(key) !== t) return;
-    t.status = "running";
-    this.count.begins(t.shard, this.name);
-    this.changed();
-    const ms = this.count.done.has(t.shard) ? 1 : this.rng.real(...this.runMs);
+  private startTask(task: Task, key: string): void {
+    if (this.tasks.get(key) !== task || task.status !== "fetching") return;
+    this.expireLease();
+    if (this.tasks.get(key) !== task) return;
+    task.status = "running";
+    this.usage.taskStarted(task.id, this.name);
+    this.sendSoon();
+    const runMs = this.usage.completed.has(task.id)
+      ? 1
+      : this.rng.real(...this.runMs);
     setTimeout(() => {
-      if (this.tasks.get(key) !== t || t.status !== "running") return;
-      this.expire();
-      if (this.tasks.get(key) !== t) return;
-      this.count.done.add(t.shard);
-      this.exit(t, "done");
-    }, ms);
+      if (this.tasks.get(key) !== task || task.status !== "running") return;
+      this.expireLease();
+      if (this.tasks.get(key) !== task) return;
+      this.usage.completed.add(task.id);
+      this.exitTask(task, "done");
+    }, runMs);
   }
-  private exit(t: Task, cause: string): void {
-    if (t.status === "running") this.count.ends(t.shard);
-    t.status = "exited";
-    t.cause = cause;
-    this.changed();
+  private exitTask(task: Task, cause: string): void {
+    if (task.status === "running") this.usage.taskEnded(task.id);
+    task.status = "exited";
+    task.cause = cause;
+    this.sendSoon();
   }
 }
 
-export interface FarmResult {
-  wrong: string[];
+export interface ProcessClusterResult {
+  violations: string[];
   starts: number;
-  done: number;
+  completed: number;
   tasks: number;
-  /** Least part of a limit in use while its work waits, before the injected faults began, and on average during them. */
-  calm: number;
-  rough: number;
+  /** Average part of a limit in use while its jobs wait: before the injected faults, and during them. */
+  calmUsage: number;
+  faultyUsage: number;
   logErrors: string[];
 }
 
-/** Controllers, machines, four teams; after `calmMs` controllers are killed and stopped at drawn moments for `roughMs`. */
-export async function farm(
+/** Runs jobs of four teams. After `calmMs`, controllers are killed and paused at random times for `faultMs`. */
+export async function runProcessCluster(
   seed: number,
   o: {
     controllers: number;
@@ -243,15 +250,15 @@
     limit: number;
     runMs: [number, number];
     calmMs: number;
-    roughMs: number;
-    endMs: number;
+    faultMs: number;
+    drainMs: number;
   },
-): Promise<FarmResult> {
-  const d = new Deployment(seed);
+): Promise<ProcessClusterResult> {
+  const nodes = new Deployment(seed);
   const teams = ["red", "blue", "green", "grey"];
-  const count = new Count(new Map(), new Map(teams.map((t) => [t, o.limit])));
+  const usage = new Usage(new Map(), new Map(teams.map((t) => [t, o.limit])));
   const zones = Array.from({ length: o.controllers }, (_, i) => `z${i}`);
-  await d.start(
+  await nodes.start(
     o.controllers,
     "",
     teams
@@ -264,25 +271,25 @@
   const machines = Array.from(
     { length: o.machines },
     (_, i) =>
-      new Machine(
+      new StandInMachine(
         `n-${String(i + 1).padStart(6, "0")}`,
         zones[i % zones.length]!,
-        d,
-        count,
-        d.rng,
+        nodes,
+        usage,
+        nodes.rng,
         o.runMs,
       ),
   );
-  const samples: { atMs: number; part: number }[] = [];
+  const samples: { atMs: number; usage: number }[] = [];
   let timer: NodeJS.Timeout | null = null;
-  // A controller that came up after all were ended kept the test from ending.
+  // Without this, a controller that was restarted after all had been stopped kept the test from ending.
   let over = false;
   try {
     for (const m of machines) await m.start();
     const submit = async (n: number): Promise<void> => {
       const id = `req-${String(n).padStart(6, "0")}`;
       const team = teams[n % teams.length]!;
-      count.jobs.set(id, { team, cores: 0.25, tasks: o.tasks });
+      usage.jobs.set(id, { team, cpus: 0.25, tasks: o.tasks });
       const job = {
         id,
         jobclass: "demo",
@@ -306,83 +313,86 @@
         dueS: null,
       };
       for (;;) {
-        const r = await d
-          .reach(d.rng.int(0, o.controllers - 1), "POST", "/v1/jobs", job)
+        const reply = await nodes
+          .reach(nodes.rng.int(0, o.controllers - 1), "POST", "/v1/jobs", job)
           .catch(() => null);
-        if (r?.status === 200 || r?.status === 201) return;
-        if (r && r.status < 429)
-          throw new Error(`${r.status} ${JSON.stringify(r.body)}`);
+        if (reply?.status === 200 || reply?.status === 201) return;
+        if (reply && reply.status < 429)
+          throw new Error(`${reply.status} ${JSON.stringify(reply.body)}`);
         await sleep(200);
       }
     };
     await Promise.all(Array.from({ length: o.jobs }, (_, n) => submit(n + 1)));
     const startMs = performance.now();
     timer = setInterval(() => {
-      for (const t of teams) {
-        const left =
-          [...count.jobs]
-            .filter(([, j]) => j.team === t)
-            .reduce((n, [, j]) => n + j.tasks * j.cores, 0) -
-          [...count.done].filter(
-            (s) => count.jobs.get(s.split("/")[0]!)!.team === t,
+      for (const team of teams) {
+        const remainingCpus =
+          [...usage.jobs]
+            .filter(([, j]) => j.team === team)
+            .reduce((n, [, j]) => n + j.tasks * j.cpus, 0) -
+          [...usage.completed].filter(
+            (s) => usage.jobs.get(s.split("/")[0]!)!.team === team,
           ).length *
             0.25;
-        if (left > 2 * o.limit)
+        if (remainingCpus > 2 * o.limit)
           samples.push({
             atMs: performance.now() - startMs,
-            part: (count.on.get(t) ?? 0) / o.limit,
+            usage: (usage.usedCpus.get(team) ?? 0) / o.limit,
           });
       }
     }, 50);
     await sleep(Math.max(0, o.calmMs - (performance.now() - startMs)));
-    const until = performance.now() + o.roughMs;
-    while (performance.now() < until) {
-      await sleep(d.rng.real(300, 1_500));
-      const i = d.rng.int(0, o.controllers - 1);
-      if (d.rng.chance(0.5)) {
-        await d.kill(i);
-        setTimeout(() => over || d.up(i), d.rng.real(50, 600));
+    const faultsEndMs = performance.now() + o.faultMs;
+    while (performance.now() < faultsEndMs) {
+      await sleep(nodes.rng.real(300, 1_500));
+      const i = nodes.rng.int(0, o.controllers - 1);
+      if (nodes.rng.chance(0.5)) {
+        await nodes.kill(i);
+        setTimeout(() => over || nodes.up(i), nodes.rng.real(50, 600));
       } else {
-        d.signal(i, "SIGSTOP");
-        setTimeout(() => d.signal(i, "SIGCONT"), d.rng.real(200, 5_000));
+        nodes.signal(i, "SIGSTOP");
+        setTimeout(
+          () => nodes.signal(i, "SIGCONT"),
+          nodes.rng.real(200, 5_000),
+        );
       }
     }
     const total = o.jobs * o.tasks;
     for (
-      const end = performance.now() + o.endMs;
-      performance.now() < end && count.done.size < total;
+      const endMs = performance.now() + o.drainMs;
+      performance.now() < endMs && usage.completed.size < total;
     )
       await sleep(100);
     const mean = (x: number[]): number =>
       x.length === 0 ? 1 : x.reduce((a, b) => a + b, 0) / x.length;
-    const settled = Math.min(6_000, o.calmMs / 2);
+    const settledMs = Math.min(6_000, o.calmMs / 2);
     return {
-      wrong: count.wrong,
-      starts: count.starts,
-      done: count.done.size,
+      violations: usage.violations,
+      starts: usage.starts,
+      completed: usage.completed.size,
       tasks: total,
-      calm: mean(
+      calmUsage: mean(
         samples
-          .filter((s) => s.atMs > settled && s.atMs < o.calmMs)
-          .map((s) => s.part),
+          .filter((s) => s.atMs > settledMs && s.atMs < o.calmMs)
+          .map((s) => s.usage),
       ),
-      rough: mean(
+      faultyUsage: mean(
         samples
-          .filter((s) => s.atMs >= o.calmMs && s.atMs < o.calmMs + o.roughMs)
-          .map((s) => s.part),
+          .filter((s) => s.atMs >= o.calmMs && s.atMs < o.calmMs + o.faultMs)
+          .map((s) => s.usage),
       ),
-      logErrors: d.logErrors,
+      logErrors: nodes.logErrors,
     };
   } finally {
     over = true;
     if (timer) clearInterval(timer);
     for (const m of machines) await m.stop();
-    await d.stop();
+    await nodes.stop();
   }
 }
 
 if (process.argv[1]?.endsWith("farm.js")) {
-  const r = await farm(Number(process.argv[2] ?? 1), {
+  const result = await runProcessCluster(Number(process.argv[2] ?? 1), {
     controllers: 5,
     machines: 40,
     jobs: 80,
@@ -390,8 +400,8 @@
     limit: 20,
     runMs: [3_000, 6_000],
     calmMs: 20_000,
-    roughMs: 30_000,
-    endMs: 60_000,
+    faultMs: 30_000,
+    drainMs: 60_000,
   });
-  console.log({ ...r, logErrors: r.logErrors.slice(0, 5) });
+  console.log({ ...result, logErrors: result.logErrors.slice(0, 5) });
 }
