--- a/test/coordination/quota/quota.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -32,7 +32,7 @@
   QUOTA_KEY,
   type QuotaShares,
 } from "../../../src/storage/records.js";
-import { farm } from "./process-cluster.js";
+import { runProcessCluster } from "./process-cluster.js";
 import {
   randomJob,
   injectFaults,
@@ -41,34 +41,44 @@
 } from "../../simulation/workloads.js";
 import { World } from "../../simulation/world.js";
 
-/** Teams' limits and guarantees over all controllers. */
+/** Teams' limits and guarantees across all controllers. */
 
 const team = (
   name: string,
   cpusMax: number,
-  over: Partial<Team> = {},
-): Team => ({ name, cpus: 0, gpus: 0, cpusMax, gpusMax: Infinity, ...over });
+  overrides: Partial<Team> = {},
+): Team => ({
+  name,
+  cpus: 0,
+  gpus: 0,
+  cpusMax,
+  gpusMax: Infinity,
+  ...overrides,
+});
 
-/** Masters of some groups with one record, each going by its own settings; everything that is sent arrives at once. */
-class Small {
+/** Partition leaders that share the quota records, each with its own settings; every commit is applied at once. */
+class PartitionsOnOneRecord {
   readonly records = new Map<string, QuotaRecord>();
-  private version = 0;
+  private revision = 0;
   readonly use = new Map<string, Map<string, number>>();
-  readonly wants = new Map<string, Map<string, PartitionDemand>>();
-  commits = 0;
+  readonly demands = new Map<string, Map<string, PartitionDemand>>();
+  commitCount = 0;
 
   constructor(readonly valueBytes = 8_000) {}
 
-  usedBy(partition: string, t: string): number {
-    return this.use.get(partition)?.get(t) ?? 0;
+  usedBy(partition: string, teamName: string): number {
+    return this.use.get(partition)?.get(teamName) ?? 0;
   }
   situation(
     partition: string,
     partitions: string[],
     teams: Team[],
-    over: Partial<QuotaSituation> = {},
+    overrides: Partial<QuotaSituation> = {},
   ): QuotaSituation {
-    const use = (t: string): ResourceAmounts => [this.usedBy(partition, t), 0];
+    const use = (teamName: string): ResourceAmounts => [
+      this.usedBy(partition, teamName),
+      0,
+    ];
     return {
       partition,
       partitions,
@@ -78,8 +88,8 @@
       maxRecords: 3,
       use,
       confirmedUse: use,
-      ownDemands: this.wants.get(partition) ?? new Map(),
-      otherDemands: new Map([...this.wants].filter(([g]) => g !== partition)),
+      ownDemands: this.demands.get(partition) ?? new Map(),
+      otherDemands: new Map([...this.demands].filter(([g]) => g !== partition)),
       needAheadOf: () => [0, 0],
       lendable: () => [0, 0],
       keptForBackfill: () => [0, 0],
@@ -88,129 +98,141 @@
       limitsAgreed: true,
       removedPartitions: new Set(),
       mayMoveShares: () => true,
-      ...over,
+      ...overrides,
     };
   }
-  /** One master's turn; whether it wrote anything. */
-  turn(s: QuotaSituation): boolean {
-    const plan = planQuotas(s);
+  /** Plans and commits the next change of one leader; returns whether there was one. */
+  planAndCommit(situation: QuotaSituation): boolean {
+    const plan = planQuotas(situation);
     if (!plan) return false;
-    this.commits++;
-    this.version++;
+    this.commitCount++;
+    this.revision++;
     for (const [key, shares] of plan.writes) {
       assert.ok(bytesOf(shares) <= this.valueBytes);
       this.records.set(key, {
         shares: JSON.parse(JSON.stringify(shares)) as QuotaShares,
-        revision: this.version,
+        revision: this.revision,
       });
     }
     return true;
   }
-  share(partition: string, t: Team): number {
-    return maxUsage(t, entryOf(this.records, t.name), partition, () => [
-      this.usedBy(partition, t.name),
-      0,
-    ])[0];
+  share(partition: string, settings: Team): number {
+    return maxUsage(
+      settings,
+      entryOf(this.records, settings.name),
+      partition,
+      () => [this.usedBy(partition, settings.name), 0],
+    )[0];
   }
-  want(
+  publishDemand(
     partition: string,
-    t: string,
+    teamName: string,
     cpus: number,
-    since: number,
-    beyond: number,
+    queueOrderMs: number,
+    baseShare: number,
   ): void {
-    const of = this.wants.get(partition) ?? new Map<string, PartitionDemand>();
-    this.wants.set(
+    const ofPartition =
+      this.demands.get(partition) ?? new Map<string, PartitionDemand>();
+    this.demands.set(
       partition,
-      of.set(t, {
+      ofPartition.set(teamName, {
         startable: [cpus, 0],
-        startableSinceMs: [since, Infinity],
+        startableSinceMs: [queueOrderMs, Infinity],
         awaitingMachines: [0, 0],
         awaitingMachinesSinceMs: [Infinity, Infinity],
-        baseShare: [beyond, 0],
+        baseShare: [baseShare, 0],
       }),
     );
   }
 }
 
-test("parts of a limit survive more and fewer controllers, limits raised and lowered, and settings that differ", () => {
-  const s = new Small();
+test("shares stay correct when controllers are added and removed, limits are raised and lowered, and settings differ", () => {
+  const cluster = new PartitionsOnOneRecord();
   const three = ["a", "b", "c"];
   const t900 = team("t", 900);
-  for (const g of three) s.turn(s.situation(g, three, [t900]));
+  for (const partition of three)
+    cluster.planAndCommit(cluster.situation(partition, three, [t900]));
   assert.deepEqual(
-    three.map((g) => s.share(g, t900)),
+    three.map((g) => cluster.share(g, t900)),
     [300, 300, 300],
   );
-  // A fourth controller: what is written holds. It was given limit / n beside the parts of the others, 1,125 in all.
+  // A fourth controller gets no share, because the records take precedence: limit / n beside the other shares made 1,125 in all.
   const four = [...three, "d"];
-  for (const g of four) s.turn(s.situation(g, four, [t900]));
+  for (const partition of four)
+    cluster.planAndCommit(cluster.situation(partition, four, [t900]));
   assert.deepEqual(
-    four.map((g) => s.share(g, t900)),
+    four.map((g) => cluster.share(g, t900)),
     [300, 300, 300, 0],
   );
-  s.want("d", "t", 200, 1, 0);
-  for (const g of four) s.turn(s.situation(g, four, [t900]));
-  assert.equal(s.share("d", t900), 200);
+  cluster.publishDemand("d", "t", 200, 1, 0);
+  for (const partition of four)
+    cluster.planAndCommit(cluster.situation(partition, four, [t900]));
+  assert.equal(cluster.share("d", t900), 200);
   assert.equal(
-    four.reduce((n, g) => n + s.share(g, t900), 0),
+    four.reduce((n, g) => n + cluster.share(g, t900), 0),
     900,
   );
-  s.wants.clear();
-  // Lowered to 300 while 400 are in use: nothing starts, whoever has seen it and whoever has not been restarted yet.
-  s.use.set("b", new Map([["t", 250]])).set("c", new Map([["t", 150]]));
+  cluster.demands.clear();
+  // Lowered to 300 while 400 are in use: no task starts, whether or not a controller has the new settings yet.
+  cluster.use.set("b", new Map([["t", 250]])).set("c", new Map([["t", 150]]));
   const t300 = team("t", 300);
   assert.equal(
-    s.share("a", t300),
+    cluster.share("a", t300),
     0,
-    "before it is written, by its own settings",
+    "the settings apply before the records change",
   );
   for (let k = 0; k < 3; k++)
-    for (const g of four)
-      s.turn(
-        s.situation(g, four, [g === "a" ? t300 : t900], {
+    for (const partition of four)
+      cluster.planAndCommit(
+        cluster.situation(partition, four, [partition === "a" ? t300 : t900], {
           limitsAgreed: false,
         }),
       );
   assert.deepEqual(
-    four.map((g) => s.share(g, t900)),
+    four.map((g) => cluster.share(g, t900)),
     [0, 250, 150, 0],
-    "use and nothing more",
+    "only what is in use",
   );
-  s.use.get("b")!.set("t", 100);
+  cluster.use.get("b")!.set("t", 100);
   for (let k = 0; k < 3; k++)
-    for (const g of four) s.turn(s.situation(g, four, [t300]));
-  assert.ok(four.reduce((n, g) => n + s.share(g, t300), 0) <= 300.01);
-  assert.ok(s.share("b", t300) >= 100 && s.share("c", t300) >= 150);
-  // One fewer: what it had is out of reach until it is sure that nothing of it runs, then it is there for others.
+    for (const partition of four)
+      cluster.planAndCommit(cluster.situation(partition, four, [t300]));
+  assert.ok(four.reduce((n, g) => n + cluster.share(g, t300), 0) <= 300.01);
+  assert.ok(cluster.share("b", t300) >= 100 && cluster.share("c", t300) >= 150);
+  // A removed partition keeps its share until none of its tasks can be running; then others get it.
   const two = ["a", "b"];
-  s.use.set("a", new Map([["t", 0]]));
-  s.want("a", "t", 200, 1, s.share("a", t300));
-  const had = s.share("c", t300);
-  for (const g of two) s.turn(s.situation(g, two, [t300]));
-  assert.equal(entryOf(s.records, "t")!.shares["c"]![0], had);
+  cluster.use.set("a", new Map([["t", 0]]));
+  cluster.publishDemand("a", "t", 200, 1, cluster.share("a", t300));
+  const previousShare = cluster.share("c", t300);
+  for (const partition of two)
+    cluster.planAndCommit(cluster.situation(partition, two, [t300]));
+  assert.equal(entryOf(cluster.records, "t")!.shares["c"]![0], previousShare);
   for (let k = 0; k < 2; k++)
-    for (const g of two)
-      s.turn(
-        s.situation(g, two, [t300], { removedPartitions: new Set(["c"]) }),
+    for (const partition of two)
+      cluster.planAndCommit(
+        cluster.situation(partition, two, [t300], {
+          removedPartitions: new Set(["c"]),
+        }),
       );
-  assert.equal(entryOf(s.records, "t")!.shares["c"]![0], 0);
-  assert.ok(s.share("a", t300) >= 200, `${s.share("a", t300)}`);
-  // Raised only when all agree.
+  assert.equal(entryOf(cluster.records, "t")!.shares["c"]![0], 0);
+  assert.ok(cluster.share("a", t300) >= 200, `${cluster.share("a", t300)}`);
+  // Raised only when all controllers have the new limit.
   const t600 = team("t", 600);
-  s.turn(s.situation("a", two, [t600], { limitsAgreed: false }));
-  assert.equal(entryOf(s.records, "t")!.cap[0], 300);
-  s.turn(s.situation("a", two, [t600]));
-  assert.equal(entryOf(s.records, "t")!.cap[0], 600);
+  cluster.planAndCommit(
+    cluster.situation("a", two, [t600], { limitsAgreed: false }),
+  );
+  assert.equal(entryOf(cluster.records, "t")!.cap[0], 300);
+  cluster.planAndCommit(cluster.situation("a", two, [t600]));
+  assert.equal(entryOf(cluster.records, "t")!.cap[0], 600);
 });
 
-test("drawn changes of settings, use and wants: parts never add up to more than the limit, nothing starts while more is out", () => {
+test("random changes of settings, use and demand: shares never exceed the limit in total, no task starts while they do", () => {
   fc.assert(
     fc.property(
       fc.array(
         fc.record({
-          who: fc.nat(4),
-          what: fc.constantFrom(
+          partitionIndex: fc.nat(4),
+          action: fc.constantFrom(
             "turn",
             "start",
             "end",
@@ -218,60 +240,83 @@
             "limit",
             "gone",
           ),
-          n: fc.integer({ min: 1, max: 60 }),
+          amount: fc.integer({ min: 1, max: 60 }),
         }),
         { minLength: 20, maxLength: 120 },
       ),
       (steps) => {
-        const s = new Small();
+        const cluster = new PartitionsOnOneRecord();
         const all = ["a", "b", "c", "d", "e"];
         let limit = 90;
         let smallest = limit;
-        const goneBy = new Set<string>();
-        for (const { who, what, n } of steps) {
-          const g = all[who]!;
-          const t = team("t", limit);
-          const partitions = all.filter((x) => !goneBy.has(x));
-          const before = entryOf(s.records, "t");
-          const used = all.reduce((sum, x) => sum + s.usedBy(x, "t"), 0);
-          if (what === "limit") limit = [30, 60, 90, 120][n % 4]!;
-          else if (goneBy.has(g)) continue;
+        const removedPartitions = new Set<string>();
+        for (const { partitionIndex, action, amount } of steps) {
+          const partition = all[partitionIndex]!;
+          const settings = team("t", limit);
+          const partitions = all.filter((x) => !removedPartitions.has(x));
+          const before = entryOf(cluster.records, "t");
+          const used = all.reduce((sum, x) => sum + cluster.usedBy(x, "t"), 0);
+          if (action === "limit") limit = [30, 60, 90, 120][amount % 4]!;
+          else if (removedPartitions.has(partition)) continue;
           else if (
-            what === "gone" &&
+            action === "gone" &&
             partitions.length > 2 &&
-            s.usedBy(g, "t") === 0
+            cluster.usedBy(partition, "t") === 0
           )
-            goneBy.add(g);
-          else if (what === "turn")
-            s.turn(
-              s.situation(g, partitions, [t], { removedPartitions: goneBy }),
+            removedPartitions.add(partition);
+          else if (action === "turn")
+            cluster.planAndCommit(
+              cluster.situation(partition, partitions, [settings], {
+                removedPartitions,
+              }),
+            );
+          else if (action === "want")
+            cluster.publishDemand(
+              partition,
+              "t",
+              amount,
+              amount,
+              cluster.share(partition, settings),
+            );
+          else if (action === "end")
+            cluster.use.set(
+              partition,
+              new Map([
+                ["t", Math.max(0, cluster.usedBy(partition, "t") - amount)],
+              ]),
             );
-          else if (what === "want") s.want(g, "t", n, n, s.share(g, t));
-          else if (what === "end")
-            s.use.set(g, new Map([["t", Math.max(0, s.usedBy(g, "t") - n)]]));
           else if (
-            what === "start" &&
-            s.usedBy(g, "t") + n <= s.share(g, t) + 1e-6
+            action === "start" &&
+            cluster.usedBy(partition, "t") + amount <=
+              cluster.share(partition, settings) + 1e-6
           ) {
-            s.use.set(g, new Map([["t", s.usedBy(g, "t") + n]]));
+            cluster.use.set(
+              partition,
+              new Map([["t", cluster.usedBy(partition, "t") + amount]]),
+            );
             assert.ok(
-              used + n <= before!.cap[0] + 0.05 && !isOverAllocated(before!, 0),
-              `${used} + ${n} of ${before!.cap[0]}`,
+              used + amount <= before!.cap[0] + 0.05 &&
+                !isOverAllocated(before!, 0),
+              `${used} + ${amount} of ${before!.cap[0]}`,
             );
           }
           smallest = limit;
-          const after = entryOf(s.records, "t");
+          const after = entryOf(cluster.records, "t");
           if (after && after.cap[0] <= smallest) {
-            const may = partitions.reduce(
+            const usable = partitions.reduce(
               (sum, x) =>
-                sum + Math.max(s.usedBy(x, "t"), s.share(x, team("t", limit))),
+                sum +
+                Math.max(
+                  cluster.usedBy(x, "t"),
+                  cluster.share(x, team("t", limit)),
+                ),
               0,
             );
             assert.ok(
-              may <=
+              usable <=
                 Math.max(
                   after.cap[0],
-                  all.reduce((sum, x) => sum + s.usedBy(x, "t"), 0),
+                  all.reduce((sum, x) => sum + cluster.usedBy(x, "t"), 0),
                 ) +
                   0.05,
             );
@@ -283,51 +328,63 @@
   );
 });
 
-test("200 teams in 7 groups: records of 8 KiB and of 2 KiB hold all, nothing is written when nothing moves", () => {
+test("200 teams in 7 partitions: records of 8 KiB and of 2 KiB hold all entries, nothing is written without a change", () => {
   for (const [valueBytes, writes] of [
     [7_782, 3],
     [2_048, 3],
   ] as const) {
-    const s = new Small(valueBytes);
+    const cluster = new PartitionsOnOneRecord(valueBytes);
     const partitions = Array.from({ length: 7 }, (_, i) => `controller-${i}`);
     const teams = Array.from({ length: 200 }, (_, i) =>
       team(`team-${i}`, 100 + i),
     );
-    let turns = 0;
+    let commitCount = 0;
     while (
-      s.turn(
-        s.situation(partitions[turns % 7]!, partitions, teams, {
+      cluster.planAndCommit(
+        cluster.situation(partitions[commitCount % 7]!, partitions, teams, {
           maxRecords: writes,
         }),
       )
     )
-      assert.ok(++turns < 200, "it comes to an end");
-    for (const t of teams) {
-      const sum = partitions.reduce((n, g) => n + s.share(g, t), 0);
+      assert.ok(++commitCount < 200, "the plans settle");
+    for (const settings of teams) {
+      const sum = partitions.reduce(
+        (n, g) => n + cluster.share(g, settings),
+        0,
+      );
       assert.ok(
-        sum > t.cpusMax - 0.1 && sum <= t.cpusMax + 1e-6,
-        `${t.name}: ${sum}`,
+        sum > settings.cpusMax - 0.1 && sum <= settings.cpusMax + 1e-6,
+        `${settings.name}: ${sum}`,
       );
     }
-    assert.ok(s.records.size > 1 && s.records.has(QUOTA_KEY));
-    const commits = s.commits;
-    for (const g of partitions)
-      assert.equal(s.turn(s.situation(g, partitions, teams)), false);
-    assert.equal(s.commits, commits);
-    // Several teams in one commit.
+    assert.ok(cluster.records.size > 1 && cluster.records.has(QUOTA_KEY));
+    const commits = cluster.commitCount;
+    for (const partition of partitions)
+      assert.equal(
+        cluster.planAndCommit(cluster.situation(partition, partitions, teams)),
+        false,
+      );
+    assert.equal(cluster.commitCount, commits);
+    // Transfers for several teams in one commit.
     for (let i = 0; i < 40; i++)
-      s.want(
+      cluster.publishDemand(
         "controller-1",
         `team-${i}`,
         5,
         1,
-        s.share("controller-1", teams[i]!),
+        cluster.share("controller-1", teams[i]!),
       );
-    assert.ok(s.turn(s.situation("controller-0", partitions, teams)));
-    const got = teams
+    assert.ok(
+      cluster.planAndCommit(
+        cluster.situation("controller-0", partitions, teams),
+      ),
+    );
+    const servedTeams = teams
       .slice(0, 40)
-      .filter((t) => s.share("controller-1", t) > t.cpusMax / 7 + 4).length;
-    assert.ok(got >= 20, `${got} teams at once`);
+      .filter(
+        (t) => cluster.share("controller-1", t) > t.cpusMax / 7 + 4,
+      ).length;
+    assert.ok(servedTeams >= 20, `${servedTeams} teams in one commit`);
   }
 });
 
@@ -354,7 +411,7 @@
     takeovers: 1,
     restarts: 0,
   },
-  // Tasks of two CPUs leave one of the limit, which group b can use.
+  // Tasks of two CPUs leave one CPU of the limit unused, which partition b can use.
   backfill: {
     groups: ["a", "b"],
     teams: ["x"],
@@ -404,20 +461,20 @@
   },
 };
 
-test("every state of the protocol on small scopes keeps the limits", async () => {
+test("every reachable state of the protocol in small scopes respects the limits", async () => {
   for (const [name, scope] of Object.entries(SCOPES)) {
-    const r = await explore(quotaModel(scope), 12_000);
+    const result = await explore(quotaModel(scope), 12_000);
     assert.equal(
-      r.broken,
+      result.broken,
       null,
-      `${name}: ${r.broken?.why}\n${r.broken?.trace.join("\n")}`,
+      `${name}: ${result.broken?.why}\n${result.broken?.trace.join("\n")}`,
     );
-    assert.ok(r.states > 500, `${name}: ${r.states} states`);
+    assert.ok(result.states > 500, `${name}: ${result.states} states`);
   }
 });
 
-/** The scope that shows what each guard is for. */
-const FOUND_IN: Record<Guard, keyof typeof SCOPES> = {
+/** The scope in which a violation is found when the guard is disabled. */
+const SCOPE_BY_GUARD: Record<Guard, keyof typeof SCOPES> = {
   "keeps what it gives": "give",
   "record's revision": "give",
   "master's token": "take",
@@ -427,80 +484,84 @@
   "gone only after its leases": "fewer",
 };
 
-test("each guard that is switched off is found out", async () => {
+test("the exploration finds a violation for each disabled guard", async () => {
   for (const guard of GUARDS) {
-    const r = await explore(
-      quotaModel(SCOPES[FOUND_IN[guard]]!, new Set<Guard>([guard])),
+    const result = await explore(
+      quotaModel(SCOPES[SCOPE_BY_GUARD[guard]]!, new Set<Guard>([guard])),
       80_000,
     );
-    assert.ok(r.broken !== null, `${guard}: ${r.states} states`);
+    assert.ok(result.broken !== null, `${guard}: ${result.states} states`);
   }
 });
 
-/** After each step: what the live masters may start, with what runs, is within the limit of each team. */
-function watchParts(w: World): { worst: number } {
-  const seen = { worst: 0 };
-  w.afterStep = (core) => {
-    if (w.production.size > 0) return;
-    const limits = w.teamLimits ?? w.settings.teams;
-    for (const m of core.leaders.values())
-      for (const t of limits.values()) {
-        if (t.cpusMax === Infinity) continue;
-        const record = entryOf(core.cache.quotaRecords, t.name);
+/** After each step, checks that each leader stays within its recorded share; returns the largest sum of shares relative to the cap. */
+function watchShares(world: World): { maxAllocation: number } {
+  const result = { maxAllocation: 0 };
+  world.afterStep = (core) => {
+    if (world.production.size > 0) return;
+    const limits = world.teamLimits ?? world.settings.teams;
+    for (const leader of core.leaders.values())
+      for (const limit of limits.values()) {
+        if (limit.cpusMax === Infinity) continue;
+        const record = entryOf(core.cache.quotaRecords, limit.name);
         if (record)
-          seen.worst = Math.max(seen.worst, record.sum[0] / record.cap[0]);
-        const share = m.quota.share(t.name)[0];
-        const part = record?.shares[m.partition]?.[0] ?? 0;
-        const used = m.state.usage().get(t.name)?.cpus ?? 0;
+          result.maxAllocation = Math.max(
+            result.maxAllocation,
+            record.sum[0] / record.cap[0],
+          );
+        const share = leader.quota.share(limit.name)[0];
+        const recordedShare = record?.shares[leader.partition]?.[0] ?? 0;
+        const used = leader.state.usage().get(limit.name)?.cpus ?? 0;
         assert.ok(
-          share <= Math.max(part, used) + 1e-6,
-          `${m.partition}: ${share} of ${t.name}, written ${part}, used ${used}`,
+          share <= Math.max(recordedShare, used) + 1e-6,
+          `${leader.partition}: ${share} of ${limit.name}, written ${recordedShare}, used ${used}`,
         );
       }
   };
-  return seen;
+  return result;
 }
 
-/** A day on which two teams are at their limits, with all faults, and the most that the parts of a limit came to of it. */
-function hotTeams(seed: number): { w: World; worst: number } {
-  const w = new World(seed, undefined, [], [1, 2, 3, 5, 7][seed % 5]);
-  w.capacity = 6;
-  w.settings.teams
+/** Runs two teams at their limits with all faults; `maxAllocation`: the largest sum of shares relative to the cap. */
+function runTeamsAtLimit(seed: number): { w: World; maxAllocation: number } {
+  const world = new World(seed, undefined, [], [1, 2, 3, 5, 7][seed % 5]);
+  world.capacity = 6;
+  world.settings.teams
     .set("red", team("red", 30, { cpus: 20, gpusMax: 3 }))
     .set("blue", team("blue", 40, { cpus: 20 }));
-  w.bootAll();
-  for (const z of w.zones)
-    for (let i = 0; i < 4; i++) w.cloud.add(w.types[0]!, z, false, 0);
-  const seen = watchParts(w);
-  submitWorkload(w, 110_000, (x, n) => ({
+  world.bootAll();
+  for (const zone of world.zones)
+    for (let i = 0; i < 4; i++)
+      world.cloud.add(world.types[0]!, zone, false, 0);
+  const watched = watchShares(world);
+  submitWorkload(world, 110_000, (x, n) => ({
     ...randomJob(x, n),
     team: x.rng.chance(0.8) ? "red" : "blue",
   }));
-  injectFaults(w, 110_000);
-  injectLargeFaults(w, 110_000);
-  w.run(150_000);
+  injectFaults(world, 110_000);
+  injectLargeFaults(world, 110_000);
+  world.run(150_000);
   assert.deepEqual(
-    w.checker.broken,
+    world.checker.broken,
     [],
-    `seed ${seed}: ${w.checker.broken.join()}\n${w.logs.slice(-20).join("\n")}`,
+    `seed ${seed}: ${world.checker.broken.join()}\n${world.logs.slice(-20).join("\n")}`,
   );
-  return { w, worst: seen.worst };
+  return { w: world, maxAllocation: watched.maxAllocation };
 }
 
-test("hot teams with 1, 2, 3, 5 and 7 controllers, freezes, cuts and takeovers: the limits hold and no part is lost", () => {
+test("teams at their limits with 1, 2, 3, 5 and 7 controllers, pauses, network cuts and failovers: the limits hold and no share is lost", () => {
   let starts = 0;
   for (let seed = 800; seed < 815; seed++) {
-    const { w, worst } = hotTeams(seed);
-    assert.ok(worst <= 1 + 1e-6, `${worst}`);
-    for (const t of ["red", "blue"]) {
+    const { w, maxAllocation } = runTeamsAtLimit(seed);
+    assert.ok(maxAllocation <= 1 + 1e-6, `${maxAllocation}`);
+    for (const teamName of ["red", "blue"]) {
       const sum = entryIn(
         QUOTA_KEY,
         w.state.data.get(QUOTA_KEY)!.value as QuotaShares,
-        t,
+        teamName,
       )!.sum[0];
       assert.ok(
-        sum > w.settings.teams.get(t)!.cpusMax - 1,
-        `${t}: only ${sum} handed out`,
+        sum > w.settings.teams.get(teamName)!.cpusMax - 1,
+        `${teamName}: only ${sum} assigned`,
       );
     }
     starts += w.starts;
@@ -508,29 +569,30 @@
   assert.ok(starts > 1_000, `${starts}`);
 });
 
-// A new leader took the tasks that such a heartbeat names for surely running and wrote them into its part: parts beyond the limit, and
-// nothing of the team started until the machine's lease had expired.
+// A new leader assumed that the tasks in such a heartbeat were certainly running and raised its share to their use: the shares exceeded
+// the limit, and no task of the team started until the machine's lease had expired.
 test("a late heartbeat from before a leader's time adds nothing to its part of a limit", () => {
   for (const seed of [804, 926, 1081]) {
-    const { worst } = hotTeams(seed);
-    assert.ok(worst <= 1 + 1e-6, `seed ${seed}: ${worst}`);
+    const { maxAllocation } = runTeamsAtLimit(seed);
+    assert.ok(maxAllocation <= 1 + 1e-6, `seed ${seed}: ${maxAllocation}`);
   }
 });
 
-test("operators change limits and controllers while all serve: the smaller limit holds from when all have read it, and all of it is used", () => {
+test("limits and controllers change at run time: a lowered limit holds once all controllers have read it, and a raised one is used in full", () => {
   for (let seed = 830; seed < 838; seed++) {
-    const w = new World(seed);
-    w.capacity = 8;
+    const world = new World(seed);
+    world.capacity = 8;
     const teams = (red: number): Map<string, Team> =>
       new Map([
         ["red", team("red", red)],
         ["blue", team("blue", 90)],
       ]);
-    w.settings.teams = teams(60);
-    w.bootAll();
-    for (const z of w.zones)
-      for (let i = 0; i < 6; i++) w.cloud.add(w.types[0]!, z, false, 0);
-    submitWorkload(w, 190_000, (x, n) => ({
+    world.settings.teams = teams(60);
+    world.bootAll();
+    for (const zone of world.zones)
+      for (let i = 0; i < 6; i++)
+        world.cloud.add(world.types[0]!, zone, false, 0);
+    submitWorkload(world, 190_000, (x, n) => ({
       ...randomJob(x, n),
       team: "red",
       kind: "array",
@@ -544,30 +606,32 @@
       priority: "normal",
     }));
     const restart = (atMs: number, name: string): void => {
-      w.at(atMs, () => w.crash(name));
-      w.at(atMs + w.rng.real(500, 3_000), () => w.boot(name));
+      world.at(atMs, () => world.crash(name));
+      world.at(atMs + world.rng.real(500, 3_000), () => world.boot(name));
     };
-    w.teamLimits = teams(60);
-    // Lowered, one controller after the other; what runs goes on.
-    w.at(30_000, () => w.reconfigure(w.names, teams(20)));
-    w.names.forEach((n, i) => restart(31_000 + i * 6_000, n));
-    w.at(75_000, () => (w.teamLimits = teams(20)));
-    // A fourth controller, then the limit is raised.
-    w.at(90_000, () => w.reconfigure([...w.names, "node-d"], teams(20)));
-    w.at(90_500, () => w.boot("node-d"));
+    world.teamLimits = teams(60);
+    // Lowered on one controller after the other; running tasks continue.
+    world.at(30_000, () => world.reconfigure(world.names, teams(20)));
+    world.names.forEach((n, i) => restart(31_000 + i * 6_000, n));
+    world.at(75_000, () => (world.teamLimits = teams(20)));
+    // A fourth controller is added, then the limit is raised.
+    world.at(90_000, () =>
+      world.reconfigure([...world.names, "node-d"], teams(20)),
+    );
+    world.at(90_500, () => world.boot("node-d"));
     ["node-a", "node-b", "node-c"].forEach((n, i) =>
       restart(91_000 + i * 5_000, n),
     );
-    w.at(125_000, () => {
-      w.teamLimits = teams(50);
-      w.reconfigure(w.names, teams(50));
+    world.at(125_000, () => {
+      world.teamLimits = teams(50);
+      world.reconfigure(world.names, teams(50));
     });
     ["node-a", "node-b", "node-c", "node-d"].forEach((n, i) =>
       restart(126_000 + i * 5_000, n),
     );
-    let most = 0;
-    const count = (): void => {
-      const used = w.workers.reduce(
+    let maxUsed = 0;
+    const sample = (): void => {
+      const used = world.workers.reduce(
         (n, x) =>
           n +
           (x.gone
@@ -575,22 +639,22 @@
             : [...x.tasks.values()].filter((t) => x.onMachine(t)).length * 2),
         0,
       );
-      most = Math.max(most, used);
-      if (w.now < 199_000) w.at(200, count);
+      maxUsed = Math.max(maxUsed, used);
+      if (world.now < 199_000) world.at(200, sample);
     };
-    w.at(165_000, count);
-    w.run(200_000);
+    world.at(165_000, sample);
+    world.run(200_000);
     assert.deepEqual(
-      w.checker.broken,
+      world.checker.broken,
       [],
-      `seed ${seed}: ${w.checker.broken.join()}\n${w.logs
+      `seed ${seed}: ${world.checker.broken.join()}\n${world.logs
         .filter((l) => /quota|partition/.test(l))
         .slice(-25)
         .join("\n")}`,
     );
     assert.ok(
-      most > 45,
-      `seed ${seed}: only ${most} of 50 used after it was raised\n${w.logs
+      maxUsed > 45,
+      `seed ${seed}: only ${maxUsed} of 50 CPUs used after the limit was raised\n${world.logs
         .filter((l) => /quota|partition/.test(l))
         .slice(-25)
         .join("\n")}`,
@@ -598,68 +662,69 @@
   }
 });
 
-test("a removed controller's part comes back once nothing of it can run", () => {
-  const w = new World(841);
-  w.loss = 0;
+test("the share of a removed controller is reclaimed once none of its tasks can be running", () => {
+  const world = new World(841);
+  world.loss = 0;
   const teams = new Map([
     ["red", team("red", 30)],
     ["blue", team("blue", 90)],
   ]);
-  w.settings.teams = teams;
-  w.bootAll();
-  w.run(10_000);
-  const part = (g: string): number =>
+  world.settings.teams = teams;
+  world.bootAll();
+  world.run(10_000);
+  const recordedShare = (partition: string): number =>
     (
-      w.state.data.get(QUOTA_KEY)!.value as Record<
+      world.state.data.get(QUOTA_KEY)!.value as Record<
         string,
         Record<string, ResourceAmounts>
       >
-    )["red"]![g]?.[0] ?? -1;
-  assert.equal(part("node-c"), 10);
-  w.crash("node-c");
-  w.reconfigure(["node-a", "node-b"], teams);
-  let goneMs = 0;
-  w.at(500, () => {
-    for (const n of ["node-a", "node-b"]) {
-      w.crash(n);
-      w.boot(n);
+    )["red"]![partition]?.[0] ?? -1;
+  assert.equal(recordedShare("node-c"), 10);
+  world.crash("node-c");
+  world.reconfigure(["node-a", "node-b"], teams);
+  let removedMs = 0;
+  world.at(500, () => {
+    for (const name of ["node-a", "node-b"]) {
+      world.crash(name);
+      world.boot(name);
     }
   });
-  const look = (): void => {
-    if (!w.state.data.has("lc/now/group/node-c")) goneMs ||= w.now;
-    if (part("node-c") === 0) return;
-    // Its record ends with its hold, and its machines' leases after that.
+  const check = (): void => {
+    if (!world.state.data.has("lc/now/group/node-c")) removedMs ||= world.now;
+    if (recordedShare("node-c") === 0) return;
+    // Its partition record ends with its store lease, and the leases of its machines end after that.
     assert.ok(
-      goneMs === 0 || w.now < goneMs + 20_000,
-      "within a lease and what clocks and turns take",
+      removedMs === 0 || world.now < removedMs + 20_000,
+      "within a worker lease, clock drift and the interval between attempts",
     );
-    w.at(200, look);
+    world.at(200, check);
   };
-  look();
-  w.run(60_000);
-  assert.equal(part("node-c"), 0);
-  const at = w.logs.find((l) =>
+  check();
+  world.run(60_000);
+  assert.equal(recordedShare("node-c"), 0);
+  const logLine = world.logs.find((l) =>
     l.includes("reclaiming quota of removed partition"),
   )!;
   assert.ok(
-    Number(at.split(" ")[0]) * 1000 > goneMs + w.settings.leaseS * 1000,
-    `${at}, gone ${goneMs}`,
+    Number(logLine.split(" ")[0]) * 1000 >
+      removedMs + world.settings.leaseS * 1000,
+    `${logLine}, removed ${removedMs}`,
   );
 });
 
 // ---- guarantees --------------------------------------------------------------------------------------------
 
-/** One job on the plain machines, tasks of 4 CPUs that can't save. */
+/** Submits a job on machines without accelerators, whose tasks have 4 CPUs and no checkpoints. */
 function submitAt(
-  w: World,
+  world: World,
   atMs: number,
-  n: number,
+  jobNumber: number,
   over: Partial<JobSpec>,
   node = (): string => "node-a",
 ): void {
-  w.at(atMs, () => {
+  world.at(atMs, () => {
     const spec: JobSpec = {
-      ...randomJob(w, n),
+      ...randomJob(world, jobNumber),
       kind: "array",
       tasks: 1,
       priority: "normal",
@@ -673,8 +738,8 @@
       checkpointS: 0,
       ...over,
     };
-    w.specs.set(spec.id, spec);
-    w.ask(
+    world.specs.set(spec.id, spec);
+    world.ask(
       node(),
       (reqId) => ({ type: "submit", reqId, spec }),
       () => {},
@@ -682,66 +747,67 @@
   });
 }
 
-/** Blue has filled all machines; red asks for more than its guarantee of 20 CPUs, in all groups at once or in one zone. */
-function swarm(seed: number, zone: string | null): World {
-  const w = new World(seed);
-  w.loss = 0;
-  w.capacity = 3;
-  w.settings.teams
+/** Blue uses all machines; red submits more than its guarantee of 20 CPUs, in all partitions at once or in one zone. */
+function competeForGuarantee(seed: number, redZone: string | null): World {
+  const world = new World(seed);
+  world.loss = 0;
+  world.capacity = 3;
+  world.settings.teams
     .set("red", team("red", 60, { cpus: 20 }))
     .set("blue", team("blue", 200, { cpus: 30 }));
-  w.bootAll();
-  for (const z of w.zones)
-    for (let i = 0; i < 3; i++) w.cloud.add(w.types[0]!, z, false, 0);
-  const ask = (atMs: number, n: number, over: Partial<JobSpec>): void =>
-    submitAt(w, atMs, n, over, () => w.rng.pick(w.names));
-  ask(4_000, 1, { team: "blue", kind: "service", tasks: 24 });
+  world.bootAll();
+  for (const zone of world.zones)
+    for (let i = 0; i < 3; i++)
+      world.cloud.add(world.types[0]!, zone, false, 0);
+  const submit = (atMs: number, n: number, over: Partial<JobSpec>): void =>
+    submitAt(world, atMs, n, over, () => world.rng.pick(world.names));
+  submit(4_000, 1, { team: "blue", kind: "service", tasks: 24 });
   for (let k = 0; k < 12; k++)
-    ask(25_000 + w.rng.int(0, 300), 10 + k, {
+    submit(25_000 + world.rng.int(0, 300), 10 + k, {
       team: "red",
-      zone,
+      zone: redZone,
       kind: "service",
     });
-  return w;
+  return world;
 }
-const stopped = (w: World): number =>
-  w.logs
+const preemptedCpus = (world: World): number =>
+  world.logs
     .filter((l) => l.includes("preempting tasks"))
     .reduce((n, l) => n + 4 * Number(/"tasks":(\d+)/.exec(l)![1]), 0);
-const running = (w: World, t: string): number =>
-  w.workers.reduce(
+const runningCpus = (world: World, teamName: string): number =>
+  world.workers.reduce(
     (n, x) =>
       n +
       (x.gone
         ? 0
         : [...x.tasks.values()].filter(
-            (y) => x.onMachine(y) && w.specs.get(y.job)!.team === t,
+            (y) => x.onMachine(y) && world.specs.get(y.job)!.team === teamName,
           ).length * 4),
     0,
   );
 
-test("a team gets its guarantee of the whole fleet, also in one zone, and all masters together stop no more than its deficit", () => {
+test("a team gets its guarantee across the cluster, also in one zone, and all leaders together preempt no more than its deficit", () => {
   for (let seed = 860; seed < 868; seed++) {
-    const w = swarm(seed, seed % 2 === 0 ? null : "west");
-    w.run(24_000);
-    const full = running(w, "blue");
-    assert.ok(full >= 80, "blue fills the fleet");
-    w.run(75_000);
-    assert.deepEqual(w.checker.broken, []);
-    assert.ok(running(w, "blue") >= full - 24);
+    const world = competeForGuarantee(seed, seed % 2 === 0 ? null : "west");
+    world.run(24_000);
+    const blueCpusBefore = runningCpus(world, "blue");
+    assert.ok(blueCpusBefore >= 80, "blue uses the whole cluster");
+    world.run(75_000);
+    assert.deepEqual(world.checker.broken, []);
+    assert.ok(runningCpus(world, "blue") >= blueCpusBefore - 24);
     assert.equal(
-      running(w, "red"),
+      runningCpus(world, "red"),
       20,
-      `seed ${seed}\n${w.logs.slice(-20).join("\n")}`,
+      `seed ${seed}\n${world.logs.slice(-20).join("\n")}`,
     );
     assert.ok(
-      stopped(w) <= 24,
-      `seed ${seed}: ${stopped(w)} CPUs stopped for 20`,
+      preemptedCpus(world) <= 24,
+      `seed ${seed}: ${preemptedCpus(world)} CPUs preempted for 20`,
     );
   }
 });
 
-test("without claims masters that decide at once stop more than the deficit", () => {
+test("without recorded reclaims, leaders that decide at the same time preempt more than the deficit", () => {
   const { reclaim, mayReclaim } = GuaranteeReclaims.prototype;
   GuaranteeReclaims.prototype.reclaim = function (_t, _n, _f, _g, granted) {
     granted();
@@ -749,11 +815,11 @@
   GuaranteeReclaims.prototype.mayReclaim = () => true;
   try {
     assert.ok(
-      stopped(
+      preemptedCpus(
         (() => {
-          const w = swarm(860, null);
-          w.run(75_000);
-          return w;
+          const world = competeForGuarantee(860, null);
+          world.run(75_000);
+          return world;
         })(),
       ) > 24,
     );
@@ -762,68 +828,70 @@
   }
 });
 
-test("a team within its guarantee is not stopped for one that is beyond, whatever its part of one group is", () => {
-  // Blue stands beyond a third of its guarantee in one group, and well within the whole of it.
+test("a team within its guarantee is not preempted for one that exceeds its own, whatever it uses of one partition", () => {
+  // Blue uses more than a third of its guarantee in one partition, but much less than all of it.
   for (let seed = 870; seed < 874; seed++) {
-    const w = new World(seed);
-    w.loss = 0;
-    w.capacity = 3;
-    w.settings.teams
+    const world = new World(seed);
+    world.loss = 0;
+    world.capacity = 3;
+    world.settings.teams
       .set("red", team("red", 90, { cpus: 4 }))
       .set("blue", team("blue", 90, { cpus: 30 }));
-    w.bootAll();
-    for (let i = 0; i < 3; i++) w.cloud.add(w.types[0]!, "west", false, 0);
-    const ask = (atMs: number, n: number, over: Partial<JobSpec>): void =>
-      submitAt(w, atMs, n, {
+    world.bootAll();
+    for (let i = 0; i < 3; i++)
+      world.cloud.add(world.types[0]!, "west", false, 0);
+    const submit = (atMs: number, n: number, over: Partial<JobSpec>): void =>
+      submitAt(world, atMs, n, {
         kind: "service",
         tasks: 6,
         zone: "west",
         ...over,
       });
-    ask(4_000, 1, { team: "blue" });
-    ask(20_000, 2, { team: "red", tasks: 3 });
-    w.run(60_000);
-    assert.deepEqual(w.checker.broken, []);
-    assert.equal(stopped(w), 0, w.logs.slice(-10).join("\n"));
-    assert.equal(running(w, "blue"), 24);
+    submit(4_000, 1, { team: "blue" });
+    submit(20_000, 2, { team: "red", tasks: 3 });
+    world.run(60_000);
+    assert.deepEqual(world.checker.broken, []);
+    assert.equal(preemptedCpus(world), 0, world.logs.slice(-10).join("\n"));
+    assert.equal(runningCpus(world, "blue"), 24);
   }
 });
 
-test("a group's part that a dead controller's master holds is there for others within hold, takeover and a commit", () => {
-  const w = new World(880);
-  w.loss = 0;
-  w.capacity = 6;
-  w.settings.teams.set("red", team("red", 30));
-  w.bootAll();
-  for (let i = 0; i < 6; i++) w.cloud.add(w.types[0]!, "west", false, 0);
-  w.at(10_000, () => w.crash("node-a"));
+test("the share of a partition whose leader crashed is available to others after store lease, failover and one commit", () => {
+  const world = new World(880);
+  world.loss = 0;
+  world.capacity = 6;
+  world.settings.teams.set("red", team("red", 30));
+  world.bootAll();
+  for (let i = 0; i < 6; i++)
+    world.cloud.add(world.types[0]!, "west", false, 0);
+  world.at(10_000, () => world.crash("node-a"));
   submitAt(
-    w,
+    world,
     11_000,
     1,
     { team: "red", kind: "service", tasks: 7, zone: "west" },
     () => "node-b",
   );
-  w.run(45_000);
-  assert.deepEqual(w.checker.broken, []);
+  world.run(45_000);
+  assert.deepEqual(world.checker.broken, []);
   assert.equal(
-    running(w, "red"),
+    runningCpus(world, "red"),
     28,
-    w.logs.filter((l) => /quota|partition/.test(l)).join("\n"),
+    world.logs.filter((l) => /quota|partition/.test(l)).join("\n"),
   );
 });
 
-test("queues by team: within its guarantee first at equal urgency, then the smaller share of it; urgency before both", () => {
-  const q = (
+test("queue order by team: priority first, then teams within their guarantee, then the smaller share of the guarantee", () => {
+  const queuedJob = (
     id: string,
-    t: string,
+    teamName: string,
     readyAt: number,
     over: Partial<JobSpec> = {},
   ) => {
     const spec = {
       ...randomJob(new World(1), 1),
       id,
-      team: t,
+      team: teamName,
       priority: "normal" as const,
       kind: "array" as const,
       estimateS: 10,
@@ -843,7 +911,10 @@
     out: 1.5,
     far: 3,
   };
-  const order = (jobs: ReturnType<typeof q>[], ranked: boolean): string[] => {
+  const startOrder = (
+    jobs: ReturnType<typeof queuedJob>[],
+    ranked: boolean,
+  ): string[] => {
     const round = new SchedulingRound(
       jobs,
       { ...DEFAULTS },
@@ -859,19 +930,23 @@
     return out;
   };
   const jobs = [
-    q("1", "far", 0),
-    q("2", "out", 1),
-    q("3", "in", 3),
-    q("4", "alsoIn", 2),
-    q("5", "far", 9, { priority: "high" }),
-    q("6", "far", -5),
+    queuedJob("1", "far", 0),
+    queuedJob("2", "out", 1),
+    queuedJob("3", "in", 3),
+    queuedJob("4", "alsoIn", 2),
+    queuedJob("5", "far", 9, { priority: "high" }),
+    queuedJob("6", "far", -5),
   ];
-  assert.deepEqual(order(jobs, true), ["5", "4", "3", "2", "6", "1"]);
-  assert.deepEqual(order(jobs, false), ["5", "6", "1", "2", "4", "3"]);
-  // The order follows what is served: a team that gets beyond its guarantee stands back at once.
+  assert.deepEqual(startOrder(jobs, true), ["5", "4", "3", "2", "6", "1"]);
+  assert.deepEqual(startOrder(jobs, false), ["5", "6", "1", "2", "4", "3"]);
+  // The order follows what is started: a team that exceeds its guarantee loses precedence at once.
   let used = 0;
   const round = new SchedulingRound(
-    [q("a", "in", 0), q("b", "in", 1), q("c", "alsoIn", 5)],
+    [
+      queuedJob("a", "in", 0),
+      queuedJob("b", "in", 1),
+      queuedJob("c", "alsoIn", 5),
+    ],
     { ...DEFAULTS },
     { shortTasksSinceLong: 0 },
     (t) =>
@@ -886,28 +961,30 @@
   assert.equal(round.head()!.spec.id, "c");
 });
 
-test("the checker detects a partition that goes on using what it gives away", () => {
+test("the checker detects a partition that continues to use quota that it transfers", () => {
   const before = QuotaAllocator.prototype.share;
   QuotaAllocator.prototype.share = function (t) {
-    const had = (this as unknown as { pendingChange: unknown }).pendingChange;
+    const pendingChange = (this as unknown as { pendingChange: unknown })
+      .pendingChange;
     Object.assign(this, { pendingChange: null });
-    const s = before.call(this, t);
-    Object.assign(this, { pendingChange: had });
-    return [s[0] + 6, s[1]];
+    const share = before.call(this, t);
+    Object.assign(this, { pendingChange });
+    return [share[0] + 6, share[1]];
   };
   try {
     const broken: string[] = [];
     for (let seed = 200; seed < 230 && broken.length === 0; seed++) {
-      const w = new World(seed);
-      w.capacity = 6;
-      for (const z of w.zones)
-        for (let i = 0; i < 4; i++) w.cloud.add(w.types[0]!, z, false, 0);
-      submitWorkload(w, 80_000, (x, n) => ({
+      const world = new World(seed);
+      world.capacity = 6;
+      for (const zone of world.zones)
+        for (let i = 0; i < 4; i++)
+          world.cloud.add(world.types[0]!, zone, false, 0);
+      submitWorkload(world, 80_000, (x, n) => ({
         ...randomJob(x, n),
         team: "red",
       }));
-      w.run(100_000);
-      broken.push(...w.checker.broken);
+      world.run(100_000);
+      broken.push(...world.checker.broken);
     }
     assert.match(broken.join(), /quota/);
   } finally {
@@ -915,8 +992,8 @@
   }
 });
 
-test("real controllers, killed and stopped at drawn moments: the machines' own count never passes a limit, no task runs twice, all end", async () => {
-  const r = await farm(3, {
+test("real controllers, killed and paused at random times: use never exceeds a limit, no task runs twice, all tasks complete", async () => {
+  const result = await runProcessCluster(3, {
     controllers: 5,
     machines: 20,
     jobs: 40,
@@ -924,37 +1001,38 @@
     limit: 8,
     runMs: [400, 1_200],
     calmMs: 4_000,
-    roughMs: 9_000,
-    endMs: 180_000,
+    faultMs: 9_000,
+    drainMs: 180_000,
   });
-  assert.deepEqual(r.wrong, []);
+  assert.deepEqual(result.violations, []);
   assert.equal(
-    r.done,
-    r.tasks,
-    `${r.done} of ${r.tasks} done, ${r.starts} starts`,
+    result.completed,
+    result.tasks,
+    `${result.completed} of ${result.tasks} done, ${result.starts} starts`,
   );
-  assert.deepEqual(r.logErrors, []);
+  assert.deepEqual(result.logErrors, []);
 });
 
-/** Two controllers, machines with accelerators in both zones, and a team whose limit is short. */
-function short(
+/** Two controllers, machines with accelerators in both zones, and a team whose limit is scarce. */
+function twoZoneWorld(
   cpusMax: number,
   gpusMax: number,
 ): { w: World; submit: (atMs: number, over: Partial<JobSpec>) => string } {
-  const w = new World(5, undefined, [], 2);
-  w.loss = 0;
-  w.capacity = 4;
-  w.runFactor = 20;
-  w.settings.teams = new Map([["red", team("red", cpusMax, { gpusMax })]]);
-  w.bootAll();
-  for (const z of ["east", "mid"])
-    for (let i = 0; i < 3; i++) w.cloud.add(w.types[1]!, z, false, 0);
-  let n = 0;
+  const world = new World(5, undefined, [], 2);
+  world.loss = 0;
+  world.capacity = 4;
+  world.runFactor = 20;
+  world.settings.teams = new Map([["red", team("red", cpusMax, { gpusMax })]]);
+  world.bootAll();
+  for (const zone of ["east", "mid"])
+    for (let i = 0; i < 3; i++)
+      world.cloud.add(world.types[1]!, zone, false, 0);
+  let jobNumber = 0;
   return {
-    w,
+    w: world,
     submit: (atMs, over) => {
       const spec: JobSpec = {
-        ...randomJob(w, ++n),
+        ...randomJob(world, ++jobNumber),
         team: "red",
         kind: "array",
         priority: "normal",
@@ -968,9 +1046,9 @@
         deadlineS: null,
         ...over,
       };
-      w.specs.set(spec.id, spec);
-      w.at(atMs, () =>
-        w.ask(
+      world.specs.set(spec.id, spec);
+      world.at(atMs, () =>
+        world.ask(
           "node-a",
           (reqId) => ({ type: "submit", reqId, spec }),
           (a) => assert.equal(a?.kind, "job", JSON.stringify(a)),
@@ -981,28 +1059,28 @@
   };
 }
 
-test("work that lacks CPUs and work that lacks accelerators wait for their own turns: no part goes to and fro", () => {
-  const { w, submit } = short(12, 3);
+test("tasks that lack CPUs and tasks that lack accelerators are ordered separately: no quota moves back and forth", () => {
+  const { w, submit } = twoZoneWorld(12, 3);
   submit(10_000, { zone: "mid", tasks: 2, cpus: 4 });
   submit(11_000, { zone: "east", tasks: 1, cpus: 3 });
-  // East lacks CPUs for longest, and accelerators only since last; mid lacks them since before that.
+  // East has lacked CPUs for longest, but started to lack accelerators after mid did.
   submit(13_000, { zone: "east", tasks: 1, cpus: 8 });
   submit(15_000, { zone: "mid", tasks: 3, cpus: 3, gpus: 1 });
   submit(17_000, { zone: "east", tasks: 4, cpus: 5, gpus: 1 });
   w.run(60_000);
   assert.deepEqual(w.checker.broken, []);
-  const given = w.logs.filter(
+  const transfers = w.logs.filter(
     (l) => l.includes("transferring quota") && Number(l.split(" ")[0]) > 25,
   );
   assert.ok(
-    given.length < 8,
-    `${given.length} in 35 s\n${given.slice(-6).join("\n")}`,
+    transfers.length < 8,
+    `${transfers.length} in 35 s\n${transfers.slice(-6).join("\n")}`,
   );
 });
 
-test("a gang that was accepted under a larger limit keeps no part of the present one from others", () => {
-  const { w, submit } = short(20, 6);
-  const never = submit(10_000, {
+test("a gang that was accepted under a larger limit withholds no quota of the current limit from others", () => {
+  const { w, submit } = twoZoneWorld(20, 6);
+  const impossibleGang = submit(10_000, {
     zone: "east",
     kind: "gang",
     tasks: 3,
@@ -1010,7 +1088,7 @@
     estimateS: 5,
   });
   w.at(10_300, () => {
-    // It was accepted and nothing of it runs yet: its image is on its way. Lowered for all at once.
+    // The gang is accepted, but its images are still being fetched. The limit is lowered on all controllers at once.
     w.reconfigure(w.names, new Map([["red", team("red", 10, { gpusMax: 6 })]]));
     w.bootAll();
     for (const m of w.workers) m.restart(300);
@@ -1023,8 +1101,8 @@
   });
   w.run(90_000);
   assert.deepEqual(w.checker.broken, []);
-  assert.ok(w.state.data.has(`lc/now/job/${never}`));
-  const begun = new Set(
+  assert.ok(w.state.data.has(`lc/now/job/${impossibleGang}`));
+  const startedTasks = new Set(
     w.logs
       .flatMap(
         (l) =>
@@ -1035,16 +1113,16 @@
       .filter((t) => t.startsWith(`${other}/`)),
   );
   assert.equal(
-    begun.size,
+    startedTasks.size,
     4,
-    `the limit has room for all of them\n${w.logs.slice(-12).join("\n")}`,
+    `the limit is enough for all of them\n${w.logs.slice(-12).join("\n")}`,
   );
 });
 
-test("an array in one zone that is larger than its team's limit runs in turns, also where the limit is elsewhere", () => {
-  const { w, submit } = short(20, 6);
+test("an array in one zone that exceeds its team's limit runs in batches, even if another partition has all of the quota", () => {
+  const { w, submit } = twoZoneWorld(20, 6);
   w.runFactor = 1;
-  // All of the limit goes there and stays there.
+  // All of the quota is transferred to mid and stays there.
   submit(9_000, { zone: "mid", tasks: 12, cpus: 5 });
   const array = submit(60_000, {
     zone: "east",
