--- a/src/coordination/quota/quota-change.ts
+++ b/src/coordination/quota/quota-change.ts
@@ -13,7 +13,7 @@
 
 /** Revisions that a change is conditional on. */
 interface ChangeBase {
-  records: [key: string, version: number][];
+  records: [key: string, revision: number][];
   /** Partitions that are no longer in the settings, with the fencing token under which they have no leader. */
   removedPartitions: [partition: string, token: number][];
 }
@@ -34,7 +34,10 @@
     removedTokens: ReadonlyMap<string, number>,
   ) {
     const base: ChangeBase = {
-      records: [...plan.writes.keys()].map((key) => [key, this.versionOf(key)]),
+      records: [...plan.writes.keys()].map((key) => [
+        key,
+        this.revisionOf(key),
+      ]),
       removedPartitions: plan.removedPartitions.flatMap((partition) => {
         const token = removedTokens.get(partition);
         return token === undefined ? [] : [[partition, token]];
@@ -53,10 +56,10 @@
     return released ? [released[0], released[1]] : [0, 0];
   }
 
-  /** Whether a record has changed since, which shows whether this change was applied. */
+  /** Whether a record has changed since the plan, which shows whether this change was applied. */
   isSettled(): boolean {
     return this.transfer.baseRevision.records.some(
-      ([key, version]) => this.versionOf(key) !== version,
+      ([key, revision]) => this.revisionOf(key) !== revision,
     );
   }
 
@@ -88,19 +91,19 @@
     this.state.commit(conditions, puts, this.priority, done);
   }
 
-  private versionOf(key: string): number {
+  private revisionOf(key: string): number {
     return this.context.cache.quotaRecords.get(key)?.revision ?? 0;
   }
 
   // ---- log -------------------------------------------------------------------------------------------------
 
   logPlanned(limitsAgreed: boolean): void {
-    for (const { team, to, amounts: give, reason } of this.plan.transfers)
+    for (const { team, to, amounts, reason } of this.plan.transfers)
       this.context.log("transferring quota to another partition", {
         team,
         to,
-        cpus: give[0],
-        gpus: give[1],
+        cpus: amounts[0],
+        gpus: amounts[1],
         reason,
       });
     for (const team of this.plan.teamsWithNewCap)
@@ -117,7 +120,7 @@
       records: this.transfer.baseRevision.records.map(([key, before]) => ({
         key,
         before,
-        after: this.versionOf(key),
+        after: this.revisionOf(key),
       })),
       teams: [...this.plan.released.keys()].flatMap((team) => {
         const entry = entryOf(team);
--- a/src/coordination/quota/quota-plan.ts
+++ b/src/coordination/quota/quota-plan.ts
@@ -40,9 +40,14 @@
   team: Team,
   plan: QuotaPlan,
 ): NewQuotaEntry | null {
-  const written = entryOf(situation.records, team.name);
-  if (written)
-    return new QuotaTeamPlanner(situation, team, written, plan).planEntry();
+  const currentEntry = entryOf(situation.records, team.name);
+  if (currentEntry)
+    return new QuotaTeamPlanner(
+      situation,
+      team,
+      currentEntry,
+      plan,
+    ).planEntry();
   const initial = initialEntry(team, situation.partitions);
   if (initial) plan.teamsWithNewCap.push(team.name);
   return initial;
--- a/src/coordination/quota/quota-record-writer.ts
+++ b/src/coordination/quota/quota-record-writer.ts
@@ -73,48 +73,48 @@
       entry.cap[dimension] === Infinity ? 0 : entry.cap[dimension],
     );
     const bytes = entryBytes(team, entry.shares, cap);
-    const presentKey = entryOf(this.records, team)?.key;
-    for (const key of this.candidateKeys(presentKey)) {
+    const currentKey = entryOf(this.records, team)?.key;
+    for (const key of this.candidateKeys(currentKey)) {
       const target = this.open(key);
-      const newBytes = target.bytes + bytes - presentBytes(target, team);
+      const newBytes = target.bytes + bytes - entryBytesIn(target, team);
       if (newBytes > this.limits.maxValueBytes) continue;
-      if (this.countRecordsWith(key, presentKey) > this.limits.maxRecords)
+      if (this.countRecordsWith(key, currentKey) > this.limits.maxRecords)
         return false;
       target.value[team] = entry.shares;
       capsOf(target)[team] = cap;
       this.newValues.set(key, { value: target.value, bytes: newBytes });
-      if (presentKey !== undefined && presentKey !== key)
-        this.remove(presentKey, team);
+      if (currentKey !== undefined && currentKey !== key)
+        this.remove(currentKey, team);
       return true;
     }
     return false;
   }
 
   /** Keys of the records to try: first the entry's current record, then all others in order. */
-  private candidateKeys(presentKey: string | undefined): string[] {
-    const keys = presentKey === undefined ? [] : [presentKey];
+  private candidateKeys(currentKey: string | undefined): string[] {
+    const keys = currentKey === undefined ? [] : [currentKey];
     const moreRecords = this.records.size + this.changedCount;
     const others = [
       QUOTA_KEY,
       ...Array.from({ length: moreRecords }, (_, index) => quotaKey(index)),
     ];
-    keys.push(...others.filter((key) => key !== presentKey));
+    keys.push(...others.filter((key) => key !== currentKey));
     return keys;
   }
 
   /** Number of records to write if the entry is put at `key`; moving it from another record changes both. */
   private countRecordsWith(
     key: string,
-    presentKey: string | undefined,
+    currentKey: string | undefined,
   ): number {
-    const touched = new Set([key, presentKey ?? key]);
+    const touched = new Set([key, currentKey ?? key]);
     const added = [...touched].filter((other) => !this.newValues.has(other));
     return this.newValues.size + added.length;
   }
 
   private remove(key: string, team: string): void {
     const record = this.open(key);
-    const bytes = record.bytes - presentBytes(record, team);
+    const bytes = record.bytes - entryBytesIn(record, team);
     delete record.value[team];
     delete capsOf(record)[team];
     this.newValues.set(key, { value: record.value, bytes });
@@ -124,10 +124,10 @@
   private open(key: string): NewValue {
     const changed = this.newValues.get(key);
     if (changed) return changed;
-    const present = this.records.get(key)?.shares ?? {};
+    const current = this.records.get(key)?.shares ?? {};
     const value: QuotaShares = {
-      ...present,
-      [CAPS_NAME]: { ...present[CAPS_NAME] },
+      ...current,
+      [CAPS_NAME]: { ...current[CAPS_NAME] },
     };
     return { value, bytes: bytesOf(value) };
   }
@@ -137,7 +137,7 @@
   (value[CAPS_NAME] ??= {});
 
 /** Size of the team's entry in the value; 0 if it has none. */
-function presentBytes(record: NewValue, team: string): number {
+function entryBytesIn(record: NewValue, team: string): number {
   const shares = record.value[team];
   if (!shares) return 0;
   return entryBytes(team, shares, capsOf(record)[team] ?? [0, 0]);
--- a/src/coordination/quota/quota-records.ts
+++ b/src/coordination/quota/quota-records.ts
@@ -70,9 +70,9 @@
   for (const share of Object.values(teamShares))
     for (const dimension of DIMENSIONS) sum[dimension] += share[dimension];
   // An entry without a cap was written by the previous version, whose shares add up to the limit.
-  const written = shares[CAPS_NAME]?.[team] ?? sum;
+  const storedCap = shares[CAPS_NAME]?.[team] ?? sum;
   // Infinity is stored as 0, because JSON can't represent it.
-  const cap = perDimension((dimension) => written[dimension] || Infinity);
+  const cap = perDimension((dimension) => storedCap[dimension] || Infinity);
   return { key, shares: teamShares, sum, cap };
 }
 
--- a/src/coordination/quota/quota-situation.ts
+++ b/src/coordination/quota/quota-situation.ts
@@ -26,8 +26,8 @@
   /** Demand of the other partitions, by partition and team. */
   otherDemands: ReadonlyMap<string, ReadonlyMap<string, PartitionDemand>>;
   /**
-   * What this partition's waiting tasks need that come before the demand of another partition, which is given by its place in the
-   * queue order and by whether its tasks are startable.
+   * What this partition's own waiting tasks need that come before the demand of another partition: `queueOrderMs`, `partition` and
+   * `isStartable` describe that demand.
    */
   needAheadOf(
     team: string,
--- a/src/coordination/quota/quota-team-planner.ts
+++ b/src/coordination/quota/quota-team-planner.ts
@@ -51,16 +51,16 @@
   constructor(
     private readonly situation: QuotaSituation,
     private readonly team: Team,
-    private readonly written: QuotaEntry,
+    private readonly currentEntry: QuotaEntry,
     private readonly plan: QuotaPlan,
   ) {
     this.shares = Object.fromEntries(
-      Object.entries(written.shares).map(([partition, share]) => [
+      Object.entries(currentEntry.shares).map(([partition, share]) => [
         partition,
         [...share],
       ]),
     );
-    this.cap = [...written.cap];
+    this.cap = [...currentEntry.cap];
     this.limit = limitOf(team);
     this.use = situation.use(team.name);
     this.confirmedUse = situation.confirmedUse(team.name);
@@ -162,10 +162,10 @@
     const isWithinCap = DIMENSIONS.every(
       (dimension) =>
         this.cap[dimension] === Infinity ||
-        (!isOverAllocated(this.written, dimension) &&
+        (!isOverAllocated(this.currentEntry, dimension) &&
           this.total(dimension) <= this.cap[dimension] + EPSILON),
     );
-    return isWithinCap && this.situation.mayMoveShares(this.written.key);
+    return isWithinCap && this.situation.mayMoveShares(this.currentEntry.key);
   }
 
   /** Transfers quota from this partition to those that demand more, and takes unassigned quota for this one. */
--- a/test/coordination/quota/process-cluster.ts
+++ b/test/coordination/quota/process-cluster.ts
@@ -283,7 +283,7 @@
   const samples: { atMs: number; usage: number }[] = [];
   let timer: NodeJS.Timeout | null = null;
   // Without this, a controller that was restarted after all had been stopped kept the test from ending.
-  let over = false;
+  let isOver = false;
   try {
     for (const m of machines) await m.start();
     const submit = async (n: number): Promise<void> => {
@@ -348,7 +348,7 @@
       const i = nodes.rng.int(0, o.controllers - 1);
       if (nodes.rng.chance(0.5)) {
         await nodes.kill(i);
-        setTimeout(() => over || nodes.up(i), nodes.rng.real(50, 600));
+        setTimeout(() => isOver || nodes.up(i), nodes.rng.real(50, 600));
       } else {
         nodes.signal(i, "SIGSTOP");
         setTimeout(
@@ -384,7 +384,7 @@
       logErrors: nodes.logErrors,
     };
   } finally {
-    over = true;
+    isOver = true;
     if (timer) clearInterval(timer);
     for (const m of machines) await m.stop();
     await nodes.stop();
--- a/test/coordination/quota/quota.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -233,12 +233,12 @@
         fc.record({
           partitionIndex: fc.nat(4),
           action: fc.constantFrom(
-            "turn",
+            "plan",
             "start",
             "end",
-            "want",
+            "demand",
             "limit",
-            "gone",
+            "remove",
           ),
           amount: fc.integer({ min: 1, max: 60 }),
         }),
@@ -259,18 +259,18 @@
           if (action === "limit") limit = [30, 60, 90, 120][amount % 4]!;
           else if (removedPartitions.has(partition)) continue;
           else if (
-            action === "gone" &&
+            action === "remove" &&
             partitions.length > 2 &&
             cluster.usedBy(partition, "t") === 0
           )
             removedPartitions.add(partition);
-          else if (action === "turn")
+          else if (action === "plan")
             cluster.planAndCommit(
               cluster.situation(partition, partitions, [settings], {
                 removedPartitions,
               }),
             );
-          else if (action === "want")
+          else if (action === "demand")
             cluster.publishDemand(
               partition,
               "t",
@@ -494,27 +494,27 @@
   }
 });
 
-/** After each step, checks that each leader stays within its recorded share; returns the largest sum of shares relative to the cap. */
+/** After each step, checks that leaders stay within their recorded shares; returns the largest sum of shares relative to the cap. */
 function watchShares(world: World): { maxAllocation: number } {
   const result = { maxAllocation: 0 };
   world.afterStep = (core) => {
     if (world.production.size > 0) return;
     const limits = world.teamLimits ?? world.settings.teams;
     for (const leader of core.leaders.values())
-      for (const limit of limits.values()) {
-        if (limit.cpusMax === Infinity) continue;
-        const record = entryOf(core.cache.quotaRecords, limit.name);
+      for (const settings of limits.values()) {
+        if (settings.cpusMax === Infinity) continue;
+        const record = entryOf(core.cache.quotaRecords, settings.name);
         if (record)
           result.maxAllocation = Math.max(
             result.maxAllocation,
             record.sum[0] / record.cap[0],
           );
-        const share = leader.quota.share(limit.name)[0];
+        const share = leader.quota.share(settings.name)[0];
         const recordedShare = record?.shares[leader.partition]?.[0] ?? 0;
-        const used = leader.state.usage().get(limit.name)?.cpus ?? 0;
+        const used = leader.state.usage().get(settings.name)?.cpus ?? 0;
         assert.ok(
           share <= Math.max(recordedShare, used) + 1e-6,
-          `${leader.partition}: ${share} of ${limit.name}, written ${recordedShare}, used ${used}`,
+          `${leader.partition}: ${share} of ${settings.name}, recorded ${recordedShare}, used ${used}`,
         );
       }
   };
@@ -522,7 +522,10 @@
 }
 
 /** Runs two teams at their limits with all faults; `maxAllocation`: the largest sum of shares relative to the cap. */
-function runTeamsAtLimit(seed: number): { w: World; maxAllocation: number } {
+function runTeamsAtLimit(seed: number): {
+  world: World;
+  maxAllocation: number;
+} {
   const world = new World(seed, undefined, [], [1, 2, 3, 5, 7][seed % 5]);
   world.capacity = 6;
   world.settings.teams
@@ -545,26 +548,26 @@
     [],
     `seed ${seed}: ${world.checker.broken.join()}\n${world.logs.slice(-20).join("\n")}`,
   );
-  return { w: world, maxAllocation: watched.maxAllocation };
+  return { world, maxAllocation: watched.maxAllocation };
 }
 
 test("teams at their limits with 1, 2, 3, 5 and 7 controllers, pauses, network cuts and failovers: the limits hold and no share is lost", () => {
   let starts = 0;
   for (let seed = 800; seed < 815; seed++) {
-    const { w, maxAllocation } = runTeamsAtLimit(seed);
+    const { world, maxAllocation } = runTeamsAtLimit(seed);
     assert.ok(maxAllocation <= 1 + 1e-6, `${maxAllocation}`);
     for (const teamName of ["red", "blue"]) {
       const sum = entryIn(
         QUOTA_KEY,
-        w.state.data.get(QUOTA_KEY)!.value as QuotaShares,
+        world.state.data.get(QUOTA_KEY)!.value as QuotaShares,
         teamName,
       )!.sum[0];
       assert.ok(
-        sum > w.settings.teams.get(teamName)!.cpusMax - 1,
+        sum > world.settings.teams.get(teamName)!.cpusMax - 1,
         `${teamName}: only ${sum} assigned`,
       );
     }
-    starts += w.starts;
+    starts += world.starts;
   }
   assert.ok(starts > 1_000, `${starts}`);
 });
@@ -719,7 +722,7 @@
   world: World,
   atMs: number,
   jobNumber: number,
-  over: Partial<JobSpec>,
+  overrides: Partial<JobSpec>,
   node = (): string => "node-a",
 ): void {
   world.at(atMs, () => {
@@ -736,7 +739,7 @@
       spread: false,
       spot: false,
       checkpointS: 0,
-      ...over,
+      ...overrides,
     };
     world.specs.set(spec.id, spec);
     world.ask(
@@ -759,8 +762,14 @@
   for (const zone of world.zones)
     for (let i = 0; i < 3; i++)
       world.cloud.add(world.types[0]!, zone, false, 0);
-  const submit = (atMs: number, n: number, over: Partial<JobSpec>): void =>
-    submitAt(world, atMs, n, over, () => world.rng.pick(world.names));
+  const submit = (
+    atMs: number,
+    jobNumber: number,
+    overrides: Partial<JobSpec>,
+  ): void =>
+    submitAt(world, atMs, jobNumber, overrides, () =>
+      world.rng.pick(world.names),
+    );
   submit(4_000, 1, { team: "blue", kind: "service", tasks: 24 });
   for (let k = 0; k < 12; k++)
     submit(25_000 + world.rng.int(0, 300), 10 + k, {
@@ -809,8 +818,8 @@
 
 test("without recorded reclaims, leaders that decide at the same time preempt more than the deficit", () => {
   const { reclaim, mayReclaim } = GuaranteeReclaims.prototype;
-  GuaranteeReclaims.prototype.reclaim = function (_t, _n, _f, _g, granted) {
-    granted();
+  GuaranteeReclaims.prototype.reclaim = function (_t, _n, _f, _g, onCommitted) {
+    onCommitted();
   };
   GuaranteeReclaims.prototype.mayReclaim = () => true;
   try {
@@ -840,12 +849,16 @@
     world.bootAll();
     for (let i = 0; i < 3; i++)
       world.cloud.add(world.types[0]!, "west", false, 0);
-    const submit = (atMs: number, n: number, over: Partial<JobSpec>): void =>
-      submitAt(world, atMs, n, {
+    const submit = (
+      atMs: number,
+      jobNumber: number,
+      overrides: Partial<JobSpec>,
+    ): void =>
+      submitAt(world, atMs, jobNumber, {
         kind: "service",
         tasks: 6,
         zone: "west",
-        ...over,
+        ...overrides,
       });
     submit(4_000, 1, { team: "blue" });
     submit(20_000, 2, { team: "red", tasks: 3 });
@@ -886,7 +899,7 @@
     id: string,
     teamName: string,
     readyAt: number,
-    over: Partial<JobSpec> = {},
+    overrides: Partial<JobSpec> = {},
   ) => {
     const spec = {
       ...randomJob(new World(1), 1),
@@ -895,7 +908,7 @@
       priority: "normal" as const,
       kind: "array" as const,
       estimateS: 10,
-      ...over,
+      ...overrides,
     };
     return {
       spec,
@@ -921,13 +934,13 @@
       { shortTasksSinceLong: 0 },
       ranked ? (t) => ({ within: shares[t]! < 1, share: shares[t]! }) : null,
     );
-    const out: string[] = [];
+    const started: string[] = [];
     for (let head = round.head(); head; head = round.head()) {
-      out.push(head.spec.id);
+      started.push(head.spec.id);
       round.served(1);
       round.skip();
     }
-    return out;
+    return started;
   };
   const jobs = [
     queuedJob("1", "far", 0),
@@ -962,12 +975,12 @@
 });
 
 test("the checker detects a partition that continues to use quota that it transfers", () => {
-  const before = QuotaAllocator.prototype.share;
+  const originalShare = QuotaAllocator.prototype.share;
   QuotaAllocator.prototype.share = function (t) {
     const pendingChange = (this as unknown as { pendingChange: unknown })
       .pendingChange;
     Object.assign(this, { pendingChange: null });
-    const share = before.call(this, t);
+    const share = originalShare.call(this, t);
     Object.assign(this, { pendingChange });
     return [share[0] + 6, share[1]];
   };
@@ -988,7 +1001,7 @@
     }
     assert.match(broken.join(), /quota/);
   } finally {
-    QuotaAllocator.prototype.share = before;
+    QuotaAllocator.prototype.share = originalShare;
   }
 });
 
@@ -1017,7 +1030,10 @@
 function twoZoneWorld(
   cpusMax: number,
   gpusMax: number,
-): { w: World; submit: (atMs: number, over: Partial<JobSpec>) => string } {
+): {
+  world: World;
+  submit: (atMs: number, overrides: Partial<JobSpec>) => string;
+} {
   const world = new World(5, undefined, [], 2);
   world.loss = 0;
   world.capacity = 4;
@@ -1029,8 +1045,8 @@
       world.cloud.add(world.types[1]!, zone, false, 0);
   let jobNumber = 0;
   return {
-    w: world,
-    submit: (atMs, over) => {
+    world,
+    submit: (atMs, overrides) => {
       const spec: JobSpec = {
         ...randomJob(world, ++jobNumber),
         team: "red",
@@ -1044,7 +1060,7 @@
         estimateS: 60,
         checkpointS: 0,
         deadlineS: null,
-        ...over,
+        ...overrides,
       };
       world.specs.set(spec.id, spec);
       world.at(atMs, () =>
@@ -1060,16 +1076,16 @@
 }
 
 test("tasks that lack CPUs and tasks that lack accelerators are ordered separately: no quota moves back and forth", () => {
-  const { w, submit } = twoZoneWorld(12, 3);
+  const { world, submit } = twoZoneWorld(12, 3);
   submit(10_000, { zone: "mid", tasks: 2, cpus: 4 });
   submit(11_000, { zone: "east", tasks: 1, cpus: 3 });
   // East has lacked CPUs for longest, but started to lack accelerators after mid did.
   submit(13_000, { zone: "east", tasks: 1, cpus: 8 });
   submit(15_000, { zone: "mid", tasks: 3, cpus: 3, gpus: 1 });
   submit(17_000, { zone: "east", tasks: 4, cpus: 5, gpus: 1 });
-  w.run(60_000);
-  assert.deepEqual(w.checker.broken, []);
-  const transfers = w.logs.filter(
+  world.run(60_000);
+  assert.deepEqual(world.checker.broken, []);
+  const transfers = world.logs.filter(
     (l) => l.includes("transferring quota") && Number(l.split(" ")[0]) > 25,
   );
   assert.ok(
@@ -1079,7 +1095,7 @@
 });
 
 test("a gang that was accepted under a larger limit withholds no quota of the current limit from others", () => {
-  const { w, submit } = twoZoneWorld(20, 6);
+  const { world, submit } = twoZoneWorld(20, 6);
   const impossibleGang = submit(10_000, {
     zone: "east",
     kind: "gang",
@@ -1087,11 +1103,14 @@
     cpus: 5,
     estimateS: 5,
   });
-  w.at(10_300, () => {
+  world.at(10_300, () => {
     // The gang is accepted, but its images are still being fetched. The limit is lowered on all controllers at once.
-    w.reconfigure(w.names, new Map([["red", team("red", 10, { gpusMax: 6 })]]));
-    w.bootAll();
-    for (const m of w.workers) m.restart(300);
+    world.reconfigure(
+      world.names,
+      new Map([["red", team("red", 10, { gpusMax: 6 })]]),
+    );
+    world.bootAll();
+    for (const m of world.workers) m.restart(300);
   });
   const other = submit(30_000, {
     zone: "mid",
@@ -1099,11 +1118,11 @@
     cpus: 2,
     estimateS: 90,
   });
-  w.run(90_000);
-  assert.deepEqual(w.checker.broken, []);
-  assert.ok(w.state.data.has(`lc/now/job/${impossibleGang}`));
+  world.run(90_000);
+  assert.deepEqual(world.checker.broken, []);
+  assert.ok(world.state.data.has(`lc/now/job/${impossibleGang}`));
   const startedTasks = new Set(
-    w.logs
+    world.logs
       .flatMap(
         (l) =>
           /task phase changed .*"task":"([^"]*)".*"to":"running"/.exec(
@@ -1115,13 +1134,13 @@
   assert.equal(
     startedTasks.size,
     4,
-    `the limit is enough for all of them\n${w.logs.slice(-12).join("\n")}`,
+    `the limit is enough for all of them\n${world.logs.slice(-12).join("\n")}`,
   );
 });
 
 test("an array in one zone that exceeds its team's limit runs in batches, even if another partition has all of the quota", () => {
-  const { w, submit } = twoZoneWorld(20, 6);
-  w.runFactor = 1;
+  const { world, submit } = twoZoneWorld(20, 6);
+  world.runFactor = 1;
   // All of the quota is transferred to mid and stays there.
   submit(9_000, { zone: "mid", tasks: 12, cpus: 5 });
   const array = submit(60_000, {
@@ -1130,19 +1149,19 @@
     cpus: 5,
     samePlace: true,
   });
-  w.run(59_000);
+  world.run(59_000);
   assert.equal(
     (
-      w.state.data.get("lc/now/quota")!.value as {
+      world.state.data.get("lc/now/quota")!.value as {
         red: Record<string, number[]>;
       }
     ).red["node-a"]![0],
     0,
   );
-  w.run(140_000);
-  assert.deepEqual(w.checker.broken, []);
+  world.run(140_000);
+  assert.deepEqual(world.checker.broken, []);
   assert.ok(
-    w.logs.some(
+    world.logs.some(
       (l) => l.includes("task phase changed") && l.includes(`"${array}/`),
     ),
     "it begins",
