--- a/src/webhooks/allowed-networks.ts
+++ b/src/webhooks/allowed-networks.ts
@@ -4,12 +4,12 @@
 
 type Network = [ipaddr.IPv4 | ipaddr.IPv6, number];
 
-/** `10.0.0.0/8`, or one address. Throws a plain sentence. */
+/** Parses a network such as `10.0.0.0/8`, or a single address. The message of the error can be shown to operators. */
 export function parseNetwork(text: string): Network {
   try {
     if (text.includes("/")) return ipaddr.parseCIDR(text);
-    const one = ipaddr.parse(text);
-    return [one, one.kind() === "ipv4" ? 32 : 128];
+    const address = ipaddr.parse(text);
+    return [address, address.kind() === "ipv4" ? 32 : 128];
   } catch {
     throw new Error(
       `${text}: not a network such as 10.1.0.0/16 or 2001:db8::/32`,
@@ -18,8 +18,9 @@
 }
 
 /**
- * Where hooks may connect. Public unicast addresses are allowed unless only listed ones are; loopback, link-local, private, and
- * whatever else is special (also where an IPv4 address is hidden in an IPv6 one) only if listed.
+ * The addresses that webhooks may connect to. Listed networks are always allowed, other public unicast addresses unless
+ * `onlyListed` is set. Loopback, link-local, private and other special addresses (also IPv4 addresses embedded in IPv6
+ * addresses) are allowed only if they are listed.
  */
 export class AllowedNetworks {
   private readonly listed: Network[];
@@ -33,35 +34,37 @@
 
   allows(address: string): boolean {
     if (!ipaddr.isValid(address)) return false;
-    // An IPv6-mapped address is the IPv4 address that is connected to.
-    const a = ipaddr.process(address);
-    for (const [net, bits] of this.listed)
-      if (net.kind() === a.kind() && a.match(net, bits)) return true;
-    return !this.onlyListed && a.range() === "unicast";
+    // A connection to an IPv4-mapped IPv6 address goes to the IPv4 address, so that one is checked.
+    const parsed = ipaddr.process(address);
+    for (const [network, prefixBits] of this.listed)
+      if (network.kind() === parsed.kind() && parsed.match(network, prefixBits))
+        return true;
+    return !this.onlyListed && parsed.range() === "unicast";
   }
 
   /**
-   * Resolves names for a connection: the address that is connected to is the very one that was checked, so a name that
-   * resolves differently a second time gains nothing. `resolve`: the system's resolver.
+   * A lookup function for connections that returns only allowed addresses. The address that was checked is the one that is
+   * connected to, so a name that resolves differently a second time (DNS rebinding) does not bypass the check.
+   * `resolve` is the system's resolver by default.
    */
   lookup(
     resolve: (
       host: string,
-      done: (e: Error | null, found: LookupAddress[]) => void,
+      done: (e: Error | null, addresses: LookupAddress[]) => void,
     ) => void = (host, done) => lookup(host, { all: true }, done),
   ): LookupFunction {
     return (host, options, callback) =>
-      resolve(host, (e, found) => {
+      resolve(host, (e, resolved) => {
         if (e) return callback(e, "", 0);
-        const good = found.filter(
+        const allowed = resolved.filter(
           (f) =>
             this.allows(f.address) &&
             (!options.family || options.family === f.family),
         );
-        if (good.length === 0)
+        if (allowed.length === 0)
           return callback(
             new BlockedAddressError(
-              `${host} resolves to ${found.map((f) => f.address).join(", ") || "nothing"}`,
+              `${host} resolves to ${resolved.map((f) => f.address).join(", ") || "nothing"}`,
             ),
             "",
             0,
@@ -69,14 +72,14 @@
         if (options.all)
           (callback as unknown as (e: null, all: LookupAddress[]) => void)(
             null,
-            good,
+            allowed,
           );
-        else callback(null, good[0]!.address, good[0]!.family);
+        else callback(null, allowed[0]!.address, allowed[0]!.family);
       });
   }
 }
 
-/** Not a network that hooks may connect to. */
+/** A host name resolves to no address that webhooks may connect to. */
 export class BlockedAddressError extends Error {
   readonly code = "BLOCKED";
 }
--- a/src/webhooks/change-feed.ts
+++ b/src/webhooks/change-feed.ts
@@ -1,94 +1,108 @@
 import { readFinal, FINAL_PREFIX } from "../storage/records.js";
 import type { Change, Item } from "../protocol/state.js";
-import { after, type Cursor, type JobEnd } from "./records.js";
+import { isAfter, type Cursor, type JobEnd } from "./records.js";
 
 export interface FeedEntry {
   at: Cursor;
   end: JobEnd;
 }
 
-/** What a final record says; null if it is none, or was written by a controller without hooks, which does not say whose job it was. */
+/**
+ * The job end that a final record describes. null if the item is no final record, or if it was written by a controller without
+ * webhooks, which does not record the job's team and class.
+ */
 export function jobEndOf(
   item: Pick<Item, "key" | "value" | "version">,
 ): FeedEntry | null {
   if (!item.key.startsWith(FINAL_PREFIX)) return null;
-  const p = readFinal(item.value);
-  if (!p?.end) return null;
+  const final = readFinal(item.value);
+  if (!final?.end) return null;
   const id = item.key.slice(FINAL_PREFIX.length);
   return {
     at: { version: item.version, id },
     end: {
       id,
-      outcome: p.status,
-      tasks: p.tasks,
-      done: p.done,
-      team: p.end.team,
-      class: p.end.class,
-      at: p.end.at,
-      since: p.end.at,
+      outcome: final.status,
+      tasks: final.tasks,
+      done: final.done,
+      team: final.end.team,
+      class: final.end.class,
+      at: final.end.at,
+      since: final.end.at,
     },
   };
 }
-/** The ends among changes, in their order. */
+/** The job ends among the changes, in the order of their cursors. */
 export function jobEndsOf(changes: readonly Change[]): FeedEntry[] {
-  const out: FeedEntry[] = [];
-  for (const c of changes) {
-    const e = c.op === "put" ? jobEndOf(c) : null;
-    if (e) out.push(e);
+  const entries: FeedEntry[] = [];
+  for (const change of changes) {
+    const entry = change.op === "put" ? jobEndOf(change) : null;
+    if (entry) entries.push(entry);
   }
-  return out.sort((a, b) => (after(a.at, b.at) ? 1 : -1));
+  return entries.sort((a, b) => (isAfter(a.at, b.at) ? 1 : -1));
 }
 
 /**
- * The ends that this controller has read lately, without a gap between two revisions. Subscriptions that lag behind what is
- * kept here read the state service's log, or the final records themselves.
+ * The job ends that this controller has read most recently, without a gap between two revisions. Subscriptions that lag behind
+ * the oldest entry read the state service's change log instead, or all final records.
  */
 export class ChangeFeed {
-  /** Ends later than this revision are all here, up to `end`. */
-  start: number | null = null;
-  end = 0;
-  private ends: FeedEntry[] = [];
-  /** Final records that do not say whose job it was: written by a controller without hooks. Nobody hears of these. */
-  unnamed = 0;
+  /** `entries` holds all ends after this revision, up to `endRevision`. null until the first changes are added. */
+  startRevision: number | null = null;
+  endRevision = 0;
+  private entries: FeedEntry[] = [];
+  /** Number of final records without team and class, which controllers without webhooks write. They cause no notification. */
+  unattributedEnds = 0;
 
-  constructor(private readonly most = 1_500) {}
+  constructor(private readonly maxEntries = 1_500) {}
 
-  /** All changes of final records between two revisions. */
-  push(from: number, to: number, changes: readonly Change[]): void {
-    if (this.start === null || from > this.end) {
-      this.ends = [];
-      this.start = from;
-      this.end = from;
+  /** Adds the job ends among `changes`: all changes of final records after `fromRevision` and up to `toRevision`. */
+  push(
+    fromRevision: number,
+    toRevision: number,
+    changes: readonly Change[],
+  ): void {
+    if (this.startRevision === null || fromRevision > this.endRevision) {
+      this.entries = [];
+      this.startRevision = fromRevision;
+      this.endRevision = fromRevision;
     }
-    for (const c of changes)
+    for (const change of changes)
       if (
-        c.version > this.end &&
-        c.op === "put" &&
-        c.key.startsWith(FINAL_PREFIX) &&
-        !jobEndOf(c)
+        change.version > this.endRevision &&
+        change.op === "put" &&
+        change.key.startsWith(FINAL_PREFIX) &&
+        !jobEndOf(change)
       )
-        this.unnamed++;
-    // Two reads may overlap.
-    const fresh = jobEndsOf(changes).filter((e) => e.at.version > this.end);
-    this.ends.push(...fresh);
-    this.end = Math.max(this.end, to);
-    if (this.ends.length <= this.most) return;
-    const cut = this.ends.splice(0, this.ends.length - this.most);
-    // Whole revisions only.
-    this.start = cut.at(-1)!.at.version;
-    while (this.ends[0]?.at.version === this.start) this.ends.shift();
+        this.unattributedEnds++;
+    // Two reads may overlap, so that some changes are already here.
+    const added = jobEndsOf(changes).filter(
+      (e) => e.at.version > this.endRevision,
+    );
+    this.entries.push(...added);
+    this.endRevision = Math.max(this.endRevision, toRevision);
+    if (this.entries.length <= this.maxEntries) return;
+    const dropped = this.entries.splice(
+      0,
+      this.entries.length - this.maxEntries,
+    );
+    // Other entries of the last dropped revision are dropped too, as `startRevision` stands for a whole revision.
+    this.startRevision = dropped.at(-1)!.at.version;
+    while (this.entries[0]?.at.version === this.startRevision)
+      this.entries.shift();
   }
 
-  /** The ends after a place; null if some may be missing here. */
-  since(c: Cursor): readonly FeedEntry[] | null {
-    if (this.start === null || c.version < this.start) return null;
-    let lo = 0;
-    let hi = this.ends.length;
-    while (lo < hi) {
-      const mid = (lo + hi) >> 1;
-      if (after(this.ends[mid]!.at, c)) hi = mid;
-      else lo = mid + 1;
+  /** The ends after a cursor; null if some of them may be missing here. */
+  since(cursor: Cursor): readonly FeedEntry[] | null {
+    if (this.startRevision === null || cursor.version < this.startRevision)
+      return null;
+    let low = 0;
+    let high = this.entries.length;
+    while (low < high) {
+      const middle = (low + high) >> 1;
+      if (isAfter(this.entries[middle]!.at, cursor)) high = middle;
+      else low = middle + 1;
     }
-    return this.ends.slice(lo);
+    return this.entries.slice(low);
   }
 }
--- a/src/webhooks/circuit-breaker.ts
+++ b/src/webhooks/circuit-breaker.ts
@@ -1,7 +1,7 @@
-/** What the core and its parts know of a receiver: every subscription to one origin shares it. */
+/** Circuit breaker and backoff for receivers. All subscriptions whose URLs have the same origin share one circuit breaker. */
 
-/** Reasons that a notification is repeated for, as its header names them. */
-export const REASONS = [
+/** Why a notification is sent again, as the header `linencove-repeat` names it. */
+export const RETRY_REASONS = [
   "timeout",
   "reset",
   "status",
@@ -12,87 +12,98 @@
   "owner-lost",
   "redriven",
 ] as const;
-export type Reason = (typeof REASONS)[number];
-/** After these the receiver may have it. */
-export const mayHave = (r: Reason): boolean =>
-  r === "timeout" ||
-  r === "reset" ||
-  r === "status" ||
-  r === "owner-lost" ||
-  r === "redriven";
+export type RetryReason = (typeof RETRY_REASONS)[number];
+/** Whether the receiver may have the notification although it is sent again for this reason. */
+export const mayHaveArrived = (reason: RetryReason): boolean =>
+  reason === "timeout" ||
+  reason === "reset" ||
+  reason === "status" ||
+  reason === "owner-lost" ||
+  reason === "redriven";
 
 export interface BackoffLimits {
   baseMs: number;
-  mostMs: number;
+  maxMs: number;
 }
-/** Exponential with full jitter: anything from nothing to the bound, which doubles with each failure. `random` lies within 0 and 1. */
+/** Exponential backoff with full jitter: from 0 to a bound that doubles with each failure. `random` is between 0 and 1. */
 export const backoffMs = (
-  b: BackoffLimits,
+  limits: BackoffLimits,
   failures: number,
   random: number,
 ): number =>
   random *
-  Math.min(b.mostMs, b.baseMs * 2 ** Math.min(40, Math.max(0, failures - 1)));
+  Math.min(
+    limits.maxMs,
+    limits.baseMs * 2 ** Math.min(40, Math.max(0, failures - 1)),
+  );
 
 export type BreakerState = "closed" | "open" | "half-open";
 
 /**
- * Opens after so many failures in a row: then nothing is sent until a pause is over, and after it one attempt alone, whose
- * outcome opens it for longer or closes it. Half of each pause is certain, the rest is jitter.
+ * Opens after `failureThreshold` failures in a row. While it is open, no attempt is made. After a pause it is half-open and
+ * allows a single attempt, whose outcome closes it or opens it again for longer. Half of each pause is fixed, the rest is jitter.
  */
-export class Breaker {
-  private failures = 0;
-  private openings = 0;
-  private untilMs = -Infinity;
-  private probing = false;
+export class CircuitBreaker {
+  private consecutiveFailures = 0;
+  private consecutiveOpenings = 0;
+  private openUntilMs = -Infinity;
+  private probeInFlight = false;
 
   constructor(
-    private readonly after: number,
-    private readonly pause: BackoffLimits,
+    private readonly failureThreshold: number,
+    private readonly pauseLimits: BackoffLimits,
     private readonly random: () => number,
   ) {}
 
   state(nowMs: number): BreakerState {
-    if (this.failures < this.after && nowMs >= this.untilMs) return "closed";
-    return nowMs < this.untilMs ? "open" : "half-open";
+    if (
+      this.consecutiveFailures < this.failureThreshold &&
+      nowMs >= this.openUntilMs
+    )
+      return "closed";
+    return nowMs < this.openUntilMs ? "open" : "half-open";
   }
-  /** Whether an attempt may be made now. */
+  /** Whether an attempt may start now. */
   allows(nowMs: number): boolean {
-    const s = this.state(nowMs);
-    return s === "closed" || (s === "half-open" && !this.probing);
+    const state = this.state(nowMs);
+    return state === "closed" || (state === "half-open" && !this.probeInFlight);
   }
-  /** One is made. */
-  begin(nowMs: number): void {
-    if (this.state(nowMs) === "half-open") this.probing = true;
+  /** An attempt starts. */
+  recordStart(nowMs: number): void {
+    if (this.state(nowMs) === "half-open") this.probeInFlight = true;
   }
-  /** It came through, whatever the receiver said. */
-  well(): void {
-    this.failures = 0;
-    this.openings = 0;
-    this.untilMs = -Infinity;
-    this.probing = false;
+  /** The receiver answered the attempt and is working, whether or not it accepted the notification. */
+  recordSuccess(): void {
+    this.consecutiveFailures = 0;
+    this.consecutiveOpenings = 0;
+    this.openUntilMs = -Infinity;
+    this.probeInFlight = false;
   }
-  failed(nowMs: number): void {
-    this.probing = false;
-    this.failures++;
-    // Attempts that were on their way together fail together: that is one failure of the receiver.
-    if (this.failures < this.after || nowMs < this.untilMs) return;
-    this.openings++;
-    const most = Math.min(
-      this.pause.mostMs,
-      this.pause.baseMs * 2 ** Math.min(40, this.openings - 1),
+  recordFailure(nowMs: number): void {
+    this.probeInFlight = false;
+    this.consecutiveFailures++;
+    // Attempts in flight at the same time fail together. This is one failure of the receiver and opens the breaker only once.
+    if (
+      this.consecutiveFailures < this.failureThreshold ||
+      nowMs < this.openUntilMs
+    )
+      return;
+    this.consecutiveOpenings++;
+    const maxPauseMs = Math.min(
+      this.pauseLimits.maxMs,
+      this.pauseLimits.baseMs * 2 ** Math.min(40, this.consecutiveOpenings - 1),
     );
-    this.untilMs = Math.max(
-      this.untilMs,
-      nowMs + (most / 2) * (1 + this.random()),
+    this.openUntilMs = Math.max(
+      this.openUntilMs,
+      nowMs + (maxPauseMs / 2) * (1 + this.random()),
     );
   }
-  /** It was given up on our side: says nothing of the receiver. */
-  neither(): void {
-    this.probing = false;
+  /** The sender aborted the attempt, which says nothing about the receiver. */
+  recordAbort(): void {
+    this.probeInFlight = false;
   }
-  /** The receiver asked for a pause. */
-  rest(nowMs: number, ms: number): void {
-    this.untilMs = Math.max(this.untilMs, nowMs + ms);
+  /** The receiver asked for a pause (Retry-After). */
+  pauseFor(nowMs: number, pauseMs: number): void {
+    this.openUntilMs = Math.max(this.openUntilMs, nowMs + pauseMs);
   }
 }
--- a/src/webhooks/delivery-lanes.ts
+++ b/src/webhooks/delivery-lanes.ts
@@ -2,35 +2,42 @@
 import { utf8ToBytes } from "@noble/hashes/utils.js";
 import { LANE_COUNT } from "./records.js";
 
-const number = (text: string): number => {
-  const d = sha256(utf8ToBytes(text));
-  return ((d[0]! << 24) | (d[1]! << 16) | (d[2]! << 8) | d[3]!) >>> 0;
+const hashNumber = (text: string): number => {
+  const digest = sha256(utf8ToBytes(text));
+  return (
+    ((digest[0]! << 24) |
+      (digest[1]! << 16) |
+      (digest[2]! << 8) |
+      digest[3]!) >>>
+    0
+  );
 };
 
 /** The lane of a subscription. */
 export const laneOf = (name: string): number =>
-  number(`sub ${name}`) % LANE_COUNT;
+  hashNumber(`sub ${name}`) % LANE_COUNT;
 
-const weights = new Map<string, number>();
+const weightCache = new Map<string, number>();
 function weight(lane: number, label: string): number {
   const key = `${lane} ${label}`;
-  let w = weights.get(key);
-  if (w === undefined) weights.set(key, (w = number(`lane ${key}`)));
-  return w;
+  let cached = weightCache.get(key);
+  if (cached === undefined)
+    weightCache.set(key, (cached = hashNumber(`lane ${key}`)));
+  return cached;
 }
-/** Rendezvous hashing: whose the lane is among those present. When one goes, only its own lanes move. */
+/** Chooses a lane's owner among the present controllers by rendezvous hashing: if one leaves, only its own lanes move. */
 export function chosenController(
   lane: number,
   present: readonly string[],
 ): string | null {
-  let best: string | null = null;
+  let chosen: string | null = null;
   for (const label of present) {
     if (
-      best === null ||
-      weight(lane, label) > weight(lane, best) ||
-      (weight(lane, label) === weight(lane, best) && label < best)
+      chosen === null ||
+      weight(lane, label) > weight(lane, chosen) ||
+      (weight(lane, label) === weight(lane, chosen) && label < chosen)
     )
-      best = label;
+      chosen = label;
   }
-  return best;
+  return chosen;
 }
--- a/src/webhooks/delivery.ts
+++ b/src/webhooks/delivery.ts
@@ -8,25 +8,25 @@
 } from "../protocol/state.js";
 import { FINAL_PREFIX } from "../storage/records.js";
 import {
-  type Breaker,
+  type CircuitBreaker,
   backoffMs,
   type BackoffLimits,
-  mayHave,
-  type Reason,
+  mayHaveArrived,
+  type RetryReason,
 } from "./circuit-breaker.js";
 import {
-  after,
-  AT_HEAD,
+  isAfter,
+  PROGRESS_OVERHEAD_BYTES,
   type ProgressRecord,
   progressKey,
-  BATCH_HEAD,
+  BATCH_OVERHEAD_BYTES,
   batchNumber,
   type Cursor,
   deadKey,
   deadPrefix,
   type JobEnd,
   LAST_ID,
-  later,
+  laterOf,
   type PendingDelivery,
   Packer,
   readProgress,
@@ -44,166 +44,189 @@
   type ChangeFeed,
 } from "./change-feed.js";
 
-/** What an attempt came to. */
+/** The outcome of an attempt. */
 export type AttemptResult =
   | { is: "answered"; status: number; retryAfterMs: number | null }
-  /** Asked first, the receiver has it. */
+  /** Asked before the repeat, the receiver answered that it has the notification. */
   | { is: "had" }
-  | { is: "failed"; why: Exclude<Reason, "status" | "owner-lost"> }
-  /** Given up on this side before it was over. */
+  | { is: "failed"; reason: Exclude<RetryReason, "status" | "owner-lost"> }
+  /** Aborted by this controller before it ended. */
   | { is: "aborted" };
 
 export interface DeliveryLimits {
   valueBytes: number;
   txnOps: number;
-  /** Attempts in flight for one subscription. */
+  /** Maximum number of attempts in flight for one subscription. */
   parallel: number;
+  /** A notification is given up this long after the end of its job, or after its last redrive. */
   horizonMs: number;
   backoff: BackoffLimits;
-  /** Revisions after which the state service's log may soon not go back far enough. */
-  settleEvery: number;
-  /** Batches that one subscription may have in its spool; what ends beyond that is found among the final records later. */
+  /** Settled revisions are written down at this interval, so that the state service's log still goes back far enough. */
+  settleEveryRevisions: number;
+  /** Maximum number of batches in a subscription's spool. Ends beyond that are found among the final records later. */
   spoolBatches: number;
 }
 
 export interface AttemptRequest {
   end: JobEnd;
-  /** The number of the attempt, from 1. */
+  /** Number of the attempt for this notification, from 1. */
   attempt: number;
-  reason: Reason | null;
+  reason: RetryReason | null;
+  /** Ask the receiver first whether it has the notification. */
   ask: boolean;
   sub: Subscription;
 }
 
-/** What a delivery needs of its core. */
+/** What a Delivery needs from the webhook core. */
 export interface DeliveryHost extends EventLog {
+  /** Monotonic time. */
   readonly nowMs: number;
+  /** Time of day, ms since the epoch. */
   readonly wallMs: number;
   readonly limits: DeliveryLimits;
   readonly feed: ChangeFeed;
   random(): number;
-  state(call: StateCall, done: (r: StateReply) => void): void;
-  /** Whether hooks may change so many records now; counts them if so. `sinceMs`: since when it is asked. */
+  callStore(call: StateCall, done: (reply: StateReply) => void): void;
+  /** Whether webhooks may write this many changes now. If so, they count against the rate. */
   mayWrite(changes: number): boolean;
-  /** Whether an attempt may go to the receiver, and that one does; `gone`: until it comes back. */
-  breaker(url: string): Breaker;
-  mayLaunch(): boolean;
-  launch(d: Delivery, l: AttemptRequest): number;
-  abort(attempt: number): void;
-  /** The receiver wants no more. */
-  ended(name: string): void;
-  settled(
+  /** The circuit breaker of the URL's origin. */
+  breaker(url: string): CircuitBreaker;
+  mayStartAttempt(): boolean;
+  /** Returns an id for the attempt that is unique on this controller. */
+  startAttempt(delivery: Delivery, request: AttemptRequest): number;
+  abortAttempt(attemptId: number): void;
+  /** The receiver wants no more notifications (410). */
+  endSubscription(name: string): void;
+  notificationSettled(
     name: string,
-    o: { outcome: "delivered" | "dead"; end: JobEnd; attempts: number },
+    settlement: {
+      outcome: "delivered" | "dead";
+      end: JobEnd;
+      attempts: number;
+    },
   ): void;
 }
 
 interface Entry extends PendingDelivery {
-  /** Attempts that the record says may have been made: `attempts` never exceeds it. */
-  reserved: number;
+  /** Number of attempts that the record allows for; `attempts` never exceeds it. */
+  reservedAttempts: number;
   failures: number;
-  reason: Reason | null;
+  reason: RetryReason | null;
   notBeforeMs: number;
-  flying: number | null;
-  over: "delivered" | "dead" | null;
+  /** Id of the attempt in flight; null: there is none. */
+  attemptInFlight: number | null;
+  /** How the notification was settled; null: not yet. */
+  result: "delivered" | "dead" | null;
 }
 
-/** Attempt numbers that are written down at once after the first: one change serves so many repeats. */
-const RESERVE = 8;
-/** Ends that wait in memory for a place in the window or the spool. */
-const MAX_FRESH = 300;
-/** What is only to be forgotten waits this long for more. */
+/** Repeats that one change of the record allows for. The first attempt is allowed for by a change of its own. */
+const RESERVED_REPEATS = 8;
+/** Maximum number of ends that wait in memory for space in the window or the spool. */
+const MAX_FRESH_ENDS = 300;
+/** If a write would only remove settled entries, it is delayed this long to collect more of them. */
 const CLEANUP_INTERVAL_MS = 1_000;
 const RETRY_MS = 300;
-/** A window of more could not be sent again within a moment by the next owner. */
-const MAX_WINDOW = 100;
-/** Batches of dead letters that one subscription may have; the oldest go. */
-const DEAD_BATCHES = 1_000;
+/** Maximum number of entries in the window: the lane's next owner has to send all of them again quickly. */
+const MAX_WINDOW_ENTRIES = 100;
+/** Maximum number of dead-letter batches per subscription; the oldest are deleted. */
+const MAX_DEAD_BATCHES = 1_000;
 
-const NONE: Cursor = { version: 0, id: "" };
+const START_CURSOR: Cursor = { version: 0, id: "" };
 
 /**
  * The deliveries of one subscription, while this controller owns its lane.
  *
- * What is owed is, in the order of ends: the window (may have been sent; in the record), the spool (batches of its own), what
- * is fresh (in memory, later than the cursor), and what was not read yet. Invariant (nothing lost): an end leaves one place
- * for the next in one commit. Invariant (no repeat without a cause): an attempt leaves only when the record names the end
- * with a number of attempts that covers it; so whoever reads the record next repeats nothing else.
+ * Ends that still have to be delivered are, in their order: in the window (may have been sent; part of the progress record), in
+ * the spool (batches in records of their own), fresh (in memory, later than the cursor), or not read yet. Invariant (nothing
+ * lost): an end moves from one place to the next in one commit. Invariant (no repeat without a cause): an attempt starts only
+ * when the record names the end with a number of attempts that covers it, so the next owner of the lane repeats nothing else.
  */
 export class Delivery {
   private record: Omit<ProgressRecord, "window">;
   private window: Entry[];
+  /** Matching ends after the record's cursor, up to `position`. */
   private fresh: FeedEntry[] = [];
-  /** Up to here ends were taken to `fresh`; never before the record's cursor. */
+  /** Matching ends up to here were added to `fresh`. Never before the record's cursor. */
   private position: Cursor;
-  /** The spool's first batch, as far as it is read. */
-  private front: { n: number; entries: PendingDelivery[] } | null = null;
-  private loaded = false;
-  private busy = false;
-  private reading = false;
-  private againMs = -Infinity;
-  private tidySinceMs: number | null = null;
+  /** The spool's first batch; null until it is read. */
+  private firstBatch: { batchNo: number; entries: PendingDelivery[] } | null =
+    null;
+  /** Whether the batches after those that the record names have been found. */
+  private spoolLoaded = false;
+  private commitInFlight = false;
+  private readInFlight = false;
+  /** After a failed read of the change log, and between the steps of `deleteRecords`, the next step waits until then. */
+  private retryAtMs = -Infinity;
+  /** Since when settled entries wait to be removed from the record; null: there are none. */
+  private cleanupSinceMs: number | null = null;
+  /** A page of final records whose matching ends have to be written to the spool. */
   private page: { items: FeedEntry[]; after: string; last: boolean } | null =
     null;
   private stopped = false;
-  /** When it last made use of the changes that hooks have. */
-  wroteMs = -Infinity;
-  /** Its record is not what was written last: to be made anew from what is read. */
-  foreign = false;
+  /** When the last commit was sent; the core serves the longest-waiting delivery first. */
+  lastCommitMs = -Infinity;
+  /** The stored record is not the one last written here: the core replaces this object by one made from the stored record. */
+  outdated = false;
 
   constructor(
     private readonly host: DeliveryHost,
     readonly name: string,
     readonly token: number,
-    private readonly owner: Condition,
-    /** The subscription as it is now; null: it was removed. */
+    private readonly laneCondition: Condition,
+    /** The current subscription; null if it was removed. */
     private readonly subscription: () => Subscription | null,
-    private version: number,
-    at: ProgressRecord,
-    /** All of the lane is settled up to here, beside what the record names. */
-    upto: number,
+    private recordVersion: number,
+    progress: ProgressRecord,
+    /** All ends up to this revision are settled, except those that the records name. */
+    laneSettledUpTo: number,
   ) {
-    const { window, ...rec } = at;
-    this.record = rec;
-    // The former owner may have sent any of these, as often as it wrote down.
+    const { window, ...recordFields } = progress;
+    this.record = recordFields;
+    // The former owner may have sent any of these, as often as the record allows for.
     this.window = window.map((o) => ({
       ...o,
-      reserved: o.attempts,
+      reservedAttempts: o.attempts,
       failures: 0,
       reason: "owner-lost",
       notBeforeMs: host.nowMs,
-      flying: null,
-      over: null,
+      attemptInFlight: null,
+      result: null,
     }));
-    this.record.cursor = later(at.cursor ?? { version, id: LAST_ID }, {
-      version: at.listing ? 0 : upto,
-      id: LAST_ID,
-    });
+    this.record.cursor = laterOf(
+      progress.cursor ?? { version: recordVersion, id: LAST_ID },
+      {
+        version: progress.listing ? 0 : laneSettledUpTo,
+        id: LAST_ID,
+      },
+    );
     this.position = this.record.cursor;
   }
 
-  // ---- what others ask of it -----------------------------------------------------------------------------
+  // ---- for the webhook core ----------------------------------------------------------------------------
 
-  get flying(): number {
-    return this.window.reduce((n, e) => n + (e.flying === null ? 0 : 1), 0);
+  get attemptsInFlight(): number {
+    return this.window.reduce(
+      (n, e) => n + (e.attemptInFlight === null ? 0 : 1),
+      0,
+    );
   }
-  /** Nothing is in flight, and nothing that was learnt waits to be written. */
-  get quiet(): boolean {
+  /** No attempt or commit is in flight, and no result waits to be written. */
+  get idle(): boolean {
     return (
-      !this.busy &&
-      this.window.every((e) => e.flying === null && e.over === null)
+      !this.commitInFlight &&
+      this.window.every((e) => e.attemptInFlight === null && e.result === null)
     );
   }
-  /** Up to this revision all ends that this subscription is owed are in its records. */
-  get settledTo(): number {
-    if (!this.loaded || this.record.listing)
+  /** Up to this revision, all ends that the subscription matches are settled or in its records. */
+  get settledUpTo(): number {
+    if (!this.spoolLoaded || this.record.listing)
       return this.record.cursor?.version ?? 0;
     return this.fresh.length > 0
       ? this.fresh[0]!.at.version - 1
       : this.position.version - (this.position.id === LAST_ID ? 0 : 1);
   }
-  /** What waits, as far as it is counted; and when its oldest ended. */
-  get behind(): {
+  /** What waits in each place, and when the oldest job ended whose notification waits (only ends in memory are looked at). */
+  get pendingCounts(): {
     window: number;
     batches: number;
     fresh: number;
@@ -211,8 +234,8 @@
     oldestAt: number | null;
   } {
     const oldest =
-      this.window.find((e) => e.over === null)?.end.at ??
-      this.front?.entries[0]?.end.at ??
+      this.window.find((e) => e.result === null)?.end.at ??
+      this.firstBatch?.entries[0]?.end.at ??
       this.fresh[0]?.end.at ??
       null;
     return {
@@ -223,144 +246,158 @@
       oldestAt: oldest,
     };
   }
-  /** For good: the lane is not this controller's any more. */
+  /** Stops for good: this controller does not own the lane any more. */
   stop(): void {
     this.stopped = true;
     this.abort();
   }
-  /** Ends all that is in flight: it can't be known whether the lane is still this controller's. */
+  /** Aborts all attempts in flight, for example when this controller may have lost the lane. */
   abort(): void {
-    for (const e of this.window)
-      if (e.flying !== null) this.host.abort(e.flying);
+    for (const entry of this.window)
+      if (entry.attemptInFlight !== null)
+        this.host.abortAttempt(entry.attemptInFlight);
   }
 
-  // ---- one step ------------------------------------------------------------------------------------------
+  // ---- one step ----------------------------------------------------------------------------------------
 
-  /** `sending`: new attempts may be made; not while the lane is being given up. */
-  act(sending: boolean): void {
+  /** `mayStart`: whether new attempts may start, which they may not while the lane is being given up. */
+  advance(mayStart: boolean): void {
     if (this.stopped) return;
     const sub = this.subscription();
-    if (!this.loaded) return this.load();
-    if (!sub) return this.clean();
-    this.collect(sub);
-    for (const e of this.window)
+    if (!this.spoolLoaded) return this.loadSpool();
+    if (!sub) return this.deleteRecords();
+    this.collectEnds(sub);
+    for (const entry of this.window)
       if (
-        e.over === null &&
-        e.flying === null &&
-        this.host.wallMs >= e.end.since + this.host.limits.horizonMs
+        entry.result === null &&
+        entry.attemptInFlight === null &&
+        this.host.wallMs >= entry.end.since + this.host.limits.horizonMs
       )
-        this.over(e, "dead");
-    const active = sending && sub.state === "active";
-    if (!this.busy && this.host.nowMs >= this.againMs) this.write(sub, active);
-    if (active) this.send(sub);
+        this.markSettled(entry, "dead");
+    const active = mayStart && sub.state === "active";
+    if (!this.commitInFlight && this.host.nowMs >= this.retryAtMs)
+      this.writeDue(sub, active);
+    if (active) this.startAttempts(sub);
   }
 
-  /** Batches that the former owner wrote after the record. */
-  private load(): void {
-    if (this.reading) return;
-    this.reading = true;
+  /** Finds the batches that the former owner added to the spool without writing the progress record. */
+  private loadSpool(): void {
+    if (this.readInFlight) return;
+    this.readInFlight = true;
     const from = this.record.spool.next;
-    this.host.state(
+    this.host.callStore(
       {
         op: "list",
         prefix: spoolPrefix(this.name),
         after: from === 0 ? "" : spoolKey(this.name, from - 1),
       },
-      (r) => {
-        this.reading = false;
-        if (this.stopped || r.is !== "items") return;
-        for (const i of r.items) {
-          const b = readBatch(i.value);
-          if (!b || batchNumber(i.key) !== this.record.spool.next) continue;
+      (reply) => {
+        this.readInFlight = false;
+        if (this.stopped || reply.is !== "items") return;
+        for (const item of reply.items) {
+          const batch = readBatch(item.value);
+          if (!batch || batchNumber(item.key) !== this.record.spool.next)
+            continue;
           this.record.spool.next++;
-          if (b.to)
-            this.record.cursor = later(this.record.cursor ?? NONE, b.to);
+          if (batch.to)
+            this.record.cursor = laterOf(
+              this.record.cursor ?? START_CURSOR,
+              batch.to,
+            );
         }
-        this.position = later(this.position, this.record.cursor ?? NONE);
-        this.loaded = !r.more;
-        this.act(false);
+        this.position = laterOf(
+          this.position,
+          this.record.cursor ?? START_CURSOR,
+        );
+        this.spoolLoaded = !reply.more;
+        this.advance(false);
       },
     );
   }
 
-  // ---- what is owed --------------------------------------------------------------------------------------
+  // ---- collecting ends ---------------------------------------------------------------------------------
 
-  private wants(sub: Subscription, e: JobEnd): boolean {
-    if (sub.state === "ended" || e.outcome === "test") return false;
+  private matches(sub: Subscription, end: JobEnd): boolean {
+    if (sub.state === "ended" || end.outcome === "test") return false;
     return (
-      (sub.teams === null || sub.teams.includes(e.team)) &&
-      (sub.classes === null || sub.classes.includes(e.class)) &&
-      sub.outcomes.includes(e.outcome)
+      (sub.teams === null || sub.teams.includes(end.team)) &&
+      (sub.classes === null || sub.classes.includes(end.class)) &&
+      sub.outcomes.includes(end.outcome)
     );
   }
 
-  private collect(sub: Subscription): void {
-    if (this.reading || this.fresh.length >= MAX_FRESH) return;
-    if (this.record.listing) return this.list(sub);
-    const known = this.host.feed.since(this.position);
-    if (known) return this.take(sub, known, this.host.feed.end);
-    if (this.busy || this.host.nowMs < this.againMs) return;
-    // Behind what this controller has read: the state service's log goes further back.
-    this.reading = true;
+  private collectEnds(sub: Subscription): void {
+    if (this.readInFlight || this.fresh.length >= MAX_FRESH_ENDS) return;
+    if (this.record.listing) return this.readFinalPage(sub);
+    const recent = this.host.feed.since(this.position);
+    if (recent) return this.addFresh(sub, recent, this.host.feed.endRevision);
+    if (this.commitInFlight || this.host.nowMs < this.retryAtMs) return;
+    // The position is before the start of the feed. The state service's log goes further back.
+    this.readInFlight = true;
     const since =
       this.position.id === LAST_ID
         ? this.position.version
         : this.position.version - 1;
-    this.host.state(
+    this.host.callStore(
       {
         op: "changes",
         prefix: FINAL_PREFIX,
         since: Math.max(0, since),
         waitMs: 0,
       },
-      (r) => {
-        this.reading = false;
+      (reply) => {
+        this.readInFlight = false;
         if (this.stopped) return;
-        if (r.is === "changes")
-          this.take(
+        if (reply.is === "changes")
+          this.addFresh(
             sub,
-            jobEndsOf(r.changes).filter((e) => after(e.at, this.position)),
-            r.epoch,
+            jobEndsOf(reply.changes).filter((e) =>
+              isAfter(e.at, this.position),
+            ),
+            reply.epoch,
           );
-        else if (r.is === "gone") this.startListing();
-        else this.againMs = this.host.nowMs + RETRY_MS;
+        else if (reply.is === "gone") this.startListing();
+        else this.retryAtMs = this.host.nowMs + RETRY_MS;
       },
     );
   }
-  /** As many as there is room for; the rest is read again. */
-  private take(
+  /** Adds matching ends to `fresh` until it is full; the rest is read again later. */
+  private addFresh(
     sub: Subscription,
     ends: readonly FeedEntry[],
-    to: number,
+    toRevision: number,
   ): void {
-    for (const e of ends) {
-      if (this.fresh.length >= MAX_FRESH) return;
-      if (this.wants(sub, e.end)) this.fresh.push(e);
-      this.position = e.at;
+    for (const entry of ends) {
+      if (this.fresh.length >= MAX_FRESH_ENDS) return;
+      if (this.matches(sub, entry.end)) this.fresh.push(entry);
+      this.position = entry.at;
     }
-    this.position = later(this.position, { version: to, id: LAST_ID });
+    this.position = laterOf(this.position, {
+      version: toRevision,
+      id: LAST_ID,
+    });
   }
 
   /**
-   * Not even the log goes back far enough. All final records are read, in the order of their keys, and those after the cursor
-   * are owed; the record says how far that has come, so that nothing is found twice.
+   * Starts to read all final records, in the order of their keys, because the log does not go back far enough either. Those
+   * after the cursor have to be delivered. The progress record says how far the reading has come, so that none is found twice.
    */
   private startListing(): void {
     this.host.log("webhook fell behind, reading all final records", {
       webhook: this.name,
       sinceRevision: this.position.version,
     });
-    this.reading = true;
-    this.host.state(
+    this.readInFlight = true;
+    this.host.callStore(
       { op: "list", prefix: FINAL_PREFIX, after: `${FINAL_PREFIX}~` },
-      (r) => {
-        this.reading = false;
-        if (this.stopped || r.is !== "items" || this.busy) return;
-        // What is fresh is later than the cursor too, and found again.
+      (reply) => {
+        this.readInFlight = false;
+        if (this.stopped || reply.is !== "items" || this.commitInFlight) return;
+        // Fresh ends are later than the cursor, so they will be found again.
         this.fresh = [];
-        this.position = this.record.cursor ?? NONE;
+        this.position = this.record.cursor ?? START_CURSOR;
         this.commit(
-          { ...this.record, listing: { to: r.epoch, after: "" } },
+          { ...this.record, listing: { to: reply.epoch, after: "" } },
           this.window,
           [],
           [],
@@ -369,119 +406,134 @@
       },
     );
   }
-  private list(sub: Subscription): void {
-    const at = this.record.listing!;
+  private readFinalPage(sub: Subscription): void {
+    const listing = this.record.listing!;
     if (this.page) return;
-    this.reading = true;
-    this.host.state(
-      { op: "list", prefix: FINAL_PREFIX, after: at.after },
-      (r) => {
-        this.reading = false;
-        if (this.stopped || r.is !== "items") return;
-        const found = r.items
+    this.readInFlight = true;
+    this.host.callStore(
+      { op: "list", prefix: FINAL_PREFIX, after: listing.after },
+      (reply) => {
+        this.readInFlight = false;
+        if (this.stopped || reply.is !== "items") return;
+        const found = reply.items
           .map((i: Item) => jobEndOf(i))
           .filter((e) => e !== null);
-        const cursor = this.record.cursor ?? NONE;
+        const cursor = this.record.cursor ?? START_CURSOR;
         const items = found.filter(
           (e) =>
-            after(e.at, cursor) &&
-            e.at.version <= at.to &&
-            this.wants(sub, e.end),
+            isAfter(e.at, cursor) &&
+            e.at.version <= listing.to &&
+            this.matches(sub, e.end),
         );
-        const last = r.items.at(-1);
-        this.page = { items, after: last?.key ?? at.after, last: !r.more };
+        const last = reply.items.at(-1);
+        this.page = {
+          items,
+          after: last?.key ?? listing.after,
+          last: !reply.more,
+        };
       },
     );
   }
-  /** Puts what a page of final records has into the spool, with how far the reading has come. */
+  /** Writes the ends of a page of final records to the spool, and to the progress record how far the reading has come. */
   private spoolPage(): boolean {
     const page = this.page!;
-    const at = this.record.listing!;
-    const batch = this.packer(BATCH_HEAD);
-    let n = 0;
+    const listing = this.record.listing!;
+    const batch = this.packer(BATCH_OVERHEAD_BYTES);
+    let count = 0;
     while (
-      n < page.items.length &&
-      batch.add({ end: page.items[n]!.end, attempts: 0 })
+      count < page.items.length &&
+      batch.add({ end: page.items[count]!.end, attempts: 0 })
     )
-      n++;
-    const rest = page.items.slice(n);
-    const done = rest.length === 0;
-    if (n === 0 && !page.last) {
-      // Nothing to write down: what was read is read again if this owner goes.
-      this.record.listing = { to: at.to, after: page.after };
+      count++;
+    const remaining = page.items.slice(count);
+    const pageDone = remaining.length === 0;
+    if (count === 0 && !page.last) {
+      // Nothing has to be written: if the lane changes its owner, the page is read again.
+      this.record.listing = { to: listing.to, after: page.after };
       this.page = null;
       return false;
     }
-    if (!this.host.mayWrite(n > 0 ? 2 : 1)) return false;
-    const over = done && page.last;
+    if (!this.host.mayWrite(count > 0 ? 2 : 1)) return false;
+    const listingDone = pageDone && page.last;
     const { spool } = this.record;
     const next = {
       ...this.record,
-      spool: { ...spool, next: spool.next + (n > 0 ? 1 : 0) },
-      listing: over
+      spool: { ...spool, next: spool.next + (count > 0 ? 1 : 0) },
+      listing: listingDone
         ? null
         : {
-            to: at.to,
-            after: done ? page.after : FINAL_PREFIX + page.items[n - 1]!.end.id,
+            to: listing.to,
+            after: pageDone
+              ? page.after
+              : FINAL_PREFIX + page.items[count - 1]!.end.id,
           },
     };
-    if (over) next.cursor = { version: at.to, id: LAST_ID };
+    if (listingDone) next.cursor = { version: listing.to, id: LAST_ID };
     const key = spoolKey(this.name, spool.next);
     this.commit(
       next,
       this.window,
-      n > 0 ? [{ key, version: 0 }] : [],
-      n > 0 ? [{ op: "put", key, value: writeBatch(batch, null) }] : [],
+      count > 0 ? [{ key, version: 0 }] : [],
+      count > 0 ? [{ op: "put", key, value: writeBatch(batch, null) }] : [],
       () => {
-        if (over)
-          this.position = later(this.position, { version: at.to, id: LAST_ID });
-        if (done) this.page = null;
-        else page.items = rest;
+        if (listingDone)
+          this.position = laterOf(this.position, {
+            version: listing.to,
+            id: LAST_ID,
+          });
+        if (pageDone) this.page = null;
+        else page.items = remaining;
       },
     );
     return true;
   }
 
-  // ---- writing -------------------------------------------------------------------------------------------
+  // ---- writing -----------------------------------------------------------------------------------------
 
-  private packer(head: number): Packer {
-    return new Packer(this.host.limits.valueBytes - head - this.name.length);
+  private packer(overheadBytes: number): Packer {
+    return new Packer(
+      this.host.limits.valueBytes - overheadBytes - this.name.length,
+    );
   }
 
-  private readFront(): void {
+  private readFirstBatch(): void {
     const { first } = this.record.spool;
-    if (this.reading) return;
-    this.reading = true;
-    this.host.state({ op: "get", key: spoolKey(this.name, first) }, (r) => {
-      this.reading = false;
-      if (this.stopped || r.is !== "item") return;
-      const b = r.item ? readBatch(r.item.value) : null;
-      if (!b)
-        this.host.log("unreadable webhook outbox batch", {
-          webhook: this.name,
-          batch: first,
-        });
-      if (this.record.spool.first === first)
-        this.front = { n: first, entries: b?.entries ?? [] };
-    });
+    if (this.readInFlight) return;
+    this.readInFlight = true;
+    this.host.callStore(
+      { op: "get", key: spoolKey(this.name, first) },
+      (reply) => {
+        this.readInFlight = false;
+        if (this.stopped || reply.is !== "item") return;
+        const batch = reply.item ? readBatch(reply.item.value) : null;
+        if (!batch)
+          this.host.log("unreadable webhook outbox batch", {
+            webhook: this.name,
+            batch: first,
+          });
+        if (this.record.spool.first === first)
+          this.firstBatch = { batchNo: first, entries: batch?.entries ?? [] };
+      },
+    );
   }
 
-  private over(e: Entry, how: "delivered" | "dead"): void {
-    e.over = how;
-    this.tidySinceMs ??= this.host.nowMs;
-    this.host.settled(this.name, {
-      outcome: how,
-      end: e.end,
-      attempts: e.attempts,
+  private markSettled(entry: Entry, result: "delivered" | "dead"): void {
+    entry.result = result;
+    this.cleanupSinceMs ??= this.host.nowMs;
+    this.host.notificationSettled(this.name, {
+      outcome: result,
+      end: entry.end,
+      attempts: entry.attempts,
     });
   }
 
-  private write(sub: Subscription, active: boolean): void {
+  private writeDue(sub: Subscription, active: boolean): void {
     if (sub.redrives > this.record.redrives && active) return this.redrive(sub);
     const { nowMs } = this.host;
     const { spool } = this.record;
     const waiting = spool.first < spool.next;
-    if (waiting && this.front?.n !== spool.first) this.readFront();
+    if (waiting && this.firstBatch?.batchNo !== spool.first)
+      this.readFirstBatch();
     if (
       this.record.listing &&
       this.page &&
@@ -490,75 +542,79 @@
     )
       return;
 
-    const open = active && this.host.breaker(sub.url).allows(nowMs);
-    const kept = this.window.filter((e) => e.over === null);
-    const testing = active && sub.tests > this.record.tests;
-    const more =
-      testing ||
+    const mayAttempt = active && this.host.breaker(sub.url).allows(nowMs);
+    const open = this.window.filter((e) => e.result === null);
+    const testDue = active && sub.tests > this.record.tests;
+    const hasMore =
+      testDue ||
       (waiting
-        ? this.front?.n === spool.first
+        ? this.firstBatch?.batchNo === spool.first
         : this.fresh.length > 0 && !this.record.listing);
-    const reserve =
-      open &&
-      kept.some(
+    const reservationDue =
+      mayAttempt &&
+      open.some(
         (e) =>
-          e.flying === null &&
-          e.attempts >= e.reserved &&
+          e.attemptInFlight === null &&
+          e.attempts >= e.reservedAttempts &&
           e.notBeforeMs <= nowMs + CLEANUP_INTERVAL_MS / 2,
       );
-    const pull = open && more && kept.length < MAX_WINDOW;
-    const tidy =
-      this.tidySinceMs !== null &&
-      (nowMs - this.tidySinceMs >= CLEANUP_INTERVAL_MS || kept.length === 0);
-    if ((reserve || pull || tidy) && this.writeWindow(kept, pull, testing))
+    const fill = mayAttempt && hasMore && open.length < MAX_WINDOW_ENTRIES;
+    const cleanupDue =
+      this.cleanupSinceMs !== null &&
+      (nowMs - this.cleanupSinceMs >= CLEANUP_INTERVAL_MS || open.length === 0);
+    if (
+      (reservationDue || fill || cleanupDue) &&
+      this.writeWindow(open, fill, testDue)
+    )
       return;
-    // A full batch can't go into the window: it goes into the spool, in a change of its own.
+    // Ends that cannot go into the window go into the spool as a full batch, in a commit of their own.
     if (
       !this.record.listing &&
       spool.next - spool.first < this.host.limits.spoolBatches &&
-      (waiting || !pull)
+      (waiting || !fill)
     )
       this.spoolFresh();
   }
 
-  private writeWindow(kept: Entry[], pull: boolean, testing: boolean): boolean {
+  private writeWindow(open: Entry[], fill: boolean, testDue: boolean): boolean {
     const { nowMs } = this.host;
-    const dead = this.window.filter((e) => e.over === "dead");
-    const letters = this.packer(BATCH_HEAD);
-    const buried = dead.filter((e) =>
-      letters.add({ end: e.end, attempts: e.attempts }),
+    const dead = this.window.filter((e) => e.result === "dead");
+    const deadBatch = this.packer(BATCH_OVERHEAD_BYTES);
+    const packed = dead.filter((e) =>
+      deadBatch.add({ end: e.end, attempts: e.attempts }),
     );
-    const packer = this.packer(AT_HEAD);
-    const reserved = new Map<Entry, number>();
-    // Dead ones that don't fit their batch are still named.
-    for (const e of dead)
-      if (!buried.includes(e)) packer.add({ end: e.end, attempts: e.reserved });
-    for (const e of kept) {
-      const next =
-        e.flying === null &&
-        e.attempts >= e.reserved &&
-        e.notBeforeMs <= nowMs + 60_000
-          ? e.attempts + (e.attempts === 0 ? 1 : RESERVE)
-          : e.reserved;
-      reserved.set(e, next);
-      packer.add({ end: e.end, attempts: next });
+    const windowPacker = this.packer(PROGRESS_OVERHEAD_BYTES);
+    const reservations = new Map<Entry, number>();
+    // Dead letters that do not fit into the batch stay in the record.
+    for (const entry of dead)
+      if (!packed.includes(entry))
+        windowPacker.add({ end: entry.end, attempts: entry.reservedAttempts });
+    for (const entry of open) {
+      const reservation =
+        entry.attemptInFlight === null &&
+        entry.attempts >= entry.reservedAttempts &&
+        entry.notBeforeMs <= nowMs + 60_000
+          ? entry.attempts + (entry.attempts === 0 ? 1 : RESERVED_REPEATS)
+          : entry.reservedAttempts;
+      reservations.set(entry, reservation);
+      windowPacker.add({ end: entry.end, attempts: reservation });
     }
-    const fresh: Entry[] = [];
-    const add = (o: PendingDelivery): boolean => {
+    const added: Entry[] = [];
+    const add = (pending: PendingDelivery): boolean => {
       if (
-        kept.length + fresh.length >= MAX_WINDOW ||
-        !packer.add({ end: o.end, attempts: o.attempts + 1 })
+        open.length + added.length >= MAX_WINDOW_ENTRIES ||
+        !windowPacker.add({ end: pending.end, attempts: pending.attempts + 1 })
       )
         return false;
-      fresh.push({
-        end: o.end,
-        attempts: o.attempts,
-        reserved: o.attempts + 1,
+      added.push({
+        end: pending.end,
+        attempts: pending.attempts,
+        reservedAttempts: pending.attempts + 1,
         failures: 0,
-        reason: o.attempts > 0 ? "redriven" : null,
+        reason: pending.attempts > 0 ? "redriven" : null,
         notBeforeMs: nowMs,
-        flying: null,
-        over: null,
+        attemptInFlight: null,
+        result: null,
       });
       return true;
     };
@@ -568,15 +624,15 @@
       dead: { ...this.record.dead },
     };
     const writes: Write[] = [];
-    let taken = 0;
+    let freshTaken = 0;
     let cursor = this.record.cursor;
-    if (pull) {
-      const test = this.record.tests + 1;
+    if (fill) {
+      const testNo = this.record.tests + 1;
       if (
-        testing &&
+        testDue &&
         add({
           end: {
-            id: `test-${test}`,
+            id: `test-${testNo}`,
             outcome: "test",
             tasks: 0,
             done: 0,
@@ -588,10 +644,10 @@
           attempts: 0,
         })
       )
-        next.tests = test;
+        next.tests = testNo;
       if (next.spool.first < next.spool.next) {
-        if (this.front?.n === next.spool.first) {
-          const { entries } = this.front;
+        if (this.firstBatch?.batchNo === next.spool.first) {
+          const { entries } = this.firstBatch;
           while (
             next.spool.taken < entries.length &&
             add(entries[next.spool.taken]!)
@@ -611,97 +667,98 @@
         }
       } else if (!this.record.listing) {
         while (
-          taken < this.fresh.length &&
-          add({ end: this.fresh[taken]!.end, attempts: 0 })
+          freshTaken < this.fresh.length &&
+          add({ end: this.fresh[freshTaken]!.end, attempts: 0 })
         )
-          cursor = this.fresh[taken++]!.at;
-        if (taken === this.fresh.length)
-          cursor = later(cursor ?? NONE, this.position);
+          cursor = this.fresh[freshTaken++]!.at;
+        if (freshTaken === this.fresh.length)
+          cursor = laterOf(cursor ?? START_CURSOR, this.position);
       }
     }
     next.cursor = cursor;
-    if (buried.length > 0) {
+    if (packed.length > 0) {
       writes.push({
         op: "put",
         key: deadKey(this.name, next.dead.next),
-        value: writeBatch(letters, null),
+        value: writeBatch(deadBatch, null),
       });
       next.dead.next++;
-      if (next.dead.next - next.dead.first > DEAD_BATCHES)
+      if (next.dead.next - next.dead.first > MAX_DEAD_BATCHES)
         writes.push({
           op: "delete",
           key: deadKey(this.name, next.dead.first++),
         });
     }
     const settled = new Set(
-      this.window.filter((e) => e.over === "delivered" || buried.includes(e)),
+      this.window.filter((e) => e.result === "delivered" || packed.includes(e)),
     );
     if (
       settled.size === 0 &&
-      fresh.length === 0 &&
+      added.length === 0 &&
       writes.length === 0 &&
-      kept.every((e) => reserved.get(e) === e.reserved)
+      open.every((e) => reservations.get(e) === e.reservedAttempts)
     )
       return false;
     if (!this.host.mayWrite(1 + writes.length)) return false;
-    this.tidySinceMs = null;
-    this.commit(next, packer, [], writes, () => {
-      this.fresh.splice(0, taken);
-      if (next.spool.first !== this.front?.n) this.front = null;
-      for (const [e, n] of reserved) e.reserved = n;
-      this.window = [...this.window.filter((e) => !settled.has(e)), ...fresh];
-      if (this.window.some((e) => e.over !== null))
-        this.tidySinceMs ??= this.host.nowMs;
+    this.cleanupSinceMs = null;
+    this.commit(next, windowPacker, [], writes, () => {
+      this.fresh.splice(0, freshTaken);
+      if (next.spool.first !== this.firstBatch?.batchNo) this.firstBatch = null;
+      for (const [e, n] of reservations) e.reservedAttempts = n;
+      this.window = [...this.window.filter((e) => !settled.has(e)), ...added];
+      if (this.window.some((e) => e.result !== null))
+        this.cleanupSinceMs ??= this.host.nowMs;
     });
     return true;
   }
 
   private spoolFresh(): void {
-    const batch = this.packer(BATCH_HEAD);
-    let n = 0;
+    const batch = this.packer(BATCH_OVERHEAD_BYTES);
+    let count = 0;
     while (
-      n < this.fresh.length &&
-      batch.add({ end: this.fresh[n]!.end, attempts: 0 })
+      count < this.fresh.length &&
+      batch.add({ end: this.fresh[count]!.end, attempts: 0 })
     )
-      n++;
-    // Fewer than fill it wait for more, unless they keep the lane from saying how far it is settled.
-    const old =
+      count++;
+    // Ends that do not fill a batch wait for more, unless they are so old that they hold back the lane's settled revision.
+    const overdue =
       this.fresh.length > 0 &&
-      this.host.feed.end - this.fresh[0]!.at.version >
-        this.host.limits.settleEvery;
+      this.host.feed.endRevision - this.fresh[0]!.at.version >
+        this.host.limits.settleEveryRevisions;
     if (
-      n === 0 ||
-      (n === this.fresh.length && n < MAX_FRESH && !old) ||
+      count === 0 ||
+      (count === this.fresh.length && count < MAX_FRESH_ENDS && !overdue) ||
       !this.host.mayWrite(1)
     )
       return;
-    const to = this.fresh[n - 1]!.at;
+    const lastCursor = this.fresh[count - 1]!.at;
     const key = spoolKey(this.name, this.record.spool.next);
-    const done = (): void => {
-      this.fresh.splice(0, n);
+    const onCommitted = (): void => {
+      this.fresh.splice(0, count);
       this.record.spool.next++;
-      this.record.cursor = to;
+      this.record.cursor = lastCursor;
     };
-    // On the record's condition, for taking from the batch changes it: a copy of this commit that is carried out later, when the batch
-    // is gone again, would leave it behind for ever. Without a change of the record: whoever comes next finds the batches beyond those that the record names, and each says how far it goes.
+    // Conditional on the progress record, which changes when entries of the batch are taken: otherwise a copy of this commit that is
+    // carried out late, after the batch was deleted, would leave the batch behind forever. The record itself is not written: the
+    // next owner finds the batches beyond those that the record names, and each batch holds the cursor of its last entry.
     const conditions = [
-      this.owner,
-      { key: progressKey(this.name), version: this.version },
+      this.laneCondition,
+      { key: progressKey(this.name), version: this.recordVersion },
       { key, version: 0 },
     ];
     this.perform(
       {
         op: "commit",
         conditions,
-        writes: [{ op: "put", key, value: writeBatch(batch, to) }],
+        writes: [{ op: "put", key, value: writeBatch(batch, lastCursor) }],
       },
       key,
       (item) => item !== null,
-      done,
+      onCommitted,
     );
   }
 
-  /** Dead letters go to the end of the spool, a batch at a time, with their horizon anew. */
+  /** Moves dead letters to the end of the spool, one batch at a time, and starts their horizon again. */
   private redrive(sub: Subscription): void {
     const { dead, spool } = this.record;
     if (dead.first >= dead.next) {
@@ -715,24 +772,26 @@
         );
       return;
     }
-    if (this.reading) return;
-    this.reading = true;
-    const from = deadKey(this.name, dead.first);
-    this.host.state({ op: "get", key: from }, (r) => {
-      this.reading = false;
+    if (this.readInFlight) return;
+    this.readInFlight = true;
+    const deadBatchKey = deadKey(this.name, dead.first);
+    this.host.callStore({ op: "get", key: deadBatchKey }, (reply) => {
+      this.readInFlight = false;
       if (
         this.stopped ||
-        this.busy ||
-        r.is !== "item" ||
+        this.commitInFlight ||
+        reply.is !== "item" ||
         !this.host.mayWrite(3)
       )
         return;
-      const entries = r.item ? (readBatch(r.item.value)?.entries ?? []) : [];
-      const batch = this.packer(BATCH_HEAD);
-      for (const o of entries)
+      const entries = reply.item
+        ? (readBatch(reply.item.value)?.entries ?? [])
+        : [];
+      const batch = this.packer(BATCH_OVERHEAD_BYTES);
+      for (const pending of entries)
         batch.add({
-          end: { ...o.end, since: Math.round(this.host.wallMs) },
-          attempts: o.attempts,
+          end: { ...pending.end, since: Math.round(this.host.wallMs) },
+          attempts: pending.attempts,
         });
       const key = spoolKey(this.name, spool.next);
       const next = {
@@ -745,7 +804,7 @@
         this.window,
         [{ key, version: 0 }],
         [
-          { op: "delete", key: from },
+          { op: "delete", key: deadBatchKey },
           { op: "put", key, value: writeBatch(batch, null) },
         ],
         () => {},
@@ -753,40 +812,47 @@
     });
   }
 
-  /** The subscription was removed: so is everything that belonged to it, its record last. */
-  private clean(): void {
+  /** Deletes all records of a removed subscription, the progress record last. */
+  private deleteRecords(): void {
     this.abort();
-    if (this.busy || this.reading || this.host.nowMs < this.againMs) return;
-    this.reading = true;
-    this.host.state(
+    if (
+      this.commitInFlight ||
+      this.readInFlight ||
+      this.host.nowMs < this.retryAtMs
+    )
+      return;
+    this.readInFlight = true;
+    this.host.callStore(
       { op: "list", prefix: spoolPrefix(this.name), after: "" },
-      (a) =>
-        this.host.state(
+      (spoolReply) =>
+        this.host.callStore(
           { op: "list", prefix: deadPrefix(this.name), after: "" },
-          (b) => {
-            this.reading = false;
-            this.againMs = this.host.nowMs + RETRY_MS;
+          (deadReply) => {
+            this.readInFlight = false;
+            this.retryAtMs = this.host.nowMs + RETRY_MS;
             if (
               this.stopped ||
-              a.is !== "items" ||
-              b.is !== "items" ||
+              spoolReply.is !== "items" ||
+              deadReply.is !== "items" ||
               this.subscription()
             )
               return;
-            const keys = [...a.items, ...b.items].map((i) => i.key);
-            const some =
+            const keys = [...spoolReply.items, ...deadReply.items].map(
+              (i) => i.key,
+            );
+            const keysToDelete =
               keys.length === 0
                 ? [progressKey(this.name)]
                 : keys.slice(0, this.host.limits.txnOps);
-            if (!this.host.mayWrite(some.length)) return;
-            this.host.state(
+            if (!this.host.mayWrite(keysToDelete.length)) return;
+            this.host.callStore(
               {
                 op: "commit",
                 conditions: [
-                  this.owner,
-                  { key: progressKey(this.name), version: this.version },
+                  this.laneCondition,
+                  { key: progressKey(this.name), version: this.recordVersion },
                 ],
-                writes: some.map((key) => ({ op: "delete", key })),
+                writes: keysToDelete.map((key) => ({ op: "delete", key })),
               },
               () => {},
             );
@@ -795,182 +861,196 @@
     );
   }
 
-  /** Writes the record, and what goes with it; again until it is known to be carried out. */
+  /** Writes the progress record together with other changes; retries until they are known to be carried out. */
   private commit(
     next: Omit<ProgressRecord, "window">,
     window: Packer | readonly Entry[],
     conditions: Condition[],
     writes: Write[],
-    ok: () => void,
+    onCommitted: () => void,
   ): void {
     let packed: Packer;
     if (window instanceof Packer) packed = window;
     else {
-      packed = this.packer(AT_HEAD);
-      for (const e of window) packed.add({ end: e.end, attempts: e.reserved });
+      packed = this.packer(PROGRESS_OVERHEAD_BYTES);
+      for (const entry of window)
+        packed.add({ end: entry.end, attempts: entry.reservedAttempts });
     }
     const key = progressKey(this.name);
-    const rec = {
+    const record = {
       ...next,
       seq: this.record.token === this.token ? this.record.seq + 1 : 1,
       token: this.token,
     };
     const call: StateCall = {
       op: "commit",
-      // Invariant (one sender): conditional on the lane's token, as every commit of a master is on its group's.
-      conditions: [this.owner, { key, version: this.version }, ...conditions],
+      // Invariant (one sender): conditional on the lane's token, as every commit of a partition leader is on the partition's token.
+      conditions: [
+        this.laneCondition,
+        { key, version: this.recordVersion },
+        ...conditions,
+      ],
       writes: [
-        { op: "put", key, value: writeProgress(rec, packed) },
+        { op: "put", key, value: writeProgress(record, packed) },
         ...writes,
       ],
     };
     const done = (version: number): void => {
-      this.version = version;
-      this.record = rec;
-      ok();
+      this.recordVersion = version;
+      this.record = record;
+      onCommitted();
     };
-    const mine = (item: Item | null): boolean => {
-      const at = item && readProgress(item.value);
-      return at?.seq === rec.seq && at.token === rec.token;
+    const isOwnWrite = (item: Item | null): boolean => {
+      const stored = item && readProgress(item.value);
+      return stored?.seq === record.seq && stored.token === record.token;
     };
-    this.perform(call, key, mine, done);
+    this.perform(call, key, isOwnWrite, done);
   }
 
-  /** Sends a commit, again until it is known to be carried out. `mine`: what `key` holds then, and otherwise does not. */
+  /** Sends a commit until it is known to be carried out. `isOwnWrite` recognizes that by the item stored under `key`. */
   private perform(
     call: StateCall,
     key: string,
-    mine: (item: Item | null) => boolean,
-    done: (version: number) => void,
+    isOwnWrite: (item: Item | null) => boolean,
+    onCommitted: (version: number) => void,
   ): void {
-    this.busy = true;
-    this.wroteMs = this.host.nowMs;
+    this.commitInFlight = true;
+    this.lastCommitMs = this.host.nowMs;
     const send = (): void =>
-      this.host.state(call, (r) => {
+      this.host.callStore(call, (reply) => {
         if (this.stopped) return;
-        if (r.is === "committed") {
-          done(r.epoch);
-          this.busy = false;
-        } else if (r.is === "conflict") this.proof(key, mine, done);
-        else this.again(send);
+        if (reply.is === "committed") {
+          onCommitted(reply.epoch);
+          this.commitInFlight = false;
+        } else if (reply.is === "conflict")
+          this.verifyCommit(key, isOwnWrite, onCommitted);
+        else this.scheduleRetry(send);
       });
     send();
   }
-  private again(send: () => void): void {
+  private scheduleRetry(send: () => void): void {
     const untilMs = this.host.nowMs + RETRY_MS;
-    this.retry = { untilMs, send };
+    this.pendingRetry = { untilMs, send };
   }
-  private retry: { untilMs: number; send: () => void } | null = null;
-  /** What was not carried out is sent again unchanged: a copy that is still on its way then finds other revisions. */
-  retryDue(): void {
-    if (this.stopped || !this.retry || this.host.nowMs < this.retry.untilMs)
+  private pendingRetry: { untilMs: number; send: () => void } | null = null;
+  /** Retries a commit unchanged: once one copy is carried out, any other that is still in flight fails on its conditions. */
+  retryIfDue(): void {
+    if (
+      this.stopped ||
+      !this.pendingRetry ||
+      this.host.nowMs < this.pendingRetry.untilMs
+    )
       return;
-    const { send } = this.retry;
-    this.retry = null;
+    const { send } = this.pendingRetry;
+    this.pendingRetry = null;
     send();
   }
 
-  /** After a conflict: an earlier copy of the same commit was carried out, or the lane is another's by now. */
-  private proof(
+  /** After a conflict, finds out whether an earlier copy of the commit was carried out or another controller owns the lane. */
+  private verifyCommit(
     key: string,
-    mine: (item: Item | null) => boolean,
-    done: (version: number) => void,
+    isOwnWrite: (item: Item | null) => boolean,
+    onCommitted: (version: number) => void,
   ): void {
-    const look = (): void =>
-      this.host.state({ op: "get", key }, (r) => {
+    const readBack = (): void =>
+      this.host.callStore({ op: "get", key }, (reply) => {
         if (this.stopped) return;
-        if (r.is !== "item") return this.again(look);
-        if (mine(r.item)) {
-          done(r.item!.version);
-          this.busy = false;
+        if (reply.is !== "item") return this.scheduleRetry(readBack);
+        if (isOwnWrite(reply.item)) {
+          onCommitted(reply.item!.version);
+          this.commitInFlight = false;
         } else {
-          this.foreign = true;
+          this.outdated = true;
           this.host.log("webhook record belongs to another controller", {
             webhook: this.name,
             key,
           });
         }
       });
-    look();
+    readBack();
   }
 
-  // ---- sending -------------------------------------------------------------------------------------------
+  // ---- sending -----------------------------------------------------------------------------------------
 
-  private send(sub: Subscription): void {
+  private startAttempts(sub: Subscription): void {
     const breaker = this.host.breaker(sub.url);
-    let flying = this.flying;
-    for (const e of this.window) {
-      if (e.over !== null) continue;
+    let inFlight = this.attemptsInFlight;
+    for (const entry of this.window) {
+      if (entry.result !== null) continue;
       if (
         sub.ordered &&
-        (e.flying !== null ||
-          e.attempts >= e.reserved ||
-          this.host.nowMs < e.notBeforeMs)
+        (entry.attemptInFlight !== null ||
+          entry.attempts >= entry.reservedAttempts ||
+          this.host.nowMs < entry.notBeforeMs)
       )
         return;
       if (
-        e.flying !== null ||
-        e.attempts >= e.reserved ||
-        this.host.nowMs < e.notBeforeMs
+        entry.attemptInFlight !== null ||
+        entry.attempts >= entry.reservedAttempts ||
+        this.host.nowMs < entry.notBeforeMs
       )
         continue;
       if (
-        flying >= (sub.ordered ? 1 : this.host.limits.parallel) ||
-        !this.host.mayLaunch() ||
+        inFlight >= (sub.ordered ? 1 : this.host.limits.parallel) ||
+        !this.host.mayStartAttempt() ||
         !breaker.allows(this.host.nowMs)
       )
         return;
-      breaker.begin(this.host.nowMs);
-      e.attempts++;
-      flying++;
-      e.flying = this.host.launch(this, {
-        end: e.end,
-        attempt: e.attempts,
-        reason: e.reason,
-        ask: sub.ask && e.reason !== null && mayHave(e.reason),
+      breaker.recordStart(this.host.nowMs);
+      entry.attempts++;
+      inFlight++;
+      entry.attemptInFlight = this.host.startAttempt(this, {
+        end: entry.end,
+        attempt: entry.attempts,
+        reason: entry.reason,
+        ask: sub.ask && entry.reason !== null && mayHaveArrived(entry.reason),
         sub,
       });
       if (sub.ordered) return;
     }
   }
 
-  /** An attempt is over. */
-  attempted(attempt: number, r: AttemptResult): void {
-    const e = this.window.find((x) => x.flying === attempt);
+  /** Handles the result of an attempt. */
+  attemptEnded(attemptId: number, result: AttemptResult): void {
+    const entry = this.window.find((x) => x.attemptInFlight === attemptId);
     const sub = this.subscription();
-    if (!e) return;
-    e.flying = null;
+    if (!entry) return;
+    entry.attemptInFlight = null;
     if (!sub || this.stopped) return;
     const breaker = this.host.breaker(sub.url);
     const { nowMs, limits } = this.host;
-    if (r.is === "aborted") {
-      breaker.neither();
-      e.reason = "reset";
+    if (result.is === "aborted") {
+      breaker.recordAbort();
+      entry.reason = "reset";
       return;
     }
     if (
-      r.is === "had" ||
-      (r.is === "answered" && r.status >= 200 && r.status < 300)
+      result.is === "had" ||
+      (result.is === "answered" && result.status >= 200 && result.status < 300)
     ) {
-      breaker.well();
-      this.over(e, "delivered");
+      breaker.recordSuccess();
+      this.markSettled(entry, "delivered");
       return;
     }
-    e.failures++;
-    e.reason = r.is === "failed" ? r.why : "status";
-    e.notBeforeMs =
-      nowMs + backoffMs(limits.backoff, e.failures, this.host.random());
-    if (r.is === "failed") return breaker.failed(nowMs);
-    if (r.status >= 500 || r.status === 429) breaker.failed(nowMs);
-    else breaker.well();
-    if (r.status === 410) {
-      this.host.ended(this.name);
+    entry.failures++;
+    entry.reason = result.is === "failed" ? result.reason : "status";
+    entry.notBeforeMs =
+      nowMs + backoffMs(limits.backoff, entry.failures, this.host.random());
+    if (result.is === "failed") return breaker.recordFailure(nowMs);
+    if (result.status >= 500 || result.status === 429)
+      breaker.recordFailure(nowMs);
+    else breaker.recordSuccess();
+    if (result.status === 410) {
+      this.host.endSubscription(this.name);
       return;
     }
-    if (r.retryAfterMs !== null) {
-      e.notBeforeMs = Math.max(e.notBeforeMs, nowMs + r.retryAfterMs);
-      if (r.status === 429 || r.status === 503)
-        breaker.rest(nowMs, r.retryAfterMs);
+    if (result.retryAfterMs !== null) {
+      entry.notBeforeMs = Math.max(
+        entry.notBeforeMs,
+        nowMs + result.retryAfterMs,
+      );
+      if (result.status === 429 || result.status === 503)
+        breaker.pauseFor(nowMs, result.retryAfterMs);
     }
   }
 }
--- a/src/webhooks/index.ts
+++ b/src/webhooks/index.ts
@@ -1,4 +1,4 @@
-/** The door of hooks: notifications of jobs' ends, delivered once. Loaded only when the operators' file turns them on. */
+/** Webhooks: notify receivers of the ends of jobs, once each. Loaded only if the operators' file turns them on. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { Hono, MiddlewareHandler } from "hono";
@@ -19,10 +19,10 @@
 
 export { checkWebhookSettings } from "./settings.js";
 
-/** What hooks need of the process that they run in. */
+/** What webhooks need from the process that they run in. */
 interface WebhookHost {
-  /** A call to the state service, within this controller's limits. */
-  state(call: StateCall, urgent: number): Promise<StateReply>;
+  /** Calls the state service within this controller's rate limits. */
+  state(call: StateCall, priority: number): Promise<StateReply>;
   leadershipLease(): { storeLease: number | null; untilMs: number };
   log(entry: LogEntry): void;
   /** For metrics. */
@@ -30,119 +30,126 @@
   attempted(outcome: string, tookMs: number): void;
 }
 
-const ASKED_MS = 5_000;
+const REQUEST_TIMEOUT_MS = 5_000;
 
-/** Runs the core of hooks: its calls, attempts and questions. */
+/** Runs the webhook core: carries out its effects and passes it the results, user requests and changes. */
 export class Webhooks {
   private readonly core: WebhookCore;
   private readonly sender: WebhookSender;
-  private readonly asked = new Map<
+  private readonly pendingRequests = new Map<
     number,
     (r: { status: number; body: object }) => void
   >();
-  private requests = 0;
+  private lastReqId = 0;
 
-  /** Throws a plain sentence if the settings are bad. `file`: where they come from. */
+  /** Throws a SettingsError if the settings are invalid. `file`: the operators' file, for the message. */
   constructor(
     settings: HooksFile,
     platform: Settings,
     file: string,
-    agent: string,
+    userAgent: string,
     private readonly host: WebhookHost,
   ) {
-    const sending = senderSettings(settings, file, agent);
-    this.sender = new WebhookSender(sending);
+    const senderConfig = senderSettings(settings, file, userAgent);
+    this.sender = new WebhookSender(senderConfig);
     const rng = xoroshiro128plus((Date.now() ^ (process.pid << 16)) | 0);
     this.core = new WebhookCore(
       platform.label,
       webhookLimits(settings, platform),
       () => uniformFloat64(rng),
-      new Set(sending.keys.keys()),
-      (url) => this.sender.refuses(url),
+      new Set(senderConfig.keys.keys()),
+      (url) => this.sender.urlProblem(url),
     );
   }
 
-  /** What the scheduler's core read of the state service. */
-  onStoreChanges(e: Extract<Effect, { type: "storeChanges" }>): void {
-    this.feed({
+  /** Passes on changes that the scheduler's core read from the state service. */
+  onStoreChanges(effect: Extract<Effect, { type: "storeChanges" }>): void {
+    this.step({
       type: "storeChanges",
-      from: e.from,
-      to: e.to,
-      changes: e.changes,
+      from: effect.from,
+      to: effect.to,
+      changes: effect.changes,
     });
   }
   tick(): void {
-    this.feed({ type: "permit", ...this.host.leadershipLease() });
+    this.step({ type: "permit", ...this.host.leadershipLease() });
   }
-  routes(limit: MiddlewareHandler): Hono {
-    return webhookRoutes((r) => this.ask(r), limit);
+  routes(bodyLimit: MiddlewareHandler): Hono {
+    return webhookRoutes((r) => this.handleRequest(r), bodyLimit);
   }
   get figures(): WebhookCore["figures"] {
     return this.core.figures;
   }
 
-  private ask(
+  private handleRequest(
     request: WebhookRequest,
   ): Promise<{ status: number; body: object }> {
     return new Promise((resolve) => {
-      const req = ++this.requests;
-      const end = (r: { status: number; body: object }): void => {
+      const reqId = ++this.lastReqId;
+      const finish = (reply: { status: number; body: object }): void => {
         clearTimeout(timer);
-        this.asked.delete(req);
-        resolve(r);
+        this.pendingRequests.delete(reqId);
+        resolve(reply);
       };
       const timer = setTimeout(
         () =>
-          end({
+          finish({
             status: 503,
             body: { error: "state service does not answer" },
           }),
-        ASKED_MS,
+        REQUEST_TIMEOUT_MS,
       );
-      this.asked.set(req, end);
-      this.feed({ type: "request", req, request });
+      this.pendingRequests.set(reqId, finish);
+      this.step({ type: "request", req: reqId, request });
     });
   }
 
-  private feed(input: WebhookInput): void {
-    for (const e of this.core.step(input, performance.now(), Date.now()))
-      this.carryOut(e);
+  private step(input: WebhookInput): void {
+    for (const effect of this.core.step(input, performance.now(), Date.now()))
+      this.carryOut(effect);
   }
-  private carryOut(e: WebhookEffect): void {
-    switch (e.type) {
+  private carryOut(effect: WebhookEffect): void {
+    switch (effect.type) {
       case "state":
         void this.host
-          .state(e.call, e.urgent)
-          .then((reply) => this.feed({ type: "state", op: e.op, reply }));
+          .state(effect.call, effect.priority)
+          .then((reply) => this.step({ type: "state", op: effect.op, reply }));
         break;
       case "attempt": {
         const sentMs = performance.now();
         void this.sender
-          .attempt(e.attempt, e.webhook, e.launch)
+          .attempt(effect.attemptId, effect.webhook, effect.request)
           .then((result) => {
             this.host.attempted(
               result.is === "failed"
-                ? result.why
+                ? result.reason
                 : result.is === "answered"
                   ? `${Math.floor(result.status / 100)}xx`
                   : result.is,
               performance.now() - sentMs,
             );
-            this.feed({ type: "attempted", attempt: e.attempt, result });
+            this.step({
+              type: "attempted",
+              attemptId: effect.attemptId,
+              result,
+            });
           });
         break;
       }
       case "abort":
-        this.sender.abort(e.attempt);
+        this.sender.abort(effect.attemptId);
         break;
       case "reply":
-        this.asked.get(e.req)?.({ status: e.status, body: e.body });
+        this.pendingRequests.get(effect.req)?.({
+          status: effect.status,
+          body: effect.body,
+        });
         break;
       case "settled":
-        this.host.settled(e.outcome, e.tookMs);
+        this.host.settled(effect.outcome, effect.tookMs);
         break;
       case "log":
-        this.host.log(e);
+        this.host.log(effect);
         break;
     }
   }
--- a/src/webhooks/records.ts
+++ b/src/webhooks/records.ts
@@ -2,14 +2,18 @@
 import { read } from "../storage/records.js";
 
 /**
- * What hooks keep in the state service, all under `lc/hook/`, which a controller without hooks does not read:
+ * The records of webhooks in the state service, all under `lc/hook/`, which a controller without webhooks does not read:
  *
- * - `now/sub/NAME`  a subscription, as users made it
- * - `now/at/NAME`   how far its deliveries are: cursor, window, numbers of the spool's and the dead letters' batches
- * - `now/own/LANE`  who sends for the subscriptions of a lane; attached to the owner's hold, its revision is the lane's token
- * - `now/here/NODE` that a controller sends hooks at all; attached to its hold
- * - `now/upto`      by lane: up to this revision nothing is owed that the other records don't name
- * - `spool/NAME/N`  batches of notifications that wait, `dead/NAME/N` of those given up
+ * - `now/sub/NAME`  a subscription, as users defined it
+ * - `now/at/NAME`   progress of its deliveries: cursor, window, numbers of the batches in the spool and of dead letters
+ * - `now/own/LANE`  the controller that delivers for the subscriptions of a lane. Attached to the owner's store lease; its
+ *                   revision is the lane's fencing token
+ * - `now/here/NODE` present while a controller delivers webhooks. Attached to its store lease
+ * - `now/upto`      for each lane a revision: all ends up to it are settled or named in the other records
+ * - `spool/NAME/N`  a batch of waiting notifications
+ * - `dead/NAME/N`   a batch of dead letters: notifications that were given up
+ *
+ * A notification is settled when it was delivered or given up.
  */
 export const WEBHOOKS_PREFIX = "lc/hook/";
 export const WEBHOOKS_LIVE_PREFIX = "lc/hook/now/";
@@ -23,22 +27,23 @@
   `lc/hook/now/here/${label}`;
 export const spoolPrefix = (name: string): string => `lc/hook/spool/${name}/`;
 export const deadPrefix = (name: string): string => `lc/hook/dead/${name}/`;
-/** Batches sort by their number. */
-const numbered = (n: number): string => String(n).padStart(10, "0");
-export const spoolKey = (name: string, n: number): string =>
-  spoolPrefix(name) + numbered(n);
-export const deadKey = (name: string, n: number): string =>
-  deadPrefix(name) + numbered(n);
+/** Padded with zeros, so that the keys of batches sort by number. */
+const paddedNumber = (batchNo: number): string =>
+  String(batchNo).padStart(10, "0");
+export const spoolKey = (name: string, batchNo: number): string =>
+  spoolPrefix(name) + paddedNumber(batchNo);
+export const deadKey = (name: string, batchNo: number): string =>
+  deadPrefix(name) + paddedNumber(batchNo);
 export const batchNumber = (key: string): number =>
   Number(key.slice(key.lastIndexOf("/") + 1));
 
-/** The number of lanes: a subscription's name decides its lane, the same on every controller and for ever. */
+/** The number of lanes. It must never change: all controllers, of all versions, derive a subscription's lane from its name. */
 export const LANE_COUNT = 16;
 
 export const OUTCOMES = ["done", "cancelled"] as const;
 export type Outcome = (typeof OUTCOMES)[number];
 
-/** One end of a job, as its final record tells it; `test`: asked for by an operator, no job. */
+/** The end of a job, as its final record describes it. `test`: a test notification that an operator requested, without a job. */
 export interface JobEnd {
   id: string;
   outcome: Outcome | "test";
@@ -46,47 +51,48 @@
   done: number;
   team: string;
   class: string;
-  /** Time of day, ms since the epoch. */
+  /** Time of day of the end, ms since the epoch. */
   at: number;
-  /** Time of day from which the horizon counts: `at`, or when it was redriven. */
+  /** Time of day from which the delivery horizon counts: `at`, or the time of the last redrive. */
   since: number;
 }
 
-/** A place in the order of ends: by revision, those of one revision by id. Everything up to it, itself included. */
+/** A position in the order of job ends (by revision, then by job id). It stands for all ends up to and including itself. */
 export interface Cursor {
   version: number;
   id: string;
 }
-/** After every id of its revision. */
+/** Sorts after every job id, so a cursor with it covers its whole revision. */
 export const LAST_ID = "\uFFFF";
-export const after = (a: Cursor, b: Cursor): boolean =>
+export const isAfter = (a: Cursor, b: Cursor): boolean =>
   a.version > b.version || (a.version === b.version && a.id > b.id);
-export const later = (a: Cursor, b: Cursor): Cursor => (after(a, b) ? a : b);
+export const laterOf = (a: Cursor, b: Cursor): Cursor =>
+  isAfter(a, b) ? a : b;
 
 export type SubscriptionState = "active" | "paused" | "ended";
 export interface Subscription {
   url: string;
-  /** null: every one. */
+  /** Only jobs of these teams and of these classes; null: of all. */
   teams: string[] | null;
   classes: string[] | null;
   outcomes: Outcome[];
-  /** Ids of keys in the operators' file, the newest first. */
+  /** Ids of signing keys in the operators' file, the newest first. */
   keys: string[];
-  /** One after the other, in the order in which the jobs ended. */
+  /** Deliver notifications one after the other, in the order in which the jobs ended. */
   ordered: boolean;
-  /** Ask the receiver before a repeat that it may have received. */
+  /** Before repeating a notification that may have arrived, ask the receiver whether it has it. */
   ask: boolean;
   state: SubscriptionState;
-  /** How often dead letters were asked to be sent again, and test notifications asked for. */
+  /** Number of requests so far to send the dead letters again, and of requests for a test notification. */
   redrives: number;
   tests: number;
 }
 
-const names = v.nullable(v.array(v.string()));
-const Sub = v.object({
+const nullableNames = v.nullable(v.array(v.string()));
+const SubscriptionValue = v.object({
   u: v.string(),
-  t: names,
-  c: names,
+  t: nullableNames,
+  c: nullableNames,
   o: v.array(v.picklist(OUTCOMES)),
   k: v.array(v.string()),
   ord: v.boolean(),
@@ -95,7 +101,7 @@
   rd: v.number(),
   ts: v.number(),
 });
-const Packed = v.tuple([
+const PackedEntryValue = v.tuple([
   v.string(),
   v.picklist([0, 1, 2]),
   v.number(),
@@ -106,14 +112,14 @@
   v.number(),
   v.number(),
 ]);
-const Names = v.array(v.string());
-const cursor = v.tuple([v.number(), v.string()]);
-const At = v.object({
+const NameList = v.array(v.string());
+const CursorValue = v.tuple([v.number(), v.string()]);
+const ProgressValue = v.object({
   q: v.number(),
   tk: v.number(),
-  c: v.nullable(cursor),
-  nm: Names,
-  w: v.array(Packed),
+  c: v.nullable(CursorValue),
+  nm: NameList,
+  w: v.array(PackedEntryValue),
   sp: v.tuple([v.number(), v.number(), v.number()]),
   dd: v.tuple([v.number(), v.number()]),
   rd: v.number(),
@@ -121,34 +127,34 @@
   ls: v.optional(v.nullable(v.tuple([v.number(), v.string()])), null),
 });
 const Batch = v.object({
-  to: v.nullable(cursor),
-  nm: Names,
-  e: v.array(Packed),
+  to: v.nullable(CursorValue),
+  nm: NameList,
+  e: v.array(PackedEntryValue),
 });
-const Own = v.object({ owner: v.string(), hold: v.number() });
-const Here = v.object({ hold: v.number() });
-const Upto = v.record(v.string(), v.number());
+const LaneOwnerValue = v.object({ owner: v.string(), hold: v.number() });
+const PresenceValue = v.object({ hold: v.number() });
+const SettledUpToValue = v.record(v.string(), v.number());
 
-/** An end with the number of attempts that may have been made. */
+/** A job end with the number of attempts that may have been made to deliver it. */
 export interface PendingDelivery {
   end: JobEnd;
   attempts: number;
 }
 export interface ProgressRecord {
-  /** Counts the writes of this record under one token: so a write without an answer is known again. */
+  /** Counts the writes of this record under one token, so that a write whose reply was lost can be recognized. */
   seq: number;
   token: number;
-  /** Everything up to here is in the window, in the spool, or settled; null: up to this record's own revision. */
+  /** All ends up to here are in the window, in the spool, or settled; null: all up to this record's own revision. */
   cursor: Cursor | null;
-  /** What may have been sent and is not known to have arrived. */
+  /** Notifications that may have been sent and are not known to have arrived. */
   window: PendingDelivery[];
-  /** First batch of the spool, how many of its entries were taken, and the number of the next one (or a later one). */
+  /** Number of the spool's first batch, how many of its entries were taken, and the lowest number that the next batch may get. */
   spool: { first: number; taken: number; next: number };
-  /** First batch of dead letters and the number of the next one. */
+  /** Number of the first batch of dead letters, and of the next one to be written. */
   dead: { first: number; next: number };
   redrives: number;
   tests: number;
-  /** Ends up to a revision are being found among all final records, which has come to a key. */
+  /** Set while ends up to revision `to` are searched for among all final records; `after` is the last key read. */
   listing: { to: number; after: string } | null;
 }
 export interface Batch {
@@ -157,150 +163,159 @@
 }
 
 export function readSubscription(value: unknown): Subscription | null {
-  const o = read(Sub, value);
+  const stored = read(SubscriptionValue, value);
   return (
-    o && {
-      url: o.u,
-      teams: o.t,
-      classes: o.c,
-      outcomes: o.o,
-      keys: o.k,
-      ordered: o.ord,
-      ask: o.ask,
-      state: o.st,
-      redrives: o.rd,
-      tests: o.ts,
+    stored && {
+      url: stored.u,
+      teams: stored.t,
+      classes: stored.c,
+      outcomes: stored.o,
+      keys: stored.k,
+      ordered: stored.ord,
+      ask: stored.ask,
+      state: stored.st,
+      redrives: stored.rd,
+      tests: stored.ts,
     }
   );
 }
-export const writeSubscription = (s: Subscription): object => ({
-  u: s.url,
-  t: s.teams,
-  c: s.classes,
-  o: s.outcomes,
-  k: s.keys,
-  ord: s.ordered,
-  ask: s.ask,
-  st: s.state,
-  rd: s.redrives,
-  ts: s.tests,
+export const writeSubscription = (subscription: Subscription): object => ({
+  u: subscription.url,
+  t: subscription.teams,
+  c: subscription.classes,
+  o: subscription.outcomes,
+  k: subscription.keys,
+  ord: subscription.ordered,
+  ask: subscription.ask,
+  st: subscription.state,
+  rd: subscription.redrives,
+  ts: subscription.tests,
 });
 
-const CODES = ["done", "cancelled", "test"] as const;
-type PackedEntry = v.InferOutput<typeof Packed>;
+const OUTCOME_BY_CODE = ["done", "cancelled", "test"] as const;
+type PackedEntry = v.InferOutput<typeof PackedEntryValue>;
 
-const ATTEMPT_DIGITS = 7;
-const LEAST_NAME = 24;
-const quoted = (text: string): number =>
+const RESERVED_ATTEMPT_DIGITS = 7;
+const MIN_NAME_BYTES = 24;
+const jsonBytes = (text: string): number =>
   Buffer.byteLength(JSON.stringify(text));
-/** As much of a name as takes so many bytes. */
-function cut(name: string, most: number): string {
-  if (quoted(name) <= most) return name;
+/** Shortens a name until its JSON text takes at most `maxBytes`. */
+function truncate(name: string, maxBytes: number): string {
+  if (jsonBytes(name) <= maxBytes) return name;
   const chars = Array.from(name);
-  while (quoted(chars.join("")) > most) chars.pop();
+  while (jsonBytes(chars.join("")) > maxBytes) chars.pop();
   return chars.join("");
 }
-/** Packs entries until no more fit into so many bytes; teams and classes are written once and referred to by place. */
+/** Packs entries into at most `maxBytes`. Names of teams and classes are written once and referred to by index. */
 export class Packer {
   readonly names: string[] = [];
   readonly entries: PackedEntry[] = [];
-  private bytes = 0;
+  private usedBytes = 0;
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxBytes: number) {}
 
-  private place(whole: string): number {
-    // The same cut whatever else is packed: a notification that fits no record would stop all after it, and one that fits but once
-    // would be forgotten when the record is written anew.
-    const name = cut(whole, Math.max(LEAST_NAME, this.most / 4));
-    const at = this.names.indexOf(name);
-    if (at >= 0) return at;
+  private nameIndex(fullName: string): number {
+    // Names are shortened to the same length whatever else is packed. A notification that fits into no record would block all
+    // later ones, and one that fits only the first time would be lost when the record is written again.
+    const name = truncate(
+      fullName,
+      Math.max(MIN_NAME_BYTES, this.maxBytes / 4),
+    );
+    const index = this.names.indexOf(name);
+    if (index >= 0) return index;
     this.names.push(name);
     return this.names.length - 1;
   }
-  /** False: it does not fit, nothing changed. */
-  add(o: PendingDelivery): boolean {
-    const before = this.names.length;
-    const e = o.end;
+  /** Returns false, and changes nothing, if the entry does not fit. */
+  add(delivery: PendingDelivery): boolean {
+    const namesBefore = this.names.length;
+    const end = delivery.end;
     const packed: PackedEntry = [
-      e.id,
-      CODES.indexOf(e.outcome) as 0 | 1 | 2,
-      e.tasks,
-      e.done,
-      this.place(e.team),
-      this.place(e.class),
-      e.at,
-      e.since - e.at,
-      o.attempts,
+      end.id,
+      OUTCOME_BY_CODE.indexOf(end.outcome) as 0 | 1 | 2,
+      end.tasks,
+      end.done,
+      this.nameIndex(end.team),
+      this.nameIndex(end.class),
+      end.at,
+      end.since - end.at,
+      delivery.attempts,
     ];
-    // An entry that was written once fits again when its attempts have become more.
-    const room = ATTEMPT_DIGITS - String(o.attempts).length;
-    const more =
-      room +
+    // Space for more digits, so that the entry still fits when it is written again with more attempts.
+    const spareDigits =
+      RESERVED_ATTEMPT_DIGITS - String(delivery.attempts).length;
+    const addedBytes =
+      spareDigits +
       Buffer.byteLength(JSON.stringify(packed)) +
       1 +
       this.names
-        .slice(before)
+        .slice(namesBefore)
         .reduce((n, x) => n + Buffer.byteLength(JSON.stringify(x)) + 1, 0);
-    if (this.bytes + more > this.most) {
-      this.names.length = before;
+    if (this.usedBytes + addedBytes > this.maxBytes) {
+      this.names.length = namesBefore;
       return false;
     }
-    this.bytes += more;
+    this.usedBytes += addedBytes;
     this.entries.push(packed);
     return true;
   }
 }
-const unpack = (nm: readonly string[], e: PackedEntry): PendingDelivery => ({
+const unpack = (
+  names: readonly string[],
+  entry: PackedEntry,
+): PendingDelivery => ({
   end: {
-    id: e[0],
-    outcome: CODES[e[1]],
-    tasks: e[2],
-    done: e[3],
-    team: nm[e[4]] ?? "",
-    class: nm[e[5]] ?? "",
-    at: e[6],
-    since: e[6] + e[7],
+    id: entry[0],
+    outcome: OUTCOME_BY_CODE[entry[1]],
+    tasks: entry[2],
+    done: entry[3],
+    team: names[entry[4]] ?? "",
+    class: names[entry[5]] ?? "",
+    at: entry[6],
+    since: entry[6] + entry[7],
   },
-  attempts: e[8],
+  attempts: entry[8],
 });
 
-/** What a record takes beside its entries, at most. */
-export const AT_HEAD = 420;
-export const BATCH_HEAD = 120;
+/** Upper bounds of the bytes that a record takes besides its entries. */
+export const PROGRESS_OVERHEAD_BYTES = 420;
+export const BATCH_OVERHEAD_BYTES = 120;
 
 export function readProgress(value: unknown): ProgressRecord | null {
-  const o = read(At, value);
+  const stored = read(ProgressValue, value);
   return (
-    o && {
-      seq: o.q,
-      token: o.tk,
-      cursor: o.c && { version: o.c[0], id: o.c[1] },
-      window: o.w.map((e) => unpack(o.nm, e)),
-      spool: { first: o.sp[0], taken: o.sp[1], next: o.sp[2] },
-      dead: { first: o.dd[0], next: o.dd[1] },
-      redrives: o.rd,
-      tests: o.ts,
-      listing: o.ls && { to: o.ls[0], after: o.ls[1] },
+    stored && {
+      seq: stored.q,
+      token: stored.tk,
+      cursor: stored.c && { version: stored.c[0], id: stored.c[1] },
+      window: stored.w.map((e) => unpack(stored.nm, e)),
+      spool: { first: stored.sp[0], taken: stored.sp[1], next: stored.sp[2] },
+      dead: { first: stored.dd[0], next: stored.dd[1] },
+      redrives: stored.rd,
+      tests: stored.ts,
+      listing: stored.ls && { to: stored.ls[0], after: stored.ls[1] },
     }
   );
 }
-/** `window` holds the record's window already packed. */
+/** `window`: the window of the record, already packed. */
 export const writeProgress = (
-  a: Omit<ProgressRecord, "window">,
+  progress: Omit<ProgressRecord, "window">,
   window: Packer,
 ): object => ({
-  q: a.seq,
-  tk: a.token,
-  c: a.cursor && [a.cursor.version, a.cursor.id],
+  q: progress.seq,
+  tk: progress.token,
+  c: progress.cursor && [progress.cursor.version, progress.cursor.id],
   nm: window.names,
   w: window.entries,
-  sp: [a.spool.first, a.spool.taken, a.spool.next],
-  dd: [a.dead.first, a.dead.next],
-  rd: a.redrives,
-  ts: a.tests,
-  ...(a.listing ? { ls: [a.listing.to, a.listing.after] } : {}),
+  sp: [progress.spool.first, progress.spool.taken, progress.spool.next],
+  dd: [progress.dead.first, progress.dead.next],
+  rd: progress.redrives,
+  ts: progress.tests,
+  ...(progress.listing
+    ? { ls: [progress.listing.to, progress.listing.after] }
+    : {}),
 });
-/** The state of a subscription that was just made. */
+/** The progress record of a new subscription. */
 export const newProgress = (): object =>
   writeProgress(
     {
@@ -317,24 +332,24 @@
   );
 
 export function readBatch(value: unknown): Batch | null {
-  const o = read(Batch, value);
+  const stored = read(Batch, value);
   return (
-    o && {
-      to: o.to && { version: o.to[0], id: o.to[1] },
-      entries: o.e.map((e) => unpack(o.nm, e)),
+    stored && {
+      to: stored.to && { version: stored.to[0], id: stored.to[1] },
+      entries: stored.e.map((e) => unpack(stored.nm, e)),
     }
   );
 }
-export const writeBatch = (p: Packer, to: Cursor | null): object => ({
+export const writeBatch = (packer: Packer, to: Cursor | null): object => ({
   to: to && [to.version, to.id],
-  nm: p.names,
-  e: p.entries,
+  nm: packer.names,
+  e: packer.entries,
 });
 
 export const readLaneOwner = (
   value: unknown,
-): { owner: string; hold: number } | null => read(Own, value);
+): { owner: string; hold: number } | null => read(LaneOwnerValue, value);
 export const readPresence = (value: unknown): { hold: number } | null =>
-  read(Here, value);
+  read(PresenceValue, value);
 export const readSettledUpTo = (value: unknown): Record<string, number> =>
-  read(Upto, value) ?? {};
+  read(SettledUpToValue, value) ?? {};
--- a/src/webhooks/settings.ts
+++ b/src/webhooks/settings.ts
@@ -6,104 +6,116 @@
 import { parseSecret } from "./signing.js";
 import type { SenderSettings } from "./webhook-sender.js";
 
-/** Reads the secrets that the operators' file names: from files or variables, never from the file itself. */
-function readKeys(s: HooksFile, file: string): Map<string, Uint8Array> {
+/** Reads the signing keys from the files or environment variables that the operators' file names; it never holds them itself. */
+function readKeys(hooks: HooksFile, file: string): Map<string, Uint8Array> {
   const keys = new Map<string, Uint8Array>();
-  s.key.forEach((k, i) => {
-    const field = `${file}: hooks.key[${i}]`;
-    if (!k.id) throw new SettingsError(`${field}.id: missing`);
-    if (keys.has(k.id))
-      throw new SettingsError(`${field}.id: ${k.id} is named twice`);
-    if ((k.file === "") === (k.variable === ""))
+  hooks.key.forEach((key, index) => {
+    const field = `${file}: hooks.key[${index}]`;
+    if (!key.id) throw new SettingsError(`${field}.id: missing`);
+    if (keys.has(key.id))
+      throw new SettingsError(`${field}.id: ${key.id} is named twice`);
+    if ((key.file === "") === (key.variable === ""))
       throw new SettingsError(`${field}: either file or variable expected`);
-    let text: string;
-    if (k.file !== "") {
+    let secretText: string;
+    if (key.file !== "") {
       try {
-        text = readFileSync(k.file, "utf8");
+        secretText = readFileSync(key.file, "utf8");
       } catch (e) {
         throw new SettingsError(
-          `${field}.file: ${k.file}: ${(e as NodeJS.ErrnoException).code === "ENOENT" ? "no such file" : (e as Error).message}`,
+          `${field}.file: ${key.file}: ${(e as NodeJS.ErrnoException).code === "ENOENT" ? "no such file" : (e as Error).message}`,
         );
       }
     } else {
-      const value = process.env[k.variable];
+      const value = process.env[key.variable];
       if (value === undefined)
-        throw new SettingsError(`${field}.variable: ${k.variable} is not set`);
-      text = value;
+        throw new SettingsError(
+          `${field}.variable: ${key.variable} is not set`,
+        );
+      secretText = value;
     }
     try {
-      keys.set(k.id, parseSecret(text));
+      keys.set(key.id, parseSecret(secretText));
     } catch (e) {
       throw new SettingsError(
-        `${field}: the secret of ${k.id}: ${(e as Error).message}`,
+        `${field}: the secret of ${key.id}: ${(e as Error).message}`,
       );
     }
   });
   return keys;
 }
 
-/** What can be said of the file without starting anything. */
-export function checkWebhookSettings(s: HooksFile, file: string): void {
-  s.allow.forEach((text, i) => {
+/** Checks the settings as far as that is possible without starting anything; throws a SettingsError. */
+export function checkWebhookSettings(hooks: HooksFile, file: string): void {
+  hooks.allow.forEach((text, index) => {
     try {
       parseNetwork(text);
     } catch (e) {
       throw new SettingsError(
-        `${file}: hooks.allow[${i}]: ${(e as Error).message}`,
+        `${file}: hooks.allow[${index}]: ${(e as Error).message}`,
       );
     }
   });
-  readKeys(s, file);
+  readKeys(hooks, file);
 }
 
-/** A part of this controller's changes, for hooks to use up; users, holds and masters have the rest. */
-export function webhookLimits(s: HooksFile, p: Settings): WebhookLimits {
-  const nodes = p.peers.length + 1;
-  const changesPerS = (p.state.writeRps / nodes) * s.changesShare;
+/** Webhooks may use `changesShare` of this controller's write rate; user requests, leases and partition leaders have the rest. */
+export function webhookLimits(
+  hooks: HooksFile,
+  platform: Settings,
+): WebhookLimits {
+  const controllers = platform.peers.length + 1;
+  const changesPerS =
+    (platform.state.writeRps / controllers) * hooks.changesShare;
   return {
-    valueBytes: p.state.valueBytes,
-    txnOps: p.state.txnOps,
-    parallel: s.parallel,
-    horizonMs: s.horizonS * 1000,
-    backoff: { baseMs: s.retryBaseS * 1000, mostMs: s.retryMostS * 1000 },
-    spoolBatches: s.spoolBatches,
-    // The log keeps 10,000 changes, and each revision may hold as many as a transaction: half of that is safe.
-    settleEvery: Math.max(20, Math.floor(5_000 / p.state.txnOps)),
+    valueBytes: platform.state.valueBytes,
+    txnOps: platform.state.txnOps,
+    parallel: hooks.parallel,
+    horizonMs: hooks.horizonS * 1000,
+    backoff: {
+      baseMs: hooks.retryBaseS * 1000,
+      maxMs: hooks.retryMostS * 1000,
+    },
+    spoolBatches: hooks.spoolBatches,
+    // The state service's log keeps 10,000 changes, and a revision may hold as many as a transaction. Half of the log is safe.
+    settleEveryRevisions: Math.max(
+      20,
+      Math.floor(5_000 / platform.state.txnOps),
+    ),
     changesPerS,
-    // Ending a batch takes three changes at once.
+    // Finishing a batch takes three changes in one transaction.
     changesBurst: Math.max(4, changesPerS),
-    inFlight: s.inFlight,
-    breakerAfter: s.breakerAfter,
+    inFlight: hooks.inFlight,
+    breakerAfter: hooks.breakerAfter,
     breakerPause: {
-      baseMs: s.breakerBaseS * 1000,
-      mostMs: s.breakerMostS * 1000,
+      baseMs: hooks.breakerBaseS * 1000,
+      maxMs: hooks.breakerMostS * 1000,
     },
-    subscriptions: s.subscriptions,
+    subscriptions: hooks.subscriptions,
   };
 }
 
 export function senderSettings(
-  s: HooksFile,
+  hooks: HooksFile,
   file: string,
   agent: string,
 ): SenderSettings {
   let ca: string | null = null;
-  if (s.caFile !== "") {
+  if (hooks.caFile !== "") {
     try {
-      ca = readFileSync(s.caFile, "utf8");
+      ca = readFileSync(hooks.caFile, "utf8");
     } catch (e) {
       throw new SettingsError(
-        `${file}: hooks.ca_file: ${s.caFile}: ${(e as Error).message.split(",")[0]}`,
+        `${file}: hooks.ca_file: ${hooks.caFile}: ${(e as Error).message.split(",")[0]}`,
       );
     }
   }
   return {
-    networks: new AllowedNetworks(s.allow, s.onlyListed),
-    keys: readKeys(s, file),
-    allowHttp: s.allowHttp,
-    deadlineMs: s.deadlineS * 1000,
-    maxSockets: s.inFlight,
-    maxAnswerBytes: s.answerBytes,
+    networks: new AllowedNetworks(hooks.allow, hooks.onlyListed),
+    keys: readKeys(hooks, file),
+    allowHttp: hooks.allowHttp,
+    deadlineMs: hooks.deadlineS * 1000,
+    maxSockets: hooks.inFlight,
+    maxAnswerBytes: hooks.answerBytes,
     ca,
     agent,
   };
--- a/src/webhooks/signing.ts
+++ b/src/webhooks/signing.ts
@@ -4,19 +4,19 @@
 import type { JobEnd } from "./records.js";
 
 /**
- * A secret in the form of Standard Webhooks: base64 of 24 to 64 bytes, `whsec_` before it or not. Throws a plain sentence that
- * does not hold the secret.
+ * Parses a secret in the form of Standard Webhooks: base64 of 24 to 64 bytes, with or without the prefix `whsec_`. Error
+ * messages do not contain the secret.
  */
 export function parseSecret(text: string): Uint8Array {
-  const body = text.trim().replace(/^whsec_/, "");
-  if (!/^[A-Za-z0-9+/]+={0,2}$/.test(body)) throw new Error("not base64");
-  const key = Buffer.from(body, "base64");
+  const encoded = text.trim().replace(/^whsec_/, "");
+  if (!/^[A-Za-z0-9+/]+={0,2}$/.test(encoded)) throw new Error("not base64");
+  const key = Buffer.from(encoded, "base64");
   if (key.length < 24 || key.length > 64)
     throw new Error(`24 to 64 bytes expected, not ${key.length}`);
   return key;
 }
 
-/** The signature of one key, as `webhook-signature` holds it. `timestampS`: seconds since the epoch. */
+/** The signature with one key, in the form of the header `webhook-signature`. `timestampS`: seconds since the epoch. */
 export const signature = (
   key: Uint8Array,
   id: string,
@@ -25,7 +25,7 @@
 ): string =>
   `v1,${Buffer.from(hmac(sha256, key, utf8ToBytes(`${id}.${timestampS}.${body}`))).toString("base64")}`;
 
-/** The same for all attempts, and for no other notification. */
+/** The id of a notification: the same for all its attempts, and unique. */
 export const webhookId = (webhook: string, end: Pick<JobEnd, "id">): string =>
   `${webhook}.${end.id}`;
 
--- a/src/webhooks/subscription-requests.ts
+++ b/src/webhooks/subscription-requests.ts
@@ -14,7 +14,7 @@
   writeSubscription,
 } from "./records.js";
 
-/** What users ask of hooks, over HTTP or the command line. */
+/** User requests about webhooks, from HTTP or the command line. */
 export type WebhookRequest =
   | { is: "list" }
   | { is: "show"; name: string }
@@ -25,16 +25,16 @@
   | { is: "dead"; name: string; after: string };
 
 const WEBHOOK_NAME = /^[a-z0-9][a-z0-9-]{0,39}$/;
-const TRIES = 4;
-/** A record of a subscription stays within the smallest values. */
+const MAX_RETRIES = 4;
+/** The bounds of all fields keep a subscription's record within the smallest permitted value size. */
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
-const several = v.nullable(
+const nameList = v.nullable(
   v.pipe(v.array(text), v.minLength(1), v.maxLength(32)),
 );
 const fields = {
   url: v.pipe(v.string(), v.maxLength(1_000)),
-  crews: several,
-  jobclasses: several,
+  crews: nameList,
+  jobclasses: nameList,
   outcomes: v.pipe(
     v.array(v.picklist(OUTCOMES)),
     v.minLength(1),
@@ -44,10 +44,10 @@
   ordered: v.boolean(),
   ask: v.boolean(),
 };
-const Change = v.strictObject(
+const ChangeBody = v.strictObject(
   v.entriesFromObjects([v.partial(v.object(fields))]),
 );
-const Add = v.strictObject({
+const AddBody = v.strictObject({
   name: v.pipe(
     v.string(),
     v.regex(WEBHOOK_NAME, "small letters, digits and dashes, at most 40"),
@@ -60,86 +60,103 @@
   ask: v.optional(fields.ask, false),
 });
 
-const shown = (name: string, s: Subscription): object => ({
+const subscriptionView = (
+  name: string,
+  subscription: Subscription,
+): object => ({
   name,
-  url: s.url,
-  crews: s.teams,
-  jobclasses: s.classes,
-  outcomes: s.outcomes,
-  keys: s.keys,
-  ordered: s.ordered,
-  ask: s.ask,
-  state: s.state,
+  url: subscription.url,
+  crews: subscription.teams,
+  jobclasses: subscription.classes,
+  outcomes: subscription.outcomes,
+  keys: subscription.keys,
+  ordered: subscription.ordered,
+  ask: subscription.ask,
+  state: subscription.state,
 });
 
 type Reply = (status: number, body: object) => void;
-const busy = { error: "state service does not answer" };
+const unavailable = { error: "state service does not answer" };
 
-/** Each is one or a few reads and one conditional commit; what can't be done changes nothing. */
+/** Answers user requests. Each takes a few reads and at most one successful commit; a rejected request changes nothing. */
 export class SubscriptionRequests {
   constructor(
-    private readonly state: (
+    private readonly callStore: (
       call: StateCall,
-      done: (r: StateReply) => void,
+      done: (reply: StateReply) => void,
     ) => void,
     private readonly answer: (
-      req: number,
+      reqId: number,
       status: number,
       body: object,
     ) => void,
     private readonly figuresOf: (name: string) => object | null,
-    private readonly keys: ReadonlySet<string>,
-    private readonly refuses: (url: string) => string | null,
-    private readonly most: number,
+    private readonly keyIds: ReadonlySet<string>,
+    private readonly urlProblem: (url: string) => string | null,
+    private readonly maxSubscriptions: number,
   ) {}
 
-  take(req: number, r: WebhookRequest): void {
-    const reply: Reply = (status, body) => this.answer(req, status, body);
-    switch (r.is) {
+  handle(reqId: number, request: WebhookRequest): void {
+    const reply: Reply = (status, body) => this.answer(reqId, status, body);
+    switch (request.is) {
       case "list":
-        return this.list((subs) => {
-          if (!subs) return reply(503, busy);
-          reply(200, { hooks: [...subs].map(([name, s]) => shown(name, s)) });
+        return this.list((subscriptions) => {
+          if (!subscriptions) return reply(503, unavailable);
+          reply(200, {
+            hooks: [...subscriptions].map(([name, s]) =>
+              subscriptionView(name, s),
+            ),
+          });
         });
       case "show":
-        return this.one(r.name, reply, (s) =>
-          reply(200, { ...shown(r.name, s), sending: this.figuresOf(r.name) }),
+        return this.withSubscription(request.name, reply, (s) =>
+          reply(200, {
+            ...subscriptionView(request.name, s),
+            sending: this.figuresOf(request.name),
+          }),
         );
       case "add":
-        return this.add(r.body, reply);
+        return this.add(request.body, reply);
       case "change":
-        return this.change(r.name, r.body, reply);
+        return this.change(request.name, request.body, reply);
       case "act":
-        return this.edit(r.name, reply, TRIES, (s) => {
-          if (r.act === "test" || r.act === "redrive") {
-            if (s.state !== "active")
-              return { error: `hook is ${s.state}: resume it first` };
-            return r.act === "test"
-              ? { ...s, tests: s.tests + 1 }
-              : { ...s, redrives: s.redrives + 1 };
+        return this.edit(request.name, reply, MAX_RETRIES, (current) => {
+          if (request.act === "test" || request.act === "redrive") {
+            if (current.state !== "active")
+              return { error: `hook is ${current.state}: resume it first` };
+            return request.act === "test"
+              ? { ...current, tests: current.tests + 1 }
+              : { ...current, redrives: current.redrives + 1 };
           }
-          return { ...s, state: r.act === "pause" ? "paused" : "active" };
+          return {
+            ...current,
+            state: request.act === "pause" ? "paused" : "active",
+          };
         });
       case "remove":
-        return this.remove(r.name, reply, TRIES);
+        return this.remove(request.name, reply, MAX_RETRIES);
       case "dead":
-        return this.state(
-          { op: "list", prefix: deadPrefix(r.name), after: r.after },
-          (got) => {
-            if (got.is !== "items") return reply(503, busy);
-            const letters = got.items.flatMap((i) =>
-              (readBatch(i.value)?.entries ?? []).map((o) => ({
-                id: o.end.id,
-                status: o.end.outcome,
-                crew: o.end.team,
-                jobclass: o.end.class,
-                endedAt: new Date(o.end.at).toISOString(),
-                attempts: o.attempts,
+        return this.callStore(
+          {
+            op: "list",
+            prefix: deadPrefix(request.name),
+            after: request.after,
+          },
+          (listed) => {
+            if (listed.is !== "items") return reply(503, unavailable);
+            const deadLetters = listed.items.flatMap((item) =>
+              (readBatch(item.value)?.entries ?? []).map((pending) => ({
+                id: pending.end.id,
+                status: pending.end.outcome,
+                crew: pending.end.team,
+                jobclass: pending.end.class,
+                endedAt: new Date(pending.end.at).toISOString(),
+                attempts: pending.attempts,
               })),
             );
             reply(200, {
-              dead: letters,
-              next: got.more ? (got.items.at(-1)?.key ?? null) : null,
+              dead: deadLetters,
+              next: listed.more ? (listed.items.at(-1)?.key ?? null) : null,
             });
           },
         );
@@ -147,86 +164,107 @@
   }
 
   private list(
-    done: (subs: Map<string, Subscription> | null) => void,
+    done: (subscriptions: Map<string, Subscription> | null) => void,
     after = "",
-    so: Map<string, Subscription> = new Map(),
+    found: Map<string, Subscription> = new Map(),
   ): void {
-    this.state({ op: "list", prefix: SUBSCRIPTIONS_PREFIX, after }, (r) => {
-      if (r.is !== "items") return done(null);
-      for (const i of r.items) {
-        const s = readSubscription(i.value);
-        if (s) so.set(i.key.slice(SUBSCRIPTIONS_PREFIX.length), s);
-      }
-      const last = r.items.at(-1);
-      if (r.more && last) this.list(done, last.key, so);
-      else done(so);
-    });
+    this.callStore(
+      { op: "list", prefix: SUBSCRIPTIONS_PREFIX, after },
+      (listed) => {
+        if (listed.is !== "items") return done(null);
+        for (const item of listed.items) {
+          const subscription = readSubscription(item.value);
+          if (subscription)
+            found.set(
+              item.key.slice(SUBSCRIPTIONS_PREFIX.length),
+              subscription,
+            );
+        }
+        const last = listed.items.at(-1);
+        if (listed.more && last) this.list(done, last.key, found);
+        else done(found);
+      },
+    );
   }
-  private one(
+  private withSubscription(
     name: string,
     reply: Reply,
-    then: (s: Subscription, version: number) => void,
+    onFound: (s: Subscription, version: number) => void,
   ): void {
-    this.state({ op: "get", key: subscriptionKey(name) }, (r) => {
-      if (r.is !== "item") return reply(503, busy);
-      const s = r.item ? readSubscription(r.item.value) : null;
-      if (!s || !r.item) return reply(404, { error: "no such hook" });
-      then(s, r.item.version);
+    this.callStore({ op: "get", key: subscriptionKey(name) }, (result) => {
+      if (result.is !== "item") return reply(503, unavailable);
+      const subscription = result.item
+        ? readSubscription(result.item.value)
+        : null;
+      if (!subscription || !result.item)
+        return reply(404, { error: "no such hook" });
+      onFound(subscription, result.item.version);
     });
   }
 
-  /** Why a subscription can't be: the field and the reason. */
-  private wrong(s: {
+  /** Why a subscription is invalid (the field and the reason); null if it is valid. */
+  private problemWith(fieldsToCheck: {
     url?: string | undefined;
     keys?: string[] | undefined;
   }): string | null {
-    if (s.url !== undefined) {
-      const why = this.refuses(s.url);
-      if (why !== null) return `url: ${why}`;
+    if (fieldsToCheck.url !== undefined) {
+      const problem = this.urlProblem(fieldsToCheck.url);
+      if (problem !== null) return `url: ${problem}`;
     }
-    const unknown = s.keys?.find((k) => !this.keys.has(k));
+    const unknown = fieldsToCheck.keys?.find((k) => !this.keyIds.has(k));
     return unknown === undefined
       ? null
       : `keys: no key ${unknown} in the operators' file`;
   }
 
   private add(body: unknown, reply: Reply): void {
-    const got = v.safeParse(Add, body);
-    if (!got.success) return reply(400, { error: firstIssue(got.issues) });
-    const f = got.output;
-    const no = this.wrong(f);
-    if (no !== null) return reply(422, { error: no });
-    this.list((subs) => {
-      if (!subs) return reply(503, busy);
-      if (subs.size >= this.most && !subs.has(f.name))
-        return reply(422, { error: `name: at most ${this.most} hooks` });
-      const sub: Subscription = {
-        url: f.url,
-        teams: f.crews,
-        classes: f.jobclasses,
-        outcomes: [...new Set(f.outcomes)],
-        keys: f.keys,
-        ordered: f.ordered,
-        ask: f.ask,
+    const parsed = v.safeParse(AddBody, body);
+    if (!parsed.success)
+      return reply(400, { error: firstIssue(parsed.issues) });
+    const values = parsed.output;
+    const problem = this.problemWith(values);
+    if (problem !== null) return reply(422, { error: problem });
+    this.list((subscriptions) => {
+      if (!subscriptions) return reply(503, unavailable);
+      if (
+        subscriptions.size >= this.maxSubscriptions &&
+        !subscriptions.has(values.name)
+      )
+        return reply(422, {
+          error: `name: at most ${this.maxSubscriptions} hooks`,
+        });
+      const subscription: Subscription = {
+        url: values.url,
+        teams: values.crews,
+        classes: values.jobclasses,
+        outcomes: [...new Set(values.outcomes)],
+        keys: values.keys,
+        ordered: values.ordered,
+        ask: values.ask,
         state: "active",
         redrives: 0,
         tests: 0,
       };
-      const keys = [subscriptionKey(f.name), progressKey(f.name)];
-      this.state(
+      const keys = [subscriptionKey(values.name), progressKey(values.name)];
+      this.callStore(
         {
           op: "commit",
           conditions: keys.map((key) => ({ key, version: 0 })),
           writes: [
-            { op: "put", key: keys[0]!, value: writeSubscription(sub) },
+            {
+              op: "put",
+              key: keys[0]!,
+              value: writeSubscription(subscription),
+            },
             { op: "put", key: keys[1]!, value: newProgress() },
           ],
         },
-        (r) => {
-          if (r.is === "committed") return reply(201, shown(f.name, sub));
-          if (r.is !== "conflict") return reply(503, busy);
+        (result) => {
+          if (result.is === "committed")
+            return reply(201, subscriptionView(values.name, subscription));
+          if (result.is !== "conflict") return reply(503, unavailable);
           reply(409, {
-            error: subs.has(f.name)
+            error: subscriptions.has(values.name)
               ? "name: there is such a hook"
               : "name: there was such a hook a moment ago; try again soon",
           });
@@ -236,33 +274,35 @@
   }
 
   private change(name: string, body: unknown, reply: Reply): void {
-    const got = v.safeParse(Change, body);
-    if (!got.success) return reply(400, { error: firstIssue(got.issues) });
-    const f = got.output;
-    const no = this.wrong(f);
-    if (no !== null) return reply(422, { error: no });
-    this.edit(name, reply, TRIES, (s) => ({
-      ...s,
-      url: f.url ?? s.url,
-      teams: f.crews === undefined ? s.teams : f.crews,
-      classes: f.jobclasses === undefined ? s.classes : f.jobclasses,
-      outcomes: f.outcomes ?? s.outcomes,
-      keys: f.keys ?? s.keys,
-      ordered: f.ordered ?? s.ordered,
-      ask: f.ask ?? s.ask,
+    const parsed = v.safeParse(ChangeBody, body);
+    if (!parsed.success)
+      return reply(400, { error: firstIssue(parsed.issues) });
+    const values = parsed.output;
+    const problem = this.problemWith(values);
+    if (problem !== null) return reply(422, { error: problem });
+    this.edit(name, reply, MAX_RETRIES, (current) => ({
+      ...current,
+      url: values.url ?? current.url,
+      teams: values.crews === undefined ? current.teams : values.crews,
+      classes:
+        values.jobclasses === undefined ? current.classes : values.jobclasses,
+      outcomes: values.outcomes ?? current.outcomes,
+      keys: values.keys ?? current.keys,
+      ordered: values.ordered ?? current.ordered,
+      ask: values.ask ?? current.ask,
     }));
   }
 
   private edit(
     name: string,
     reply: Reply,
-    tries: number,
-    how: (s: Subscription) => Subscription | { error: string },
+    retriesLeft: number,
+    transform: (s: Subscription) => Subscription | { error: string },
   ): void {
-    this.one(name, reply, (s, version) => {
-      const next = how(s);
+    this.withSubscription(name, reply, (current, version) => {
+      const next = transform(current);
       if ("error" in next) return reply(409, next);
-      this.state(
+      this.callStore(
         {
           op: "commit",
           conditions: [{ key: subscriptionKey(name), version }],
@@ -274,29 +314,30 @@
             },
           ],
         },
-        (r) => {
-          if (r.is === "committed") reply(200, shown(name, next));
-          else if (r.is === "conflict" && tries > 0)
-            this.edit(name, reply, tries - 1, how);
-          else reply(503, busy);
+        (result) => {
+          if (result.is === "committed")
+            reply(200, subscriptionView(name, next));
+          else if (result.is === "conflict" && retriesLeft > 0)
+            this.edit(name, reply, retriesLeft - 1, transform);
+          else reply(503, unavailable);
         },
       );
     });
   }
 
-  private remove(name: string, reply: Reply, tries: number): void {
-    this.one(name, reply, (_, version) => {
-      this.state(
+  private remove(name: string, reply: Reply, retriesLeft: number): void {
+    this.withSubscription(name, reply, (_, version) => {
+      this.callStore(
         {
           op: "commit",
           conditions: [{ key: subscriptionKey(name), version }],
           writes: [{ op: "delete", key: subscriptionKey(name) }],
         },
-        (r) => {
-          if (r.is === "committed") reply(200, { name, removed: true });
-          else if (r.is === "conflict" && tries > 0)
-            this.remove(name, reply, tries - 1);
-          else reply(503, busy);
+        (result) => {
+          if (result.is === "committed") reply(200, { name, removed: true });
+          else if (result.is === "conflict" && retriesLeft > 0)
+            this.remove(name, reply, retriesLeft - 1);
+          else reply(503, unavailable);
         },
       );
     });
--- a/src/webhooks/webhook-core.ts
+++ b/src/webhooks/webhook-core.ts
@@ -14,7 +14,7 @@
 } from "../protocol/state.js";
 import { CallPriority } from "../coordination/effects.js";
 import {
-  Breaker,
+  CircuitBreaker,
   type BackoffLimits,
   type BreakerState,
 } from "./circuit-breaker.js";
@@ -47,121 +47,132 @@
 } from "./subscription-requests.js";
 import { ChangeFeed } from "./change-feed.js";
 
-/** What the core of hooks is told. */
+/** Inputs of the webhook core. */
 export type WebhookInput =
-  /** What the scheduler's core read; `from` later than the last `to`: there is a gap. */
+  /** Changes that the scheduler's core read. If `from` is later than the last `to`, changes in between are missing. */
   | {
       type: "storeChanges";
       from: number;
       to: number;
       changes: readonly Change[];
     }
-  /** The hold that this controller lives under, and until when (steady time) it may act on what it owns. */
+  /** This controller's store lease (null: none), and until when (monotonic time) it may act on the lanes it owns. */
   | { type: "permit"; storeLease: number | null; untilMs: number }
   | { type: "state"; op: number; reply: StateReply }
-  | { type: "attempted"; attempt: number; result: AttemptResult }
+  | { type: "attempted"; attemptId: number; result: AttemptResult }
   | { type: "request"; req: number; request: WebhookRequest }
   | { type: "tick" };
 
 export type WebhookEffect =
-  | { type: "state"; op: number; call: StateCall; urgent: CallPriority }
+  | { type: "state"; op: number; call: StateCall; priority: CallPriority }
   | {
       type: "attempt";
-      attempt: number;
+      attemptId: number;
       webhook: string;
-      launch: AttemptRequest;
+      request: AttemptRequest;
     }
-  | { type: "abort"; attempt: number }
+  | { type: "abort"; attemptId: number }
   | { type: "reply"; req: number; status: number; body: object }
   | {
       type: "settled";
       webhook: string;
       outcome: "delivered" | "dead";
       attempts: number;
-      /** From the end of the job, ms by time of day. */ tookMs: number;
+      /** From the end of the job, by time of day. */
+      tookMs: number;
     }
   | ({ type: "log" } & LogEntry);
 
 export interface WebhookLimits extends DeliveryLimits {
-  /** Changes a second that hooks may make, and how many at once. */
+  /** Changes per second that webhooks may write, and the size of a burst. */
   changesPerS: number;
   changesBurst: number;
-  /** Attempts in flight, of all subscriptions. */
+  /** Maximum number of attempts in flight, over all subscriptions. */
   inFlight: number;
+  /** Failures in a row that open a circuit breaker. */
   breakerAfter: number;
   breakerPause: BackoffLimits;
+  /** Maximum number of subscriptions. */
   subscriptions: number;
 }
 
-/** Between the end of a permit and the last moment that something may be in flight: a tick, and then some. */
-const MARGIN_MS = 500;
-/** Who is present must have been so for this long before lanes move. */
-const SETTLED_MS = 1_000;
-const AGAIN_MS = 400;
-/** Refused for this long, hooks ask no longer as the last of all. */
-const PATIENT_MS = 5_000;
+/** Attempts are aborted this long before the leadership lease ends. Longer than a tick, as the lease is checked at each tick. */
+const LEASE_MARGIN_MS = 500;
+/** Lanes move only when the set of present controllers has not changed for this long. */
+const PRESENCE_STABLE_MS = 1_000;
+const RETRY_MS = 400;
+/** After calls have been refused for this long, they are sent with the priority of partition leaders. */
+const ESCALATE_AFTER_MS = 5_000;
 
-interface Kept<T> {
+interface Versioned<T> {
   value: T;
   version: number;
 }
 
-/** The sending of hooks on one controller: pure as the scheduler's core, and beside it. */
+/** Delivers webhooks on one controller. Without I/O, like the scheduler's core, and separate from it. */
 export class WebhookCore implements DeliveryHost {
   nowMs = 0;
   wallMs = 0;
   readonly feed = new ChangeFeed();
   private effects: WebhookEffect[] = [];
-  private ops = 0;
-  private attempts = 0;
-  private readonly stateOps = new Map<number, (r: StateReply) => void>();
-  private readonly flights = new Map<number, Delivery>();
+  private lastCallId = 0;
+  private lastAttemptId = 0;
+  private readonly pendingCalls = new Map<number, (r: StateReply) => void>();
+  private readonly deliveryByAttempt = new Map<number, Delivery>();
   private storeLease: number | null = null;
   private leadershipLeaseUntilMs = -Infinity;
-  private level: number;
-  private levelMs = 0;
+  private availableChanges: number;
+  private availableChangesAtMs = 0;
   private refusedSinceMs: number | null = null;
-  // ---- what the records say
-  private epoch = -1;
+  // ---- records as read from the state service
+  /** Revision up to which the records have been read; -1: they have to be listed. */
+  private revision = -1;
   private listing = false;
-  private backlog: { from: number; to: number; changes: readonly Change[] }[] =
-    [];
-  private listAgainMs = -Infinity;
-  readonly subscriptions = new Map<string, Kept<Subscription>>();
-  private readonly progressRecords = new Map<string, Kept<unknown>>();
+  private changesWhileListing: {
+    from: number;
+    to: number;
+    changes: readonly Change[];
+  }[] = [];
+  private listRetryAtMs = -Infinity;
+  readonly subscriptions = new Map<string, Versioned<Subscription>>();
+  private readonly progressRecords = new Map<string, Versioned<unknown>>();
   private readonly laneOwners = new Map<
     number,
-    Kept<{ owner: string; hold: number }>
+    Versioned<{ owner: string; hold: number }>
   >();
-  private readonly presences = new Map<string, Kept<{ hold: number }>>();
-  private settledUpTo: Kept<Record<string, number>> = { value: {}, version: 0 };
-  private present = "";
-  private presentSinceMs = 0;
-  // ---- what this controller does
+  private readonly presences = new Map<string, Versioned<{ hold: number }>>();
+  private settledUpTo: Versioned<Record<string, number>> = {
+    value: {},
+    version: 0,
+  };
+  /** Labels of the controllers that deliver webhooks, sorted and joined. */
+  private presentLabels = "";
+  private presentLabelsSinceMs = 0;
+  // ---- activity of this controller
   private readonly deliveries = new Map<string, Delivery>();
-  private readonly writing = new Set<string>();
-  private readonly againMs = new Map<string, number>();
-  private readonly breakers = new Map<string, Breaker>();
+  private readonly commitsInFlight = new Set<string>();
+  private readonly commitRetryAtMs = new Map<string, number>();
+  private readonly breakers = new Map<string, CircuitBreaker>();
   private readonly requests: SubscriptionRequests;
 
   constructor(
     readonly label: string,
     readonly limits: WebhookLimits,
-    /** Within 0 and 1. */
+    /** Returns a number between 0 and 1. */
     readonly random: () => number,
     /** Ids of the keys that this controller can sign with. */
-    keys: ReadonlySet<string>,
-    /** Why a URL can't be sent to; null: it can. */
-    refuses: (url: string) => string | null,
+    keyIds: ReadonlySet<string>,
+    /** Why no notification can be sent to a URL; null if one can. */
+    urlProblem: (url: string) => string | null,
   ) {
-    this.level = limits.changesBurst;
+    this.availableChanges = limits.changesBurst;
     this.requests = new SubscriptionRequests(
-      (call, done) => this.state(call, done, CallPriority.UserRequest),
-      (req, status, body) =>
-        this.effects.push({ type: "reply", req, status, body }),
+      (call, done) => this.callStore(call, done, CallPriority.UserRequest),
+      (reqId, status, body) =>
+        this.effects.push({ type: "reply", req: reqId, status, body }),
       (name) => this.figuresOf(name),
-      keys,
-      refuses,
+      keyIds,
+      urlProblem,
       limits.subscriptions,
     );
   }
@@ -171,113 +182,121 @@
     this.wallMs = wallMs;
     switch (input.type) {
       case "storeChanges":
-        this.seen(input.from, input.to, input.changes);
+        this.onStoreChanges(input.from, input.to, input.changes);
         break;
       case "permit":
-        if (input.storeLease !== this.storeLease) this.dropAll();
+        if (input.storeLease !== this.storeLease) this.dropAllDeliveries();
         this.storeLease = input.storeLease;
         this.leadershipLeaseUntilMs = input.untilMs;
         break;
       case "state": {
-        const done = this.stateOps.get(input.op);
-        this.stateOps.delete(input.op);
+        const onReply = this.pendingCalls.get(input.op);
+        this.pendingCalls.delete(input.op);
         if (input.reply.is === "refused") this.refusedSinceMs ??= nowMs;
         else this.refusedSinceMs = null;
-        done?.(input.reply);
+        onReply?.(input.reply);
         break;
       }
       case "attempted": {
-        const d = this.flights.get(input.attempt);
-        this.flights.delete(input.attempt);
-        d?.attempted(input.attempt, input.result);
+        const delivery = this.deliveryByAttempt.get(input.attemptId);
+        this.deliveryByAttempt.delete(input.attemptId);
+        delivery?.attemptEnded(input.attemptId, input.result);
         break;
       }
       case "request":
-        this.requests.take(input.req, input.request);
+        this.requests.handle(input.req, input.request);
         break;
       case "tick":
         break;
     }
-    this.act();
-    const out = this.effects;
+    this.advance();
+    const effects = this.effects;
     this.effects = [];
-    return out;
+    return effects;
   }
 
-  // ---- Host ----------------------------------------------------------------------------------------------
+  // ---- DeliveryHost ------------------------------------------------------------------------------------
 
-  state(
+  callStore(
     call: StateCall,
-    done: (r: StateReply) => void,
-    urgent?: CallPriority,
+    onReply: (reply: StateReply) => void,
+    priority?: CallPriority,
   ): void {
-    const op = ++this.ops;
-    this.stateOps.set(op, done);
-    // Users and holds never wait for hooks; masters only when hooks have waited for long.
-    const patient =
+    const callId = ++this.lastCallId;
+    this.pendingCalls.set(callId, onReply);
+    // User requests and leases never wait for webhooks; partition leaders do only after webhooks have waited for long.
+    const lowPriority =
       this.refusedSinceMs === null ||
-      this.nowMs - this.refusedSinceMs < PATIENT_MS;
+      this.nowMs - this.refusedSinceMs < ESCALATE_AFTER_MS;
     this.effects.push({
       type: "state",
-      op,
+      op: callId,
       call,
-      urgent:
-        urgent ?? (patient ? CallPriority.Background : CallPriority.Leader),
+      priority:
+        priority ??
+        (lowPriority ? CallPriority.Background : CallPriority.Leader),
     });
   }
-  /** Hooks have a part of this controller's changes for themselves: what waits for it gathers, and goes with one change. */
+  /** Webhooks have a share of this controller's write rate. Notifications that wait for it are collected and written together. */
   mayWrite(changes: number): boolean {
-    this.level = Math.min(
+    this.availableChanges = Math.min(
       this.limits.changesBurst,
-      this.level +
-        ((this.nowMs - this.levelMs) / 1000) * this.limits.changesPerS,
+      this.availableChanges +
+        ((this.nowMs - this.availableChangesAtMs) / 1000) *
+          this.limits.changesPerS,
     );
-    this.levelMs = this.nowMs;
-    if (this.level < Math.min(changes, this.limits.changesBurst)) return false;
-    this.level -= changes;
+    this.availableChangesAtMs = this.nowMs;
+    if (this.availableChanges < Math.min(changes, this.limits.changesBurst))
+      return false;
+    this.availableChanges -= changes;
     return true;
   }
-  breaker(url: string): Breaker {
+  breaker(url: string): CircuitBreaker {
     const origin = URL.canParse(url) ? new URL(url).origin : url;
-    let b = this.breakers.get(origin);
-    if (!b)
+    let breaker = this.breakers.get(origin);
+    if (!breaker)
       this.breakers.set(
         origin,
-        (b = new Breaker(
+        (breaker = new CircuitBreaker(
           this.limits.breakerAfter,
           this.limits.breakerPause,
           this.random,
         )),
       );
-    return b;
+    return breaker;
   }
   private get mayAct(): boolean {
     return (
       this.storeLease !== null &&
-      this.nowMs < this.leadershipLeaseUntilMs - MARGIN_MS
+      this.nowMs < this.leadershipLeaseUntilMs - LEASE_MARGIN_MS
     );
   }
-  mayLaunch(): boolean {
-    return this.mayAct && this.flights.size < this.limits.inFlight;
+  mayStartAttempt(): boolean {
+    return this.mayAct && this.deliveryByAttempt.size < this.limits.inFlight;
   }
-  launch(d: Delivery, launch: AttemptRequest): number {
-    const attempt = ++this.attempts;
-    this.flights.set(attempt, d);
-    this.effects.push({ type: "attempt", attempt, webhook: d.name, launch });
+  startAttempt(delivery: Delivery, request: AttemptRequest): number {
+    const attemptId = ++this.lastAttemptId;
+    this.deliveryByAttempt.set(attemptId, delivery);
+    this.effects.push({
+      type: "attempt",
+      attemptId,
+      webhook: delivery.name,
+      request,
+    });
     this.log("webhook delivery attempt", {
-      webhook: d.name,
-      job: launch.end.id,
-      attempt: launch.attempt,
-      reason: launch.reason,
+      webhook: delivery.name,
+      job: request.end.id,
+      attempt: request.attempt,
+      reason: request.reason,
     });
-    return attempt;
+    return attemptId;
   }
-  abort(attempt: number): void {
-    this.effects.push({ type: "abort", attempt });
+  abortAttempt(attemptId: number): void {
+    this.effects.push({ type: "abort", attemptId });
   }
-  settled(
+  notificationSettled(
     webhook: string,
-    o: {
+    settlement: {
       outcome: "delivered" | "dead";
       end: { id: string; at: number };
       attempts: number;
@@ -286,243 +305,288 @@
     this.effects.push({
       type: "settled",
       webhook,
-      outcome: o.outcome,
-      attempts: o.attempts,
-      tookMs: Math.max(0, this.wallMs - o.end.at),
+      outcome: settlement.outcome,
+      attempts: settlement.attempts,
+      tookMs: Math.max(0, this.wallMs - settlement.end.at),
     });
-    if (o.outcome === "dead")
+    if (settlement.outcome === "dead")
       this.log("webhook notification given up", {
         webhook: webhook,
-        job: o.end.id,
-        attempts: o.attempts,
+        job: settlement.end.id,
+        attempts: settlement.attempts,
       });
   }
   log<E extends LogEvent>(event: E, fields: LogEventFields[E]): void {
     this.effects.push({ type: "log", ...logEntry(event, fields) });
   }
-  ended(name: string): void {
-    const s = this.subscriptions.get(name);
+  endSubscription(name: string): void {
+    const subscription = this.subscriptions.get(name);
     const lane = laneOf(name);
-    const token = this.tokenOf(lane);
+    const token = this.laneToken(lane);
     if (
-      !s ||
+      !subscription ||
       token === null ||
-      s.value.state === "ended" ||
-      this.writing.has(`sub ${name}`)
+      subscription.value.state === "ended" ||
+      this.commitsInFlight.has(`sub ${name}`)
     )
       return;
     this.log("webhook receiver is gone", { webhook: name });
-    this.put(
+    this.commitOnce(
       `sub ${name}`,
       [
         { key: laneOwnerKey(lane), version: token },
-        { key: subscriptionKey(name), version: s.version },
+        { key: subscriptionKey(name), version: subscription.version },
       ],
       [
         {
           op: "put",
           key: subscriptionKey(name),
-          value: writeSubscription({ ...s.value, state: "ended" }),
+          value: writeSubscription({ ...subscription.value, state: "ended" }),
         },
       ],
     );
   }
 
-  // ---- what is read --------------------------------------------------------------------------------------
+  // ---- reading records ---------------------------------------------------------------------------------
 
-  private seen(from: number, to: number, changes: readonly Change[]): void {
-    const { unnamed } = this.feed;
+  private onStoreChanges(
+    from: number,
+    to: number,
+    changes: readonly Change[],
+  ): void {
+    const { unattributedEnds: countBefore } = this.feed;
     this.feed.push(from, to, changes);
-    if (this.feed.unnamed > unnamed)
+    if (this.feed.unattributedEnds > countBefore)
       this.log("jobs ended without webhook notification", {
-        jobs: this.feed.unnamed - unnamed,
+        jobs: this.feed.unattributedEnds - countBefore,
       });
     if (this.listing) {
-      this.backlog.push({ from, to, changes });
+      this.changesWhileListing.push({ from, to, changes });
       return;
     }
-    this.follow(from, to, changes);
+    this.applyChanges(from, to, changes);
   }
-  private follow(from: number, to: number, changes: readonly Change[]): void {
-    // Not read yet, or a gap: everything is read anew.
-    if (this.epoch < 0 || from > this.epoch) {
-      this.epoch = -1;
+  private applyChanges(
+    from: number,
+    to: number,
+    changes: readonly Change[],
+  ): void {
+    // The records have not been read, or changes are missing: all are read again.
+    if (this.revision < 0 || from > this.revision) {
+      this.revision = -1;
       return;
     }
-    for (const c of changes)
-      if (c.version > this.epoch && c.key.startsWith(WEBHOOKS_LIVE_PREFIX))
-        this.note(c.key, c.op === "put" ? c.value : undefined, c.version);
-    this.epoch = Math.max(this.epoch, to);
+    for (const change of changes)
+      if (
+        change.version > this.revision &&
+        change.key.startsWith(WEBHOOKS_LIVE_PREFIX)
+      )
+        this.applyRecord(
+          change.key,
+          change.op === "put" ? change.value : undefined,
+          change.version,
+        );
+    this.revision = Math.max(this.revision, to);
   }
-  private list(
+  private readRecords(
     after = "",
     items: Item[] = [],
-    epoch: number | null = null,
+    firstPageRevision: number | null = null,
   ): void {
     this.listing = true;
-    this.state(
+    this.callStore(
       { op: "list", prefix: WEBHOOKS_LIVE_PREFIX, after },
-      (r) => {
-        if (r.is !== "items") {
+      (reply) => {
+        if (reply.is !== "items") {
           this.listing = false;
-          this.backlog = [];
-          this.listAgainMs = this.nowMs + AGAIN_MS;
+          this.changesWhileListing = [];
+          this.listRetryAtMs = this.nowMs + RETRY_MS;
           return;
         }
-        const all = [...items, ...r.items];
-        // Pages are of different revisions: what changed after the first is read again with the changes after it.
-        const first = epoch ?? r.epoch;
-        const last = r.items.at(-1);
-        if (r.more && last) return this.list(last.key, all, first);
+        const all = [...items, ...reply.items];
+        // Pages are read at different revisions. Records that changed after the first page was read are skipped below and come
+        // with the changes.
+        const firstRevision = firstPageRevision ?? reply.epoch;
+        const last = reply.items.at(-1);
+        if (reply.more && last)
+          return this.readRecords(last.key, all, firstRevision);
         this.listing = false;
-        for (const m of [
+        for (const records of [
           this.subscriptions,
           this.progressRecords,
           this.laneOwners,
           this.presences,
         ])
-          m.clear();
+          records.clear();
         this.settledUpTo = { value: {}, version: 0 };
-        for (const i of all)
-          if (i.version <= first) this.note(i.key, i.value, i.version);
-        // What changed between the pages comes with the changes after the first; what was not there in its own page any more was deleted after it.
-        this.epoch = first;
-        const backlog = this.backlog;
-        this.backlog = [];
-        for (const b of backlog)
-          if (this.epoch >= 0) this.follow(b.from, b.to, b.changes);
+        for (const item of all)
+          if (item.version <= firstRevision)
+            this.applyRecord(item.key, item.value, item.version);
+        // The changes after the first page include all that changed between pages, also deletions of records that are in no page.
+        this.revision = firstRevision;
+        const missed = this.changesWhileListing;
+        this.changesWhileListing = [];
+        for (const batch of missed)
+          if (this.revision >= 0)
+            this.applyChanges(batch.from, batch.to, batch.changes);
       },
       CallPriority.Leader,
     );
   }
-  /** `undefined`: deleted. */
-  private note(key: string, value: unknown, version: number): void {
+  /** Updates the copy of a record. `value` is undefined if the record was deleted. */
+  private applyRecord(key: string, value: unknown, version: number): void {
     const [kind, ...rest] = key.slice(WEBHOOKS_LIVE_PREFIX.length).split("/");
     const name = rest.join("/");
-    const keep = <K, T>(m: Map<K, Kept<T>>, k: K, v: T | null): void => {
-      if (v === null) m.delete(k);
-      else m.set(k, { value: v, version });
+    const update = <K, T>(
+      records: Map<K, Versioned<T>>,
+      recordKey: K,
+      record: T | null,
+    ): void => {
+      if (record === null) records.delete(recordKey);
+      else records.set(recordKey, { value: record, version });
     };
-    const gone = value === undefined;
+    const deleted = value === undefined;
     if (kind === "sub")
-      keep(this.subscriptions, name, gone ? null : readSubscription(value));
+      update(
+        this.subscriptions,
+        name,
+        deleted ? null : readSubscription(value),
+      );
     else if (kind === "at")
-      keep(this.progressRecords, name, gone ? null : value);
+      update(this.progressRecords, name, deleted ? null : value);
     else if (kind === "own")
-      keep(this.laneOwners, Number(name), gone ? null : readLaneOwner(value));
+      update(
+        this.laneOwners,
+        Number(name),
+        deleted ? null : readLaneOwner(value),
+      );
     else if (kind === "here")
-      keep(this.presences, name, gone ? null : readPresence(value));
+      update(this.presences, name, deleted ? null : readPresence(value));
     else if (kind === "upto")
       this.settledUpTo = {
-        value: gone ? {} : readSettledUpTo(value),
-        version: gone ? 0 : version,
+        value: deleted ? {} : readSettledUpTo(value),
+        version: deleted ? 0 : version,
       };
   }
 
-  // ---- lanes ---------------------------------------------------------------------------------------------
+  // ---- lanes -------------------------------------------------------------------------------------------
 
-  private tokenOf(lane: number): number | null {
-    const o = this.laneOwners.get(lane);
-    return o && o.value.owner === this.label && o.value.hold === this.storeLease
-      ? o.version
+  private laneToken(lane: number): number | null {
+    const laneOwner = this.laneOwners.get(lane);
+    return laneOwner &&
+      laneOwner.value.owner === this.label &&
+      laneOwner.value.hold === this.storeLease
+      ? laneOwner.version
       : null;
   }
 
-  /** One commit under a name at a time; what it changed is seen with the changes. */
-  private put(name: string, conditions: Condition[], writes: Write[]): void {
+  /** Sends at most one commit per name at a time. Its effect becomes visible with the changes that are read. */
+  private commitOnce(
+    name: string,
+    conditions: Condition[],
+    writes: Write[],
+  ): void {
     if (
-      this.writing.has(name) ||
-      this.nowMs < (this.againMs.get(name) ?? -Infinity)
+      this.commitsInFlight.has(name) ||
+      this.nowMs < (this.commitRetryAtMs.get(name) ?? -Infinity)
     )
       return;
-    this.writing.add(name);
-    this.state(
+    this.commitsInFlight.add(name);
+    this.callStore(
       { op: "commit", conditions, writes },
-      (r) => {
-        this.writing.delete(name);
-        if (r.is !== "committed") this.againMs.set(name, this.nowMs + AGAIN_MS);
-        // Until the change is seen the old version would be written again.
-        else this.againMs.set(name, this.nowMs + AGAIN_MS / 4);
+      (reply) => {
+        this.commitsInFlight.delete(name);
+        if (reply.is !== "committed")
+          this.commitRetryAtMs.set(name, this.nowMs + RETRY_MS);
+        // Until the change is read, the commit would be sent again with the old version.
+        else this.commitRetryAtMs.set(name, this.nowMs + RETRY_MS / 4);
       },
       CallPriority.Leader,
     );
   }
 
-  private act(): void {
-    for (const d of this.deliveries.values()) d.retryDue();
-    if (this.epoch < 0) {
-      if (!this.listing && this.nowMs >= this.listAgainMs) this.list();
+  private advance(): void {
+    for (const delivery of this.deliveries.values()) delivery.retryIfDue();
+    if (this.revision < 0) {
+      if (!this.listing && this.nowMs >= this.listRetryAtMs) this.readRecords();
       return;
     }
     if (!this.mayAct) {
-      for (const d of this.deliveries.values()) d.abort();
+      for (const delivery of this.deliveries.values()) delivery.abort();
       return;
     }
-    const hold = this.storeLease!;
-    const here = this.presences.get(this.label);
-    if (here?.value.hold !== hold)
-      this.put(
+    const storeLease = this.storeLease!;
+    const ownPresence = this.presences.get(this.label);
+    if (ownPresence?.value.hold !== storeLease)
+      this.commitOnce(
         "here",
-        [{ key: presenceKey(this.label), version: here?.version ?? 0 }],
-        [{ op: "put", key: presenceKey(this.label), value: { hold }, hold }],
+        [{ key: presenceKey(this.label), version: ownPresence?.version ?? 0 }],
+        [
+          {
+            op: "put",
+            key: presenceKey(this.label),
+            value: { hold: storeLease },
+            hold: storeLease,
+          },
+        ],
       );
     const present = [...this.presences.keys()].sort();
-    if (present.join() !== this.present) {
-      this.present = present.join();
-      this.presentSinceMs = this.nowMs;
+    if (present.join() !== this.presentLabels) {
+      this.presentLabels = present.join();
+      this.presentLabelsSinceMs = this.nowMs;
     }
     const byLane = new Map<number, string[]>();
     for (const name of this.progressRecords.keys())
       byLane.set(laneOf(name), [...(byLane.get(laneOf(name)) ?? []), name]);
     for (let lane = 0; lane < LANE_COUNT; lane++)
-      this.keepLane(lane, byLane.get(lane) ?? [], present, hold);
-    this.deliver(present);
-    this.writeUpto(byLane);
+      this.manageLane(lane, byLane.get(lane) ?? [], present, storeLease);
+    this.advanceDeliveries(present);
+    this.writeSettledUpTo(byLane);
   }
 
-  private keepLane(
+  private manageLane(
     lane: number,
     names: readonly string[],
     present: readonly string[],
-    hold: number,
+    storeLease: number,
   ): void {
-    const own = this.laneOwners.get(lane);
-    const token = this.tokenOf(lane);
-    const settled =
-      this.nowMs - this.presentSinceMs >= SETTLED_MS &&
+    const laneOwner = this.laneOwners.get(lane);
+    const token = this.laneToken(lane);
+    const presenceStable =
+      this.nowMs - this.presentLabelsSinceMs >= PRESENCE_STABLE_MS &&
       present.includes(this.label);
-    const mine = chosenController(lane, present) === this.label;
+    const chosenHere = chosenController(lane, present) === this.label;
     for (const name of names)
       if (
         this.deliveries.has(name) &&
         this.deliveries.get(name)!.token !== token
       )
-        this.drop(name);
-    const take = (version: number): void =>
-      this.put(
+        this.dropDelivery(name);
+    const takeLane = (version: number): void =>
+      this.commitOnce(
         `lane ${lane}`,
         [{ key: laneOwnerKey(lane), version }],
         [
           {
             op: "put",
             key: laneOwnerKey(lane),
-            value: { owner: this.label, hold },
-            hold,
+            value: { owner: this.label, hold: storeLease },
+            hold: storeLease,
           },
         ],
       );
     if (token === null) {
-      if (names.length === 0 || !settled) return;
-      // Absent: nobody's. Left by this controller before it was started again: nobody else acts on it.
-      if (mine && (!own || own.value.owner === this.label))
-        take(own?.version ?? 0);
+      if (names.length === 0 || !presenceStable) return;
+      // A lane without an owner record is free, as is one that this controller owned under an earlier store lease.
+      if (chosenHere && (!laneOwner || laneOwner.value.owner === this.label))
+        takeLane(laneOwner?.version ?? 0);
       return;
     }
-    if (settled && !mine) {
-      // Invariant (nothing in flight twice): given up when nothing is in flight, and what was learnt is written.
-      if (names.every((n) => this.deliveries.get(n)?.quiet !== false)) {
-        for (const n of names) this.drop(n);
-        this.put(
+    if (presenceStable && !chosenHere) {
+      // Invariant (nothing in flight twice): a lane is given up only when no attempt is in flight and all results are written.
+      if (names.every((n) => this.deliveries.get(n)?.idle !== false)) {
+        for (const n of names) this.dropDelivery(n);
+        this.commitOnce(
           `lane ${lane}`,
           [{ key: laneOwnerKey(lane), version: token }],
           [{ op: "delete", key: laneOwnerKey(lane) }],
@@ -531,18 +595,18 @@
       return;
     }
     for (const name of names)
-      if (!this.deliveries.has(name)) this.begin(name, lane, token);
+      if (!this.deliveries.has(name)) this.startDelivery(name, lane, token);
   }
 
   /**
-   * The records are as new as the lane's token, and every commit of the former owner depended on what that token replaced:
-   * what they name is all that it may have sent.
+   * The progress record is at least as new as the lane's token, and every commit of the former owner was conditional on the
+   * token that this one replaced. So the record names every notification that the former owner may have sent.
    */
-  private begin(name: string, lane: number, token: number): void {
-    const kept = this.progressRecords.get(name)!;
-    const at = readProgress(kept.value);
-    if (!at) return;
-    const upto = this.settledUpTo.value[lane] ?? 0;
+  private startDelivery(name: string, lane: number, token: number): void {
+    const stored = this.progressRecords.get(name)!;
+    const progress = readProgress(stored.value);
+    if (!progress) return;
+    const laneSettledUpTo = this.settledUpTo.value[lane] ?? 0;
     this.deliveries.set(
       name,
       new Delivery(
@@ -551,54 +615,63 @@
         token,
         { key: laneOwnerKey(lane), version: token },
         () => this.subscriptions.get(name)?.value ?? null,
-        kept.version,
-        at,
-        upto,
+        stored.version,
+        progress,
+        laneSettledUpTo,
       ),
     );
   }
-  private drop(name: string): void {
+  private dropDelivery(name: string): void {
     this.deliveries.get(name)?.stop();
     this.deliveries.delete(name);
   }
-  private dropAll(): void {
-    for (const name of [...this.deliveries.keys()]) this.drop(name);
+  private dropAllDeliveries(): void {
+    for (const name of [...this.deliveries.keys()]) this.dropDelivery(name);
   }
 
-  private deliver(present: readonly string[]): void {
-    // Who wrote longest ago comes first with what there is of changes: by turns of the steps alone some waited ten seconds.
-    for (const [name, d] of [...this.deliveries].sort(
-      ([, x], [, y]) => x.wroteMs - y.wroteMs,
+  private advanceDeliveries(present: readonly string[]): void {
+    // The delivery that wrote longest ago gets the available changes first. Taking turns by step let some wait ten seconds.
+    for (const [name, delivery] of [...this.deliveries].sort(
+      ([, x], [, y]) => x.lastCommitMs - y.lastCommitMs,
     )) {
-      const at = this.progressRecords.get(name);
-      if (d.foreign || !at) this.drop(name);
-      else d.act(chosenController(laneOf(name), present) === this.label);
+      const progress = this.progressRecords.get(name);
+      if (delivery.outdated || !progress) this.dropDelivery(name);
+      else
+        delivery.advance(
+          chosenController(laneOf(name), present) === this.label,
+        );
     }
   }
 
-  /** Up to where each lane is settled: a subscription that nothing ends for needs no writes of its own. */
-  private writeUpto(byLane: ReadonlyMap<number, readonly string[]>): void {
+  /** Writes up to where each lane is settled, so that subscriptions without matching ends need no writes of their own. */
+  private writeSettledUpTo(
+    byLane: ReadonlyMap<number, readonly string[]>,
+  ): void {
     const next: Record<string, number> = {};
     const conditions: Condition[] = [
       { key: SETTLED_UP_TO_KEY, version: this.settledUpTo.version },
     ];
-    let behind = 0;
+    let maxAdvance = 0;
     for (const [lane, names] of byLane) {
-      const token = this.tokenOf(lane);
+      const token = this.laneToken(lane);
       if (token === null || !names.every((n) => this.deliveries.has(n)))
         continue;
-      const to = Math.min(
-        ...names.map((n) => this.deliveries.get(n)!.settledTo),
+      const settledUpTo = Math.min(
+        ...names.map((n) => this.deliveries.get(n)!.settledUpTo),
       );
-      const was = this.settledUpTo.value[lane] ?? 0;
-      if (to <= was) continue;
-      next[lane] = to;
+      const recordedUpTo = this.settledUpTo.value[lane] ?? 0;
+      if (settledUpTo <= recordedUpTo) continue;
+      next[lane] = settledUpTo;
       conditions.push({ key: laneOwnerKey(lane), version: token });
-      behind = Math.max(behind, to - was);
+      maxAdvance = Math.max(maxAdvance, settledUpTo - recordedUpTo);
     }
-    if (behind < this.limits.settleEvery || this.writing.has("upto")) return;
+    if (
+      maxAdvance < this.limits.settleEveryRevisions ||
+      this.commitsInFlight.has("upto")
+    )
+      return;
     if (!this.mayWrite(1)) return;
-    this.put("upto", conditions, [
+    this.commitOnce("upto", conditions, [
       {
         op: "put",
         key: SETTLED_UP_TO_KEY,
@@ -607,21 +680,26 @@
     ]);
   }
 
-  // ---- figures -------------------------------------------------------------------------------------------
+  // ---- figures -----------------------------------------------------------------------------------------
 
-  /** What this controller knows of a subscription's deliveries; null: another one sends for it. */
+  /** Counts of a subscription's deliveries; null if another controller delivers for it. */
   figuresOf(name: string): object | null {
-    const d = this.deliveries.get(name);
-    if (!d) return null;
-    const b = d.behind;
-    const sub = this.subscriptions.get(name)?.value;
+    const delivery = this.deliveries.get(name);
+    if (!delivery) return null;
+    const counts = delivery.pendingCounts;
+    const subscription = this.subscriptions.get(name)?.value;
     return {
-      window: b.window,
-      batches: b.batches,
-      fresh: b.fresh,
-      deadBatches: b.dead,
-      oldestAt: b.oldestAt === null ? null : new Date(b.oldestAt).toISOString(),
-      receiver: sub ? this.breaker(sub.url).state(this.nowMs) : "closed",
+      window: counts.window,
+      batches: counts.batches,
+      fresh: counts.fresh,
+      deadBatches: counts.dead,
+      oldestAt:
+        counts.oldestAt === null
+          ? null
+          : new Date(counts.oldestAt).toISOString(),
+      receiver: subscription
+        ? this.breaker(subscription.url).state(this.nowMs)
+        : "closed",
     };
   }
   get figures(): {
@@ -633,24 +711,28 @@
     oldestAt: number | null;
     receivers: Record<BreakerState, number>;
   } {
-    const f = {
+    const totals = {
       owned: this.deliveries.size,
-      inFlight: this.flights.size,
+      inFlight: this.deliveryByAttempt.size,
       window: 0,
       batches: 0,
       deadBatches: 0,
       oldestAt: null as number | null,
       receivers: { closed: 0, open: 0, "half-open": 0 },
     };
-    for (const d of this.deliveries.values()) {
-      const b = d.behind;
-      f.window += b.window;
-      f.batches += b.batches;
-      f.deadBatches += b.dead;
-      if (b.oldestAt !== null)
-        f.oldestAt = Math.min(f.oldestAt ?? Infinity, b.oldestAt);
+    for (const delivery of this.deliveries.values()) {
+      const counts = delivery.pendingCounts;
+      totals.window += counts.window;
+      totals.batches += counts.batches;
+      totals.deadBatches += counts.dead;
+      if (counts.oldestAt !== null)
+        totals.oldestAt = Math.min(
+          totals.oldestAt ?? Infinity,
+          counts.oldestAt,
+        );
     }
-    for (const b of this.breakers.values()) f.receivers[b.state(this.nowMs)]++;
-    return f;
+    for (const breaker of this.breakers.values())
+      totals.receivers[breaker.state(this.nowMs)]++;
+    return totals;
   }
 }
--- a/src/webhooks/webhook-sender.ts
+++ b/src/webhooks/webhook-sender.ts
@@ -11,21 +11,21 @@
 
 export interface SenderSettings {
   networks: AllowedNetworks;
-  /** By id. */
+  /** Signing keys by id. */
   keys: ReadonlyMap<string, Uint8Array>;
   allowHttp: boolean;
-  /** From the start of an attempt to its end, connecting and answer included. */
+  /** Time limit of an attempt, from connecting to the end of the answer. */
   deadlineMs: number;
   maxSockets: number;
-  /** Of an answer, this is read and no more. */
+  /** At most about this much of an answer's body is read. */
   maxAnswerBytes: number;
-  /** Certificates to trust beside the usual ones, PEM. */
+  /** PEM certificates to trust in addition to Node's root certificates; null: none. */
   ca: string | null;
   agent: string;
 }
 
 const MAX_RETRY_AFTER_MS = 86_400_000;
-/** Seconds, or a date. */
+/** Parses a Retry-After header, which holds seconds or a date. */
 function retryAfterMs(text: string | undefined, wallMs: number): number | null {
   if (text === undefined) return null;
   const ms = /^\d{1,9}$/.test(text)
@@ -36,194 +36,204 @@
     : null;
 }
 
-function failureReason(
+function failureResult(
   e: NodeJS.ErrnoException,
   connected: boolean,
 ): AttemptResult {
   const code = e.code ?? "";
-  if (e instanceof BlockedAddressError) return { is: "failed", why: "blocked" };
+  if (e instanceof BlockedAddressError)
+    return { is: "failed", reason: "blocked" };
   if (
     /CERT|SSL|TLS|ALTNAME|SELF_SIGNED|ERR_TLS|UNABLE_TO_(GET|VERIFY)/.test(code)
   )
-    return { is: "failed", why: "tls" };
+    return { is: "failed", reason: "tls" };
   if (code === "ENOTFOUND" || code === "EAI_AGAIN")
-    return { is: "failed", why: "name" };
-  return { is: "failed", why: connected ? "reset" : "refused" };
+    return { is: "failed", reason: "name" };
+  return { is: "failed", reason: connected ? "reset" : "refused" };
 }
 
-/** Makes attempts: one HTTP request each, within bounds, to an address that was checked. */
+/** Carries out attempts: HTTP requests, limited in time and size, to addresses that are checked. */
 export class WebhookSender {
-  private readonly plain: http.Agent;
-  private readonly secure: https.Agent;
-  private readonly flights = new Map<number, () => void>();
+  private readonly httpAgent: http.Agent;
+  private readonly httpsAgent: https.Agent;
+  private readonly abortByAttempt = new Map<number, () => void>();
 
-  constructor(private readonly s: SenderSettings) {
+  constructor(private readonly settings: SenderSettings) {
     const options = {
       keepAlive: true,
-      maxTotalSockets: s.maxSockets,
-      maxFreeSockets: Math.ceil(s.maxSockets / 4),
-      timeout: s.deadlineMs,
-      lookup: s.networks.lookup(),
+      maxTotalSockets: settings.maxSockets,
+      maxFreeSockets: Math.ceil(settings.maxSockets / 4),
+      timeout: settings.deadlineMs,
+      lookup: settings.networks.lookup(),
     };
-    this.plain = new http.Agent(options);
-    // No sessions are resumed: a certificate that has expired since would not be looked at.
-    this.secure = new https.Agent({
+    this.httpAgent = new http.Agent(options);
+    // TLS sessions are not resumed: a certificate that has expired in the meantime would not be noticed.
+    this.httpsAgent = new https.Agent({
       ...options,
       maxCachedSessions: 0,
-      ...(s.ca === null ? {} : { ca: [...rootCertificates, s.ca] }),
+      ...(settings.ca === null
+        ? {}
+        : { ca: [...rootCertificates, settings.ca] }),
     });
   }
 
-  /** Why a URL can't be sent to; null: it can, as far as can be said without resolving its name. */
-  refuses(text: string): string | null {
+  /** Why no notification can be sent to a URL; null if nothing speaks against it. Host names are not resolved here. */
+  urlProblem(text: string): string | null {
     if (!URL.canParse(text)) return "not a URL";
     const url = new URL(text);
     if (
       url.protocol !== "https:" &&
-      !(url.protocol === "http:" && this.s.allowHttp)
+      !(url.protocol === "http:" && this.settings.allowHttp)
     )
-      return this.s.allowHttp ? "https or http expected" : "https expected";
+      return this.settings.allowHttp
+        ? "https or http expected"
+        : "https expected";
     if (url.username !== "" || url.password !== "")
       return "must not hold a user or password";
     if (url.hash !== "") return "must not hold a fragment";
     const host = url.hostname.replace(/^\[(.*)\]$/, "$1");
-    if (isIP(host) && !this.s.networks.allows(host))
+    if (isIP(host) && !this.settings.networks.allows(host))
       return `address ${host} is not in a network that hooks may connect to`;
     return null;
   }
 
   async attempt(
-    attempt: number,
+    attemptId: number,
     webhook: string,
-    l: AttemptRequest,
+    request: AttemptRequest,
   ): Promise<AttemptResult> {
-    const why = this.refuses(l.sub.url);
-    if (why !== null) return { is: "failed", why: "blocked" };
-    const keys = l.sub.keys
-      .map((k) => this.s.keys.get(k))
+    const problem = this.urlProblem(request.sub.url);
+    if (problem !== null) return { is: "failed", reason: "blocked" };
+    const keys = request.sub.keys
+      .map((k) => this.settings.keys.get(k))
       .filter((k) => k !== undefined);
-    if (keys.length === 0) return { is: "failed", why: "blocked" };
-    const endsMs = performance.now() + this.s.deadlineMs;
-    if (l.ask) {
-      const got = await this.request(
-        attempt,
+    if (keys.length === 0) return { is: "failed", reason: "blocked" };
+    const deadlineAtMs = performance.now() + this.settings.deadlineMs;
+    if (request.ask) {
+      const check = await this.sendRequest(
+        attemptId,
         "GET",
-        l.sub.url,
-        this.headers(webhook, l, keys, ""),
+        request.sub.url,
+        this.headers(webhook, request, keys, ""),
         null,
-        endsMs,
+        deadlineAtMs,
       );
-      if (got.is === "aborted") return got;
-      // Whatever else it says, it is not known to have it.
-      if (got.is === "answered" && got.status === 200) return { is: "had" };
-      if (got.is === "failed") return got;
+      if (check.is === "aborted") return check;
+      // Any other answer leaves it unknown whether the receiver has the notification, so that it is sent.
+      if (check.is === "answered" && check.status === 200) return { is: "had" };
+      if (check.is === "failed") return check;
     }
-    const body = messageBody(l.end);
-    return this.request(
-      attempt,
+    const body = messageBody(request.end);
+    return this.sendRequest(
+      attemptId,
       "POST",
-      l.sub.url,
+      request.sub.url,
       {
-        ...this.headers(webhook, l, keys, body),
+        ...this.headers(webhook, request, keys, body),
         "content-type": "application/json",
         "content-length": Buffer.byteLength(body),
       },
       body,
-      endsMs,
+      deadlineAtMs,
     );
   }
 
   private headers(
     webhook: string,
-    l: AttemptRequest,
+    request: AttemptRequest,
     keys: readonly Uint8Array[],
     body: string,
   ): http.OutgoingHttpHeaders {
-    const id = webhookId(webhook, l.end);
-    const now = Math.floor(Date.now() / 1000);
+    const id = webhookId(webhook, request.end);
+    const timestampS = Math.floor(Date.now() / 1000);
     return {
-      "user-agent": this.s.agent,
+      "user-agent": this.settings.agent,
       "webhook-id": id,
-      "webhook-timestamp": String(now),
+      "webhook-timestamp": String(timestampS),
       "webhook-signature": keys
-        .map((k) => signature(k, id, now, body))
+        .map((k) => signature(k, id, timestampS, body))
         .join(" "),
-      "linencove-attempt": String(l.attempt),
-      ...(l.reason === null ? {} : { "linencove-repeat": l.reason }),
+      "linencove-attempt": String(request.attempt),
+      ...(request.reason === null
+        ? {}
+        : { "linencove-repeat": request.reason }),
     };
   }
 
-  private request(
-    attempt: number,
+  private sendRequest(
+    attemptId: number,
     method: "GET" | "POST",
     url: string,
     headers: http.OutgoingHttpHeaders,
     body: string | null,
-    endsMs: number,
+    deadlineAtMs: number,
   ): Promise<AttemptResult> {
     return new Promise((resolve) => {
       const secure = url.startsWith("https:");
       let connected = false;
-      let over = false;
-      const end = (r: AttemptResult): void => {
-        if (over) return;
-        over = true;
+      let finished = false;
+      const finish = (result: AttemptResult): void => {
+        if (finished) return;
+        finished = true;
         clearTimeout(timer);
-        this.flights.delete(attempt);
-        resolve(r);
-        if (r.is !== "answered") req.destroy();
+        this.abortByAttempt.delete(attemptId);
+        resolve(result);
+        if (result.is !== "answered") clientRequest.destroy();
       };
       const timer = setTimeout(
-        () => end({ is: "failed", why: "timeout" }),
-        Math.max(1, endsMs - performance.now()),
+        () => finish({ is: "failed", reason: "timeout" }),
+        Math.max(1, deadlineAtMs - performance.now()),
       );
-      this.flights.set(attempt, () => end({ is: "aborted" }));
-      const req = (secure ? https : http).request(
+      this.abortByAttempt.set(attemptId, () => finish({ is: "aborted" }));
+      const clientRequest = (secure ? https : http).request(
         url,
-        { method, headers, agent: secure ? this.secure : this.plain },
-        (res) => {
-          const done = (): void =>
-            end({
+        { method, headers, agent: secure ? this.httpsAgent : this.httpAgent },
+        (response) => {
+          const finishWithStatus = (): void =>
+            finish({
               is: "answered",
-              status: res.statusCode ?? 0,
+              status: response.statusCode ?? 0,
               retryAfterMs: retryAfterMs(
-                res.headers["retry-after"],
+                response.headers["retry-after"],
                 Date.now(),
               ),
             });
-          let size = 0;
-          // The status has said what counts; the rest is read so that the connection can serve again, within bounds.
-          res.on("data", (d: Buffer) => {
-            size += d.length;
-            if (size > this.s.maxAnswerBytes) {
-              done();
-              req.destroy();
+          let bytesRead = 0;
+          // Only the status matters. The body is read, up to a limit, so that the connection can be reused.
+          response.on("data", (chunk: Buffer) => {
+            bytesRead += chunk.length;
+            if (bytesRead > this.settings.maxAnswerBytes) {
+              finishWithStatus();
+              clientRequest.destroy();
             }
           });
-          res.on("end", done);
-          res.on("error", done);
-          res.on("close", done);
+          response.on("end", finishWithStatus);
+          response.on("error", finishWithStatus);
+          response.on("close", finishWithStatus);
         },
       );
-      req.on("socket", (socket) => {
-        // Taken over from an earlier request: that one's address was checked.
+      clientRequest.on("socket", (socket) => {
+        // A reused connection: its address was checked when it was opened.
         if (!socket.connecting) {
           connected = true;
           return;
         }
         socket.once("connect", () => {
           connected = true;
-          const to = socket.remoteAddress;
-          if (to === undefined || !this.s.networks.allows(to))
-            end({ is: "failed", why: "blocked" });
+          const remoteAddress = socket.remoteAddress;
+          if (
+            remoteAddress === undefined ||
+            !this.settings.networks.allows(remoteAddress)
+          )
+            finish({ is: "failed", reason: "blocked" });
         });
       });
-      req.on("error", (e) => end(failureReason(e, connected)));
-      req.end(body ?? undefined);
+      clientRequest.on("error", (e) => finish(failureResult(e, connected)));
+      clientRequest.end(body ?? undefined);
     });
   }
 
-  abort(attempt: number): void {
-    this.flights.get(attempt)?.();
+  abort(attemptId: number): void {
+    this.abortByAttempt.get(attemptId)?.();
   }
 }
--- a/test/webhooks/delivery.test.ts
+++ b/test/webhooks/delivery.test.ts
@@ -6,136 +6,147 @@
 import { World } from "../simulation/world.js";
 import { calm, WebhookWorld, LIMITS, faults } from "./webhook-world.js";
 
-/** One seeded day: three receivers, injected faults of all kinds, a few hundred ends. */
-function day(
+/**
+ * Simulates 180 s with three receivers, injected faults of all kinds and a few hundred job ends. `wrong`: ids of jobs whose
+ * notification was lost, or sent to a receiver that did not subscribe to it.
+ */
+function simulateFaults(
   seed: number,
-  broken = false,
-): { w: WebhookWorld; left: string[] } {
-  // Every fourth day the log of changes is so short that subscriptions fall behind it.
-  const w = new WebhookWorld(
+  outboxAfterEnd = false,
+): { world: WebhookWorld; wrong: string[] } {
+  // With every fourth seed the change log is so short that subscriptions fall behind it.
+  const world = new WebhookWorld(
     seed,
     LIMITS,
     3,
     15,
     seed % 4 === 3 ? 120 : 10_000,
   );
-  w.run(3_000);
-  const all = w.add("all");
-  const red = w.add("red-only", {
+  world.run(3_000);
+  const allEnds = world.add("all");
+  const redDone = world.add("red-only", {
     crews: ["red"],
     outcomes: ["done"],
     ordered: true,
   });
-  const asked = w.add("asked", { ask: true });
-  const forMs = 180_000;
-  w.lossy = 0.02;
-  faults(w, forMs);
-  let id = 0;
-  for (let t = 0; t < forMs; t += w.rng.real(50, 1_200)) {
-    const n = w.rng.chance(0.05) ? w.rng.int(5, 40) : 1;
-    w.at(t, () => {
-      for (let k = 0; k < n; k++)
-        w.end(
-          `req-${String(++id).padStart(6, "0")}`,
-          w.rng.pick(["red", "blue"]),
-          w.rng.chance(0.8) ? "done" : "cancelled",
-          broken,
+  const asked = world.add("asked", { ask: true });
+  const durationMs = 180_000;
+  world.lossy = 0.02;
+  faults(world, durationMs);
+  let lastId = 0;
+  for (let atMs = 0; atMs < durationMs; atMs += world.rng.real(50, 1_200)) {
+    const count = world.rng.chance(0.05) ? world.rng.int(5, 40) : 1;
+    world.at(atMs, () => {
+      for (let k = 0; k < count; k++)
+        world.end(
+          `req-${String(++lastId).padStart(6, "0")}`,
+          world.rng.pick(["red", "blue"]),
+          world.rng.chance(0.8) ? "done" : "cancelled",
+          outboxAfterEnd,
         );
     });
   }
-  w.run(forMs);
-  calm(w);
+  world.run(durationMs);
+  calm(world);
   for (
-    let k = 0;
-    k < 60 && w.missing(all).length + w.missing(asked).length > 0;
-    k++
+    let round = 0;
+    round < 60 &&
+    world.missing(allEnds).length + world.missing(asked).length > 0;
+    round++
   )
-    w.run(20_000);
-  w.run(60_000);
-  const wantsRed = (e: { team: string; outcome: string }): boolean =>
+    world.run(20_000);
+  world.run(60_000);
+  const isRedDone = (e: { team: string; outcome: string }): boolean =>
     e.team === "red" && e.outcome === "done";
-  const left = [
-    ...w.missing(all),
-    ...w.missing(red, wantsRed),
-    ...w.missing(asked),
+  const wrong = [
+    ...world.missing(allEnds),
+    ...world.missing(redDone, isRedDone),
+    ...world.missing(asked),
   ];
-  return { w, left };
+  return { world, wrong };
 }
 
-test("seeded days: nothing is lost, one sender at a time, every repeat has a cause", () => {
+test("seeded faults: nothing is lost, one sender at a time, every repeat has a cause", () => {
   let repeats = 0;
   let sent = 0;
   for (let seed = 1; seed <= Number(process.env["HOOK_DAYS"] ?? 12); seed++) {
-    const { w, left } = day(seed);
-    assert.deepEqual(w.broken, [], `seed ${seed}`);
+    const { world, wrong } = simulateFaults(seed);
+    assert.deepEqual(world.broken, [], `seed ${seed}`);
     assert.deepEqual(
-      left,
+      wrong,
       [],
-      `seed ${seed}: lost, or sent without being asked for`,
+      `seed ${seed}: lost, or sent without a subscription`,
     );
-    for (const r of w.receivers.values()) {
-      sent += r.has.size;
-      repeats += r.calls.filter((c) => c.reason !== null).length;
+    for (const receiver of world.receivers.values()) {
+      sent += receiver.receivedCounts.size;
+      repeats += receiver.calls.filter((c) => c.reason !== null).length;
     }
-    // In order where that was asked for: the first arrival of each.
-    const red = w.receivers.get("http://r-red-only.example.org/in")!;
-    const arrived = [...red.has.keys()].map((id) => w.order.indexOf(id));
+    // The ordered subscription: first arrivals must be in the order of the ends.
+    const redDone = world.receivers.get("http://r-red-only.example.org/in")!;
+    const arrivalOrder = [...redDone.receivedCounts.keys()].map((id) =>
+      world.endOrder.indexOf(id),
+    );
     if (seed % 4 !== 3)
       assert.deepEqual(
-        arrived,
-        [...arrived].sort((a, b) => a - b),
+        arrivalOrder,
+        [...arrivalOrder].sort((a, b) => a - b),
         `seed ${seed}: out of order`,
       );
-    assert.equal(w.webhookRecords(), 0, `seed ${seed}: batches left behind`);
+    assert.equal(
+      world.batchCount(),
+      0,
+      `seed ${seed}: spool or dead-letter batches left behind`,
+    );
   }
   assert.ok(
     sent > 3_000 && repeats > 100,
-    `${sent} sent, ${repeats} repeats: too quiet a test`,
+    `${sent} sent, ${repeats} repeats: too few to test repeats`,
   );
 });
 
-test("an outbox that is written after the end, instead of with it, is detected", () => {
+test("an outbox written after the job's end, instead of in the same commit, is detected", () => {
   let lost = 0;
-  for (let seed = 1; seed <= 2; seed++) lost += day(seed, true).left.length;
+  for (let seed = 1; seed <= 2; seed++)
+    lost += simulateFaults(seed, true).wrong.length;
   assert.ok(lost > 0);
 });
 
-test("in each of the ways a job ends, its final record names what hooks need, in the commit that ends it", () => {
-  const w = new World(21, { ...DEFAULTS, tellEnds: true }, []);
-  submitWorkload(w, 150_000);
-  pipelines(w, 5_000, 150_000);
-  const ways = new Map<string, number>();
-  // As the changes come: nothing may be put right later.
-  const seen = new Set<string>();
-  for (let t = 0; t < 240_000; t += 500) {
-    w.run(t);
-    for (const [key, d] of w.state.data) {
-      if (!key.startsWith(FINAL_PREFIX) || seen.has(key)) continue;
-      seen.add(key);
+test("however a job ends, the commit that ends it writes a final record with all that webhooks need", () => {
+  const world = new World(21, { ...DEFAULTS, tellEnds: true }, []);
+  submitWorkload(world, 150_000);
+  pipelines(world, 5_000, 150_000);
+  const endings = new Map<string, number>();
+  // Each final record is checked when it first appears, so that a later correction does not count.
+  const checked = new Set<string>();
+  for (let untilMs = 0; untilMs < 240_000; untilMs += 500) {
+    world.run(untilMs);
+    for (const [key, record] of world.state.data) {
+      if (!key.startsWith(FINAL_PREFIX) || checked.has(key)) continue;
+      checked.add(key);
       const id = key.slice(FINAL_PREFIX.length);
-      const spec = w.specs.get(id)!;
-      const past = readFinal(d.value)!;
+      const spec = world.specs.get(id)!;
+      const final = readFinal(record.value)!;
       assert.deepEqual(
-        [past.end?.team, past.end?.class],
+        [final.end?.team, final.end?.class],
         [spec.team, spec.jobClass],
         id,
       );
-      const way =
-        past.status === "done"
+      const ending =
+        final.status === "done"
           ? "done"
-          : w.checker.asked.has(id)
+          : world.checker.asked.has(id)
             ? "withdrawn"
-            : (w.dependsOn.get(id)?.length ?? 0) > 0
+            : (world.dependsOn.get(id)?.length ?? 0) > 0
               ? "with one that it needs"
               : "other";
-      ways.set(way, (ways.get(way) ?? 0) + 1);
+      endings.set(ending, (endings.get(ending) ?? 0) + 1);
     }
   }
-  assert.deepEqual(w.checker.broken, []);
-  assert.deepEqual([...ways.keys()].sort(), [
+  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual([...endings.keys()].sort(), [
     "done",
     "with one that it needs",
     "withdrawn",
   ]);
-  assert.ok(seen.size > 60, `${seen.size} ends`);
+  assert.ok(checked.size > 60, `${checked.size} ends`);
 });
--- a/test/webhooks/processes.test.ts
+++ b/test/webhooks/processes.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { Deployment } from "./processes.js";
 
-test("a controller that runs is not started a second time", async () => {
+test("starting a controller that is running does not start a second process", async () => {
   const deployment = new Deployment(1);
   await deployment.start(1);
   try {
