--- a/test/webhooks/processes.ts
+++ b/test/webhooks/processes.ts
@@ -18,16 +18,17 @@
 import { Rng } from "../simulation/rng.js";
 import { Store } from "./store.js";
 
-/** Real controllers on loopback, against stand-ins for the state service, the cloud and the receivers of hooks. */
+/** Real controllers on loopback, with simulated state service, cloud and receiver of webhooks. */
 
-const portOf = (s: net.Server): number => (s.address() as AddressInfo).port;
-export const listen = (s: http.Server): Promise<http.Server> =>
-  new Promise((r) => s.listen(0, "127.0.0.1", () => r(s)));
+const portOf = (server: net.Server): number =>
+  (server.address() as AddressInfo).port;
+export const listen = (server: http.Server): Promise<http.Server> =>
+  new Promise((r) => server.listen(0, "127.0.0.1", () => r(server)));
 export const sleep = (ms: number): Promise<void> =>
   new Promise((r) => setTimeout(r, ms));
-async function bodyOf(req: http.IncomingMessage): Promise<string> {
+async function bodyOf(request: http.IncomingMessage): Promise<string> {
   let text = "";
-  for await (const d of req) text += String(d);
+  for await (const d of request) text += String(d);
   return text;
 }
 
@@ -36,7 +37,7 @@
   url: URL,
   body: Record<string, unknown>,
 ): StateCall | null {
-  const q = url.searchParams;
+  const query = url.searchParams;
   if (url.pathname === "/holds")
     return { op: "newHold", ttlMs: body["ttlMs"] as number };
   const touch = /^\/holds\/(\d+)\/touch$/.exec(url.pathname);
@@ -44,15 +45,15 @@
   if (url.pathname === "/changes")
     return {
       op: "changes",
-      prefix: q.get("under") ?? "",
-      since: Number(q.get("since")),
-      waitMs: Number(q.get("holdMs") ?? 0),
+      prefix: query.get("under") ?? "",
+      since: Number(query.get("since")),
+      waitMs: Number(query.get("holdMs") ?? 0),
     };
   if (url.pathname === "/keys")
     return {
       op: "list",
-      prefix: q.get("under") ?? "",
-      after: q.get("since") ?? "",
+      prefix: query.get("under") ?? "",
+      after: query.get("since") ?? "",
     };
   if (url.pathname === "/commit")
     return {
@@ -83,31 +84,38 @@
     ? { op: "get", key: url.pathname.slice(6) }
     : null;
 }
-function toAnswer(r: StateReply): [number, object] {
-  switch (r.is) {
+function toResponse(reply: StateReply): [number, object] {
+  switch (reply.is) {
     case "item":
-      return r.item
-        ? [200, { k: r.item.key, value: r.item.value, stamp: r.item.version }]
+      return reply.item
+        ? [
+            200,
+            {
+              k: reply.item.key,
+              value: reply.item.value,
+              stamp: reply.item.version,
+            },
+          ]
         : [404, { epoch: 0 }];
     case "items":
       return [
         200,
         {
-          items: r.items.map((i) => ({
+          items: reply.items.map((i) => ({
             k: i.key,
             value: i.value,
             stamp: i.version,
           })),
-          truncated: r.more,
-          epoch: r.epoch,
+          truncated: reply.more,
+          epoch: reply.epoch,
         },
       ];
     case "committed":
-      return [200, { epoch: r.epoch }];
+      return [200, { epoch: reply.epoch }];
     case "conflict":
       return [409, { failed: [], epoch: 0 }];
     case "hold":
-      return [200, { tenancy: r.hold }];
+      return [200, { tenancy: reply.hold }];
     case "touched":
       return [200, {}];
     case "gone":
@@ -116,8 +124,8 @@
       return [
         200,
         {
-          epoch: r.epoch,
-          log: r.changes.map((c) =>
+          epoch: reply.epoch,
+          log: reply.changes.map((c) =>
             c.op === "put"
               ? { put: c.key, value: c.value, stamp: c.version }
               : { delete: c.key, stamp: c.version },
@@ -126,10 +134,10 @@
       ];
     default:
       return [
-        r.is === "refused" && r.why === "429" ? 429 : 400,
+        reply.is === "refused" && reply.why === "429" ? 429 : 400,
         {
           error:
-            r.is === "refused" && r.why === STORE_LEASE_ENDED
+            reply.is === "refused" && reply.why === STORE_LEASE_ENDED
               ? STORE_LEASE_ENDED
               : "refused",
         },
@@ -137,7 +145,7 @@
   }
 }
 
-/** A certificate of `localhost` that is its own authority, PEM. */
+/** A self-signed certificate for `localhost`, PEM. The times are relative to now. */
 export async function certificate(
   fromMs: number,
   untilMs: number,
@@ -170,9 +178,16 @@
 }
 const DAY_MS = 86_400_000;
 
-export type Mood =
-  "well" | "silent" | "late" | "reset" | "dies" | "500" | "429" | "expired";
-export interface Call {
+export type ReceiverMode =
+  | "healthy"
+  | "silent"
+  | "late"
+  | "reset"
+  | "reset-after-receipt"
+  | "500"
+  | "429"
+  | "expired";
+export interface ReceivedCall {
   id: string;
   attempt: number;
   repeat: string | null;
@@ -184,32 +199,32 @@
 
 export class Deployment {
   readonly store: Store;
-  readonly calls: Call[] = [];
-  /** By webhook-id: when the receiver first had it. */
-  readonly has = new Map<string, number>();
-  /** What the controllers' logs say of attempts. */
-  readonly logged: {
+  readonly calls: ReceivedCall[] = [];
+  /** By webhook-id: when the receiver first accepted the notification. */
+  readonly received = new Map<string, number>();
+  /** Attempts according to the controllers' logs. */
+  readonly loggedAttempts: {
     webhook: string;
     job: string;
     attempt: number;
     reason: string | null;
   }[] = [];
   readonly logErrors: string[] = [];
-  private current: Mood = "well";
+  private currentMode: ReceiverMode = "healthy";
   private receiver: https.Server | null = null;
-  private valid = { cert: "", key: "" };
-  private expired = { cert: "", key: "" };
+  private validCertificate = { cert: "", key: "" };
+  private expiredCertificate = { cert: "", key: "" };
   readonly rng: Rng;
   readonly secret = `whsec_${randomBytes(32).toString("base64")}`;
   private readonly servers: http.Server[] = [];
   private nodes: {
     label: string;
     config: string;
-    client: number;
+    clientPort: number;
     child: ChildProcess | null;
   }[] = [];
-  private operator = "";
-  private timer: NodeJS.Timeout | null = null;
+  private operatorFile = "";
+  private expiryTimer: NodeJS.Timeout | null = null;
   url = "";
 
   constructor(
@@ -225,13 +240,13 @@
     });
   }
 
-  /** `teams`: their part of the platform's file. */
+  /** `webhookSettings`: more fields of `hooks` in the operators' file. `teams`: the teams in the platform's file. */
   async start(
-    n = 3,
-    webhooks = "",
+    controllers = 3,
+    webhookSettings = "",
     teams = '[[cluster.teams]]\nname = "red"\ncpus_max = 16.0\n',
   ): Promise<void> {
-    this.timer = setInterval(() => this.store.expire(), 100);
+    this.expiryTimer = setInterval(() => this.store.expireLeases(), 100);
     const state = await listen(
       http.createServer((req, res) => {
         void bodyOf(req).then((text) => {
@@ -241,18 +256,18 @@
             url,
             text ? (JSON.parse(text) as Record<string, unknown>) : {},
           );
-          const answer = (status: number, body: object): void =>
+          const respond = (status: number, body: object): void =>
             void res
               .writeHead(status, { "content-type": "application/json" })
               .end(JSON.stringify(body));
-          if (!call) return answer(400, { error: "malformed" });
+          if (!call) return respond(400, { error: "malformed" });
           this.store.handle(
             call,
-            (r) =>
-              answer(
-                ...(call.op === "touch" && r.is === "gone"
+            (reply) =>
+              respond(
+                ...(call.op === "touch" && reply.is === "gone"
                   ? ([404, {}] as [number, object])
-                  : toAnswer(r)),
+                  : toResponse(reply)),
               ),
             (ms, f) => setTimeout(f, ms),
           );
@@ -275,7 +290,10 @@
                     price: 1,
                     marketPrice: 0.5,
                     startupS: 5,
-                    yards: Array.from({ length: n }, (_, i) => `z${i}`),
+                    yards: Array.from(
+                      { length: controllers },
+                      (_, i) => `z${i}`,
+                    ),
                   },
                 ],
               }
@@ -289,60 +307,68 @@
           .end(JSON.stringify(body));
       }),
     );
-    this.valid = await certificate(-DAY_MS, DAY_MS);
-    this.expired = await certificate(-2 * DAY_MS, -DAY_MS);
+    this.validCertificate = await certificate(-DAY_MS, DAY_MS);
+    this.expiredCertificate = await certificate(-2 * DAY_MS, -DAY_MS);
     this.receiver = https.createServer(
-      this.valid,
+      this.validCertificate,
       (req, res) => void this.receive(req, res),
     );
     await listen(this.receiver);
     this.servers.push(state, cloud, this.receiver);
     this.url = `https://localhost:${portOf(this.receiver)}/in`;
     const dir = mkdtempSync(join(tmpdir(), "linencove-hooks-"));
-    const ca = join(dir, "ca.pem");
-    writeFileSync(ca, this.valid.cert + "\n" + this.expired.cert);
-    this.operator = join(dir, "hooks.textpb");
+    const caFile = join(dir, "ca.pem");
+    writeFileSync(
+      caFile,
+      this.validCertificate.cert + "\n" + this.expiredCertificate.cert,
+    );
+    this.operatorFile = join(dir, "hooks.textpb");
     writeFileSync(
-      this.operator,
-      `metrics: true\nhooks { key { id: "k1" variable: "HOOK_KEY" } allow: "127.0.0.0/8" allow: "::1" allow_http: true ca_file: "${ca}" deadline_s: 1 retry_base_s: 0.2 retry_most_s: 2 breaker_base_s: 0.2 breaker_most_s: 1 ${webhooks} }\n`,
+      this.operatorFile,
+      `metrics: true\nhooks { key { id: "k1" variable: "HOOK_KEY" } allow: "127.0.0.0/8" allow: "::1" allow_http: true ca_file: "${caFile}" deadline_s: 1 retry_base_s: 0.2 retry_most_s: 2 breaker_base_s: 0.2 breaker_most_s: 1 ${webhookSettings} }\n`,
     );
-    const ports = await Promise.all(Array.from({ length: 2 * n }, freePort));
-    const zones = Array.from({ length: n }, (_, i) => `z${i}`);
-    for (let i = 0; i < n; i++) {
+    const ports = await Promise.all(
+      Array.from({ length: 2 * controllers }, freePort),
+    );
+    const zones = Array.from({ length: controllers }, (_, i) => `z${i}`);
+    for (let i = 0; i < controllers; i++) {
       const config = join(dir, `n${i}.toml`);
       const peers = zones
         .map((z, k) =>
           k === i
             ? ""
-            : `[[peers]]\nlabel = "n${k}"\narea = "${z}"\naddress = "127.0.0.1:${ports[n + k]}"\n`,
+            : `[[peers]]\nlabel = "n${k}"\narea = "${z}"\naddress = "127.0.0.1:${ports[controllers + k]}"\n`,
         )
         .join("");
       writeFileSync(
         config,
-        `label = "n${i}"\narea = "z${i}"\nclient_listen = "127.0.0.1:${ports[i]}"\nmesh_addr = "127.0.0.1:${ports[n + i]}"\n${peers}[outside]\ncloud = "127.0.0.1:${portOf(cloud)}"\nstate = "127.0.0.1:${portOf(state)}"\n[cluster]\nzones = [${zones.map((z) => `"${z}"`).join(", ")}]\n${teams}[cluster.workers]\nreport_s = 0.5\nlease_s = 2.0\ngang_wait_s = 40.0\ngang_peer_s = 4.0\ncancel_s = 8.0\n[cluster.state]\nrps = 3000.0\nwrite_rps = ${this.changesPerS}.0\nvalue_kb = 8.0\ntxn_ops = 12\n[cluster.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n`,
+        `label = "n${i}"\narea = "z${i}"\nclient_listen = "127.0.0.1:${ports[i]}"\nmesh_addr = "127.0.0.1:${ports[controllers + i]}"\n${peers}[outside]\ncloud = "127.0.0.1:${portOf(cloud)}"\nstate = "127.0.0.1:${portOf(state)}"\n[cluster]\nzones = [${zones.map((z) => `"${z}"`).join(", ")}]\n${teams}[cluster.workers]\nreport_s = 0.5\nlease_s = 2.0\ngang_wait_s = 40.0\ngang_peer_s = 4.0\ncancel_s = 8.0\n[cluster.state]\nrps = 3000.0\nwrite_rps = ${this.changesPerS}.0\nvalue_kb = 8.0\ntxn_ops = 12\n[cluster.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n`,
       );
       this.nodes.push({
         label: `n${i}`,
         config,
-        client: ports[i]!,
+        clientPort: ports[i]!,
         child: null,
       });
     }
-    for (let i = 0; i < n; i++) this.up(i);
+    for (let i = 0; i < controllers; i++) this.up(i);
   }
 
-  get mood(): Mood {
-    return this.current;
+  get mode(): ReceiverMode {
+    return this.currentMode;
   }
-  set mood(to: Mood) {
-    if (this.receiver && (to === "expired") !== (this.current === "expired")) {
+  set mode(mode: ReceiverMode) {
+    if (
+      this.receiver &&
+      (mode === "expired") !== (this.currentMode === "expired")
+    ) {
       this.receiver.setSecureContext(
-        to === "expired" ? this.expired : this.valid,
+        mode === "expired" ? this.expiredCertificate : this.validCertificate,
       );
-      // Those that are open go on under the certificate that they were opened with.
+      // Open connections would continue with the certificate that they were opened with.
       this.receiver.closeAllConnections();
     }
-    this.current = to;
+    this.currentMode = mode;
   }
   get size(): number {
     return this.nodes.length;
@@ -353,7 +379,7 @@
   signal(i: number, signal: "SIGSTOP" | "SIGCONT"): void {
     this.nodes[i]!.child?.kill(signal);
   }
-  /** A request to one controller. */
+  /** Sends a request to one controller. */
   async reach(
     i: number,
     method: string,
@@ -361,7 +387,7 @@
     body: object,
   ): Promise<{ status: number; body: Record<string, unknown> }> {
     const res = await fetch(
-      `http://127.0.0.1:${this.nodes[i]!.client}${path}`,
+      `http://127.0.0.1:${this.nodes[i]!.clientPort}${path}`,
       {
         method,
         body: JSON.stringify(body),
@@ -377,13 +403,19 @@
         : {},
     };
   }
-  /** Starts a controller, unless it runs: of two processes of one controller, one would never be ended. */
+  /** Starts a controller unless it is running: of two processes for one controller, one would never be stopped. */
   up(i: number): void {
     if (this.isRunning(i)) return;
     const node = this.nodes[i]!;
     const child = spawn(
       process.execPath,
-      ["target/main.js", "--config", node.config, "--operator", this.operator],
+      [
+        "target/main.js",
+        "--config",
+        node.config,
+        "--operator",
+        this.operatorFile,
+      ],
       {
         stdio: ["ignore", "ignore", "pipe"],
         env: { ...process.env, LOG_LEVEL: "debug", HOOK_KEY: this.secret },
@@ -393,7 +425,7 @@
     createInterface({ input: child.stderr }).on("line", (line) => {
       if (!line.startsWith("{")) return void this.logErrors.push(line);
       if (line.includes('"webhook delivery attempt"'))
-        this.logged.push(JSON.parse(line) as never);
+        this.loggedAttempts.push(JSON.parse(line) as never);
       else if (line.includes('"level":50')) this.logErrors.push(line);
     });
   }
@@ -406,9 +438,9 @@
   async kill(i: number): Promise<void> {
     const { child } = this.nodes[i]!;
     if (!child || !this.isRunning(i)) return;
-    const over = new Promise((r) => child.once("close", r));
+    const closed = new Promise((r) => child.once("close", r));
     child.kill("SIGKILL");
-    await over;
+    await closed;
   }
   async stop(): Promise<void> {
     for (let i = 0; i < this.nodes.length; i++) await this.kill(i);
@@ -416,7 +448,7 @@
       s.close();
       s.closeAllConnections();
     }
-    if (this.timer) clearInterval(this.timer);
+    if (this.expiryTimer) clearInterval(this.expiryTimer);
   }
 
   private async receive(
@@ -426,7 +458,7 @@
     const body = await bodyOf(req).catch(() => "");
     const id = String(req.headers["webhook-id"]);
     if (req.method === "GET")
-      return void res.writeHead(this.has.has(id) ? 200 : 404).end();
+      return void res.writeHead(this.received.has(id) ? 200 : 404).end();
     this.calls.push({
       id,
       attempt: Number(req.headers["linencove-attempt"]),
@@ -436,24 +468,24 @@
       body,
       atMs: performance.now(),
     });
-    const keep = (): void => {
-      if (!this.has.has(id)) this.has.set(id, performance.now());
+    const recordArrival = (): void => {
+      if (!this.received.has(id)) this.received.set(id, performance.now());
     };
-    switch (this.mood) {
-      case "well":
-        keep();
+    switch (this.mode) {
+      case "healthy":
+        recordArrival();
         return void res.writeHead(204).end();
       case "silent":
-        if (this.rng.chance(0.5)) keep();
+        if (this.rng.chance(0.5)) recordArrival();
         return;
       case "late":
-        keep();
+        recordArrival();
         await sleep(1_500);
         return void res.writeHead(204).end();
       case "reset":
         return void req.socket.destroy();
-      case "dies":
-        keep();
+      case "reset-after-receipt":
+        recordArrival();
         return void req.socket.destroy();
       case "500":
         return void res.writeHead(500).end("no");
@@ -464,7 +496,7 @@
     }
   }
 
-  /** The first answer that is none of "try again", from any controller. */
+  /** Sends a request to random controllers until one answers with a status other than 503. */
   async ask(
     method: string,
     path: string,
@@ -473,28 +505,32 @@
     for (let tries = 0; tries < 400; tries++) {
       const node = this.nodes[this.rng.int(0, this.nodes.length - 1)]!;
       try {
-        const r = await fetch(`http://127.0.0.1:${node.client}${path}`, {
-          method,
-          ...(body ? { body: JSON.stringify(body) } : {}),
-          signal: AbortSignal.timeout(3_000),
-        });
-        const raw = (await r.json()) as Record<string, unknown>;
-        if (r.status !== 503) return { status: r.status, body: raw };
+        const response = await fetch(
+          `http://127.0.0.1:${node.clientPort}${path}`,
+          {
+            method,
+            ...(body ? { body: JSON.stringify(body) } : {}),
+            signal: AbortSignal.timeout(3_000),
+          },
+        );
+        const json = (await response.json()) as Record<string, unknown>;
+        if (response.status !== 503)
+          return { status: response.status, body: json };
       } catch {
-        // Killed, or not up yet.
+        // The controller was killed or has not started yet.
       }
       await sleep(25);
     }
     throw new Error(`no answer to ${method} ${path}`);
   }
-  async text(path: string): Promise<string> {
+  async getText(path: string): Promise<string> {
     return (
-      await fetch(`http://127.0.0.1:${this.nodes[0]!.client}${path}`)
+      await fetch(`http://127.0.0.1:${this.nodes[0]!.clientPort}${path}`)
     ).text();
   }
-  /** A job that ends: accepted, then cancelled. */
-  async end(n: number): Promise<string> {
-    const id = `req-${String(n).padStart(6, "0")}`;
+  /** Submits a job and cancels it; returns its id. */
+  async endJob(jobNumber: number): Promise<string> {
+    const id = `req-${String(jobNumber).padStart(6, "0")}`;
     await this.ask("POST", "/v1/jobs", {
       id,
       jobclass: "demo",
@@ -506,110 +542,143 @@
       memoryGb: 4,
       reckonS: 5,
     });
-    const r = await this.ask("POST", `/v1/jobs/${id}/withdraw`);
-    if (r.body["status"] !== "cancelled")
-      throw new Error(`${id}: ${JSON.stringify(r.body)}`);
+    const response = await this.ask("POST", `/v1/jobs/${id}/withdraw`);
+    if (response.body["status"] !== "cancelled")
+      throw new Error(`${id}: ${JSON.stringify(response.body)}`);
     return id;
   }
-  async until(what: string, f: () => boolean, ms = 120_000): Promise<void> {
-    for (const end = performance.now() + ms; performance.now() < end;) {
-      if (f()) return;
+  async until(
+    what: string,
+    condition: () => boolean,
+    timeoutMs = 120_000,
+  ): Promise<void> {
+    for (
+      const deadlineMs = performance.now() + timeoutMs;
+      performance.now() < deadlineMs;
+    ) {
+      if (condition()) return;
       await sleep(25);
     }
     throw new Error(`never: ${what}`);
   }
 
-  /** What is wrong with the ledger, if anything: each end received by its id, nothing else, and every repeat explained twice. */
-  ledger(webhook: string, ended: readonly string[]): string[] {
-    const wrong: string[] = [];
+  /**
+   * Errors in what was received. Every end must have arrived and nothing else, and the header and the log must give the same
+   * reason for every repeat.
+   */
+  ledgerErrors(webhook: string, ended: readonly string[]): string[] {
+    const errors: string[] = [];
     const owed = new Set(ended.map((id) => `${webhook}.${id}`));
-    for (const id of owed) if (!this.has.has(id)) wrong.push(`${id}: lost`);
-    for (const id of this.has.keys())
-      if (!owed.has(id)) wrong.push(`${id}: not owed`);
-    const seen = new Map<string, Call>();
-    const log = new Map(
-      this.logged.map((l) => [`${l.webhook}.${l.job} ${l.attempt}`, l]),
+    for (const id of owed)
+      if (!this.received.has(id)) errors.push(`${id}: lost`);
+    for (const id of this.received.keys())
+      if (!owed.has(id)) errors.push(`${id}: not owed`);
+    const lastCalls = new Map<string, ReceivedCall>();
+    const logged = new Map(
+      this.loggedAttempts.map((l) => [`${l.webhook}.${l.job} ${l.attempt}`, l]),
     );
-    for (const c of this.calls) {
-      const before = seen.get(c.id);
-      const line = log.get(`${c.id} ${c.attempt}`);
-      if (!line) wrong.push(`${c.id}: attempt ${c.attempt} is in no log`);
-      else if (line.reason !== c.repeat)
-        wrong.push(
-          `${c.id}: attempt ${c.attempt}: header ${c.repeat}, log ${line.reason}`,
+    for (const call of this.calls) {
+      const previous = lastCalls.get(call.id);
+      const logLine = logged.get(`${call.id} ${call.attempt}`);
+      if (!logLine)
+        errors.push(`${call.id}: attempt ${call.attempt} is in no log`);
+      else if (logLine.reason !== call.repeat)
+        errors.push(
+          `${call.id}: attempt ${call.attempt}: header ${call.repeat}, log ${logLine.reason}`,
         );
-      if (before && (c.repeat === null || c.attempt <= before.attempt))
-        wrong.push(
-          `${c.id}: attempt ${c.attempt} (${c.repeat}) after ${before.attempt}`,
+      if (
+        previous &&
+        (call.repeat === null || call.attempt <= previous.attempt)
+      )
+        errors.push(
+          `${call.id}: attempt ${call.attempt} (${call.repeat}) after ${previous.attempt}`,
         );
-      seen.set(c.id, c);
+      lastCalls.set(call.id, call);
     }
-    if (this.logged.length !== log.size)
-      wrong.push("an attempt's number was used twice");
-    return wrong;
+    if (this.loggedAttempts.length !== logged.size)
+      errors.push("an attempt's number was used twice");
+    return errors;
   }
 }
 
-const MOODS: Mood[] = [
+const FAULT_MODES: ReceiverMode[] = [
   "silent",
   "late",
   "reset",
-  "dies",
+  "reset-after-receipt",
   "500",
   "429",
   "expired",
 ];
 
-/** So many ends under kills of one controller and of all of them, and a receiver in all its moods. */
-export async function kills(
+/** Ends `ends` jobs while one or all controllers are killed again and again and the receiver goes through all fault modes. */
+export async function runKills(
   seed: number,
   ends: number,
   killEveryMs: number,
-  atOnce = 4,
-): Promise<{ d: Deployment; ended: string[]; kills: number; wrong: string[] }> {
-  const d = new Deployment(seed);
-  let count = 0;
-  let over = false;
-  let fault = Promise.resolve();
+  parallelJobs = 4,
+): Promise<{
+  deployment: Deployment;
+  ended: string[];
+  killCount: number;
+  errors: string[];
+}> {
+  const deployment = new Deployment(seed);
+  let killCount = 0;
+  let finished = false;
+  let faults = Promise.resolve();
   try {
-    await d.start();
-    const r = await d.ask("POST", "/v1/hooks", {
+    await deployment.start();
+    const response = await deployment.ask("POST", "/v1/hooks", {
       name: "alerts",
-      url: d.url,
+      url: deployment.url,
       keys: ["k1"],
     });
-    if (r.status !== 201) throw new Error(JSON.stringify(r));
-    fault = (async (): Promise<void> => {
-      while (!over) {
-        await sleep(d.rng.real(killEveryMs * 0.5, killEveryMs * 1.5));
-        d.mood = d.rng.chance(0.6) ? d.rng.pick(MOODS) : "well";
-        const some = d.rng.chance(0.2) ? [0, 1, 2] : [d.rng.int(0, 2)];
-        for (const i of some) await d.kill(i);
-        count += some.length;
-        await sleep(d.rng.real(0, 300));
-        for (const i of some) d.up(i);
+    if (response.status !== 201) throw new Error(JSON.stringify(response));
+    faults = (async (): Promise<void> => {
+      while (!finished) {
+        await sleep(deployment.rng.real(killEveryMs * 0.5, killEveryMs * 1.5));
+        deployment.mode = deployment.rng.chance(0.6)
+          ? deployment.rng.pick(FAULT_MODES)
+          : "healthy";
+        const affected = deployment.rng.chance(0.2)
+          ? [0, 1, 2]
+          : [deployment.rng.int(0, 2)];
+        for (const i of affected) await deployment.kill(i);
+        killCount += affected.length;
+        await sleep(deployment.rng.real(0, 300));
+        for (const i of affected) deployment.up(i);
       }
     })();
     const ended: string[] = [];
     let next = 0;
     await Promise.all(
-      Array.from({ length: atOnce }, async () => {
+      Array.from({ length: parallelJobs }, async () => {
         while (next < ends) {
-          const n = ++next;
-          ended.push(await d.end(n));
+          const jobNumber = ++next;
+          ended.push(await deployment.endJob(jobNumber));
         }
       }),
     );
-    over = true;
-    await fault;
-    d.mood = "well";
-    await d.until("all delivered", () => d.has.size >= ended.length, 240_000);
+    finished = true;
+    await faults;
+    deployment.mode = "healthy";
+    await deployment.until(
+      "all delivered",
+      () => deployment.received.size >= ended.length,
+      240_000,
+    );
     await sleep(500);
-    return { d, ended, kills: count, wrong: d.ledger("alerts", ended) };
+    return {
+      deployment,
+      ended,
+      killCount,
+      errors: deployment.ledgerErrors("alerts", ended),
+    };
   } finally {
-    // Also after a failure: controllers that are brought back for ever keep the run from ending.
-    over = true;
-    await fault;
-    await d.stop();
+    // Also after a failure: otherwise controllers would be restarted forever and the process would not end.
+    finished = true;
+    await faults;
+    await deployment.stop();
   }
 }
--- a/test/webhooks/store.ts
+++ b/test/webhooks/store.ts
@@ -6,26 +6,29 @@
   type StateReply,
 } from "../../src/protocol/state.js";
 
-/** A stand-in for the state service: the clock comes from outside, so that simulated days and real processes share it. */
+/** A simulated state service. Its clock is passed in, so that it serves simulated time and real processes. */
 export class Store {
-  epoch = 0;
+  revision = 0;
   readonly data = new Map<
     string,
     { value: unknown; version: number; hold?: number }
   >();
-  private readonly holds = new Map<number, { ttlMs: number; endsMs: number }>();
-  private log: Change[] = [];
-  private logStart = 0;
-  private holdIds = 0;
+  private readonly leases = new Map<
+    number,
+    { ttlMs: number; endsMs: number }
+  >();
+  private changeLog: Change[] = [];
+  private logStartRevision = 0;
+  private lastLeaseId = 0;
   private watchers: {
     prefix: string;
     since: number;
-    done: (r: StateReply) => void;
+    onReply: (r: StateReply) => void;
   }[] = [];
-  /** Puts and deletes carried out. */
+  /** Number of puts and deletes carried out. */
   changes = 0;
-  private level: number;
-  private levelMs = 0;
+  private availableChanges: number;
+  private availableChangesAtMs = 0;
 
   constructor(
     private readonly now: () => number,
@@ -41,59 +44,62 @@
       keptChanges: 10_000,
     },
   ) {
-    this.level = limits.changesPerS;
+    this.availableChanges = limits.changesPerS;
   }
 
-  expire(): void {
-    for (const [id, h] of this.holds) {
-      if (this.now() < h.endsMs) continue;
-      this.holds.delete(id);
+  expireLeases(): void {
+    for (const [id, lease] of this.leases) {
+      if (this.now() < lease.endsMs) continue;
+      this.leases.delete(id);
       const keys = [...this.data]
         .filter(([, d]) => d.hold === id)
         .map(([k]) => k);
       if (keys.length === 0) continue;
-      this.epoch++;
+      this.revision++;
       for (const key of keys) {
         this.data.delete(key);
-        this.note({ op: "delete", key, version: this.epoch });
+        this.appendChange({ op: "delete", key, version: this.revision });
       }
     }
-    this.wake();
+    this.notifyWatchers();
   }
-  private note(c: Change): void {
-    this.log.push(c);
-    if (this.log.length <= this.limits.keptChanges * 1.1) return;
-    const cut = this.log.splice(0, this.log.length - this.limits.keptChanges);
-    this.logStart = cut.at(-1)!.version;
+  private appendChange(change: Change): void {
+    this.changeLog.push(change);
+    if (this.changeLog.length <= this.limits.keptChanges * 1.1) return;
+    const dropped = this.changeLog.splice(
+      0,
+      this.changeLog.length - this.limits.keptChanges,
+    );
+    this.logStartRevision = dropped.at(-1)!.version;
   }
-  private since(prefix: string, since: number): Change[] {
-    return this.log.filter(
+  private changesSince(prefix: string, since: number): Change[] {
+    return this.changeLog.filter(
       (c) => c.version > since && c.key.startsWith(prefix),
     );
   }
-  private wake(): void {
-    for (const w of [...this.watchers]) {
-      const changes = this.since(w.prefix, w.since);
+  private notifyWatchers(): void {
+    for (const watcher of [...this.watchers]) {
+      const changes = this.changesSince(watcher.prefix, watcher.since);
       if (changes.length === 0) continue;
-      this.watchers = this.watchers.filter((x) => x !== w);
-      w.done({ is: "changes", epoch: this.epoch, changes });
+      this.watchers = this.watchers.filter((x) => x !== watcher);
+      watcher.onReply({ is: "changes", epoch: this.revision, changes });
     }
   }
 
-  /** `wait`: calls back after a time, for watches. */
+  /** `callAfter`: a timer, which ends watches without changes. */
   handle(
     call: StateCall,
-    done: (r: StateReply) => void,
-    wait: (ms: number, f: () => void) => void = () => {},
+    onReply: (r: StateReply) => void,
+    callAfter: (ms: number, f: () => void) => void = () => {},
   ): void {
-    this.expire();
+    this.expireLeases();
     switch (call.op) {
       case "get": {
-        const d = this.data.get(call.key);
-        return done({
+        const record = this.data.get(call.key);
+        return onReply({
           is: "item",
-          item: d
-            ? { key: call.key, value: d.value, version: d.version }
+          item: record
+            ? { key: call.key, value: record.value, version: record.version }
             : null,
         });
       }
@@ -106,15 +112,15 @@
           value: this.data.get(key)!.value,
           version: this.data.get(key)!.version,
         }));
-        return done({
+        return onReply({
           is: "items",
           items,
           more: keys.length > 1_000,
-          epoch: this.epoch,
+          epoch: this.revision,
         });
       }
       case "commit": {
-        const n = call.writes.length;
+        const writeCount = call.writes.length;
         const bytes = Math.max(
           0,
           ...call.writes.map((w) =>
@@ -123,71 +129,86 @@
         );
         if (
           bytes > this.limits.valueBytes ||
-          n > this.limits.txnOps ||
+          writeCount > this.limits.txnOps ||
           call.conditions.length > 4 * this.limits.txnOps
         )
           throw new Error(
-            `over the limits: ${n} changes, ${bytes} bytes: ${call.writes[0]?.key}`,
+            `over the limits: ${writeCount} changes, ${bytes} bytes: ${call.writes[0]?.key}`,
           );
-        for (const w of call.writes)
-          if (w.op === "put" && w.hold !== undefined && !this.holds.has(w.hold))
-            return done({ is: "refused", why: STORE_LEASE_ENDED });
-        this.level = Math.min(
+        for (const write of call.writes)
+          if (
+            write.op === "put" &&
+            write.hold !== undefined &&
+            !this.leases.has(write.hold)
+          )
+            return onReply({ is: "refused", why: STORE_LEASE_ENDED });
+        this.availableChanges = Math.min(
           this.limits.changesPerS,
-          this.level +
-            ((this.now() - this.levelMs) / 1000) * this.limits.changesPerS,
+          this.availableChanges +
+            ((this.now() - this.availableChangesAtMs) / 1000) *
+              this.limits.changesPerS,
         );
-        this.levelMs = this.now();
-        if (n > this.level) return done({ is: "refused", why: "429" });
-        this.level -= n;
+        this.availableChangesAtMs = this.now();
+        if (writeCount > this.availableChanges)
+          return onReply({ is: "refused", why: "429" });
+        this.availableChanges -= writeCount;
         if (
           call.conditions.some(
             (c) => (this.data.get(c.key)?.version ?? 0) !== c.version,
           )
         )
-          return done({ is: "conflict" });
-        this.epoch++;
-        this.changes += n;
-        for (const w of call.writes) {
-          if (w.op === "put") {
-            const value = structuredClone(w.value);
-            this.data.set(w.key, {
+          return onReply({ is: "conflict" });
+        this.revision++;
+        this.changes += writeCount;
+        for (const write of call.writes) {
+          if (write.op === "put") {
+            const value = structuredClone(write.value);
+            this.data.set(write.key, {
               value,
-              version: this.epoch,
-              ...(w.hold === undefined ? {} : { hold: w.hold }),
+              version: this.revision,
+              ...(write.hold === undefined ? {} : { hold: write.hold }),
+            });
+            this.appendChange({
+              op: "put",
+              key: write.key,
+              value,
+              version: this.revision,
+            });
+          } else if (this.data.delete(write.key))
+            this.appendChange({
+              op: "delete",
+              key: write.key,
+              version: this.revision,
             });
-            this.note({ op: "put", key: w.key, value, version: this.epoch });
-          } else if (this.data.delete(w.key))
-            this.note({ op: "delete", key: w.key, version: this.epoch });
         }
-        done({ is: "committed", epoch: this.epoch });
-        return this.wake();
+        onReply({ is: "committed", epoch: this.revision });
+        return this.notifyWatchers();
       }
       case "newHold": {
-        const id = ++this.holdIds;
-        this.holds.set(id, {
+        const leaseId = ++this.lastLeaseId;
+        this.leases.set(leaseId, {
           ttlMs: call.ttlMs,
           endsMs: this.now() + call.ttlMs,
         });
-        return done({ is: "hold", hold: id });
+        return onReply({ is: "hold", hold: leaseId });
       }
       case "touch": {
-        const h = this.holds.get(call.hold);
-        if (!h) return done({ is: "gone" });
-        h.endsMs = this.now() + h.ttlMs;
-        return done({ is: "touched" });
+        const lease = this.leases.get(call.hold);
+        if (!lease) return onReply({ is: "gone" });
+        lease.endsMs = this.now() + lease.ttlMs;
+        return onReply({ is: "touched" });
       }
       case "changes": {
-        if (call.since < this.logStart) return done({ is: "gone" });
-        const changes = this.since(call.prefix, call.since);
+        if (call.since < this.logStartRevision) return onReply({ is: "gone" });
+        const changes = this.changesSince(call.prefix, call.since);
         if (changes.length > 0 || call.waitMs === 0)
-          return done({ is: "changes", epoch: this.epoch, changes });
-        const w = { prefix: call.prefix, since: call.since, done };
-        this.watchers.push(w);
-        wait(call.waitMs, () => {
-          if (!this.watchers.includes(w)) return;
-          this.watchers = this.watchers.filter((x) => x !== w);
-          done({ is: "changes", epoch: this.epoch, changes: [] });
+          return onReply({ is: "changes", epoch: this.revision, changes });
+        const watcher = { prefix: call.prefix, since: call.since, onReply };
+        this.watchers.push(watcher);
+        callAfter(call.waitMs, () => {
+          if (!this.watchers.includes(watcher)) return;
+          this.watchers = this.watchers.filter((x) => x !== watcher);
+          onReply({ is: "changes", epoch: this.revision, changes: [] });
         });
       }
     }
--- a/test/webhooks/webhook-sending.test.ts
+++ b/test/webhooks/webhook-sending.test.ts
@@ -5,7 +5,7 @@
 import type { AddressInfo } from "node:net";
 import { test, type TestContext } from "node:test";
 import { Webhook } from "standardwebhooks";
-import { Breaker } from "../../src/webhooks/circuit-breaker.js";
+import { CircuitBreaker } from "../../src/webhooks/circuit-breaker.js";
 import type { AttemptRequest } from "../../src/webhooks/delivery.js";
 import { chosenController } from "../../src/webhooks/delivery-lanes.js";
 import {
@@ -19,63 +19,66 @@
   parseSecret,
   signature,
 } from "../../src/webhooks/signing.js";
-import { certificate, Deployment, kills } from "./processes.js";
+import { certificate, Deployment, runKills } from "./processes.js";
 import { WebhookWorld, LIMITS } from "./webhook-world.js";
 import { Rng } from "../simulation/rng.js";
 
-test("real processes: forced kills of one and of all controllers, a receiver in all moods; nothing lost, every repeat explained", async () => {
-  const { ended, wrong, d } = await kills(7, 120, 1_000);
-  assert.deepEqual(wrong, []);
+test("real processes: with one or all controllers killed and all faults of a receiver, nothing is lost and every repeat has a reason", async () => {
+  const { ended, errors, deployment } = await runKills(7, 120, 1_000);
+  assert.deepEqual(errors, []);
   assert.equal(ended.length, 120);
-  assert.deepEqual(d.logErrors, []);
-  // As a receiver would, with a library that is not ours.
-  for (const c of d.calls.slice(0, 20)) {
-    const told = new Webhook(d.secret).verify(c.body, {
-      "webhook-id": c.id,
-      "webhook-timestamp": c.timestamp,
-      "webhook-signature": c.signature,
+  assert.deepEqual(deployment.logErrors, []);
+  // Signatures are verified as by a receiver, with an independent library.
+  for (const call of deployment.calls.slice(0, 20)) {
+    const payload = new Webhook(deployment.secret).verify(call.body, {
+      "webhook-id": call.id,
+      "webhook-timestamp": call.timestamp,
+      "webhook-signature": call.signature,
     }) as { type: string; data: { id: string } };
     assert.deepEqual(
-      [told.type, `alerts.${told.data.id}`],
-      ["job.cancelled", c.id],
+      [payload.type, `alerts.${payload.data.id}`],
+      ["job.cancelled", call.id],
     );
   }
 });
 
-/** The metrics once they have this text, or as they are after ten seconds: a delivery counts when its answer has come. */
-async function metricsWith(d: Deployment, text: string): Promise<string> {
+/** The metrics once they contain the text, or after ten seconds. A delivery is counted only when its answer has arrived. */
+async function metricsWith(
+  deployment: Deployment,
+  text: string,
+): Promise<string> {
   for (let tries = 0; tries < 200; tries++) {
-    const metrics = await d.text("/metrics");
+    const metrics = await deployment.getText("/metrics");
     if (metrics.includes(text)) return metrics;
     await new Promise((resolve) => setTimeout(resolve, 50));
   }
-  return d.text("/metrics");
+  return deployment.getText("/metrics");
 }
 
-test("the command line and HTTP: all of a hook's life, and bad input changes nothing", async () => {
+test("the command line and HTTP: a webhook from creation to removal; invalid input changes nothing", async () => {
   const d = new Deployment(3);
   await d.start(1, "parallel: 2 subscriptions: 3 horizon_s: 12");
   try {
     await d.ask("GET", "/v1/hooks");
-    const node = (d as unknown as { nodes: { client: number }[] }).nodes[0]!
-      .client;
-    // The stand-ins live in this process: it must not stand still while the command runs.
+    const port = (d as unknown as { nodes: { clientPort: number }[] }).nodes[0]!
+      .clientPort;
+    // The simulated services run in this process, so it must not block while the command runs.
     const cli = (
       ...args: string[]
     ): Promise<{ code: number | null; out: string; err: string }> =>
       new Promise((resolve) => {
-        const p = spawn(process.execPath, [
+        const child = spawn(process.execPath, [
           "target/main.js",
           "hook",
           ...args,
           "--server",
-          `127.0.0.1:${node}`,
+          `127.0.0.1:${port}`,
         ]);
         let out = "";
         let err = "";
-        p.stdout.on("data", (x: Buffer) => (out += x.toString()));
-        p.stderr.on("data", (x: Buffer) => (err += x.toString()));
-        p.on("close", (code) => resolve({ code, out, err }));
+        child.stdout.on("data", (x: Buffer) => (out += x.toString()));
+        child.stderr.on("data", (x: Buffer) => (err += x.toString()));
+        child.on("close", (code) => resolve({ code, out, err }));
       });
     const bad = async (
       body: object,
@@ -144,15 +147,15 @@
     );
     assert.match((await cli("pause", "a")).out, /^a: paused/);
     assert.match((await cli("test", "a")).err, /409: hook is paused/);
-    const first = await d.end(1);
+    const first = await d.endJob(1);
     assert.equal(d.calls.length, 0);
     assert.match((await cli("resume", "a")).out, /^a: active/);
-    await d.until("delivered after the pause", () => d.has.has(`a.${first}`));
+    await d.until("delivery after pause", () => d.received.has(`a.${first}`));
     assert.equal((await cli("test", "a")).code, 0);
-    await d.until("a test notification", () => d.has.has("a.test-1"));
-    // Given up after the horizon, listed, sent again.
-    d.mood = "500";
-    const second = await d.end(2);
+    await d.until("a test notification", () => d.received.has("a.test-1"));
+    // A notification is given up after the horizon, listed as dead and sent again.
+    d.mode = "500";
+    const second = await d.endJob(2);
     for (
       let k = 0;
       k < 200 && !(await cli("dead", "a")).out.includes(second);
@@ -163,11 +166,11 @@
       (await cli("dead", "a")).out,
       /^req-000002: cancelled at .*attempts/,
     );
-    d.mood = "well";
+    d.mode = "healthy";
     const callsBefore = d.calls.length;
     assert.equal((await cli("redrive", "a")).code, 0);
-    await d.until("redriven", () => d.has.has(`a.${second}`));
-    // On a busy machine its answer may come after the sender's deadline: then more attempts follow.
+    await d.until("redriven", () => d.received.has(`a.${second}`));
+    // On a busy machine the answer may miss the sender's deadline, and more attempts follow.
     assert.equal(d.calls[callsBefore]!.repeat, "redriven");
     const metrics = await metricsWith(d, 'outcome="delivered"} 3');
     assert.match(
@@ -223,9 +226,9 @@
   at: 0,
   since: 0,
 };
-const launch = (
+const request = (
   url: string,
-  more: Partial<AttemptRequest> = {},
+  overrides: Partial<AttemptRequest> = {},
 ): AttemptRequest => ({
   end: END,
   attempt: 1,
@@ -243,11 +246,11 @@
     redrives: 0,
     tests: 0,
   },
-  ...more,
+  ...overrides,
 });
-/** Far more than any answer takes here, also while other tests take all processors: who waits for a deadline sets a short one. */
+/** Longer than any answer takes here, even while other tests use all processors. Tests of the deadline set a short one. */
 const DEADLINE_MS = 60_000;
-const sender = (more: object = {}): WebhookSender =>
+const newSender = (overrides: object = {}): WebhookSender =>
   new WebhookSender({
     networks: new AllowedNetworks(["127.0.0.0/8"], false),
     keys: new Map([["k", new Uint8Array(32)]]),
@@ -257,21 +260,21 @@
     maxAnswerBytes: 1_000,
     ca: null,
     agent: "test",
-    ...more,
+    ...overrides,
   });
-/** It is closed with its test however that ends: one that stays open keeps the process from ending, and so the whole run. */
-const serve = async (t: TestContext, s: http.Server): Promise<string> => {
+/** Starts a server that is closed when the test ends, also by a failure: an open server would keep the whole run from ending. */
+const serve = async (t: TestContext, server: http.Server): Promise<string> => {
   t.after(() => {
-    s.close();
-    s.closeAllConnections();
+    server.close();
+    server.closeAllConnections();
   });
-  await new Promise<void>((r) => s.listen(0, "127.0.0.1", r));
-  return `://localhost:${(s.address() as AddressInfo).port}/in`;
+  await new Promise<void>((r) => server.listen(0, "127.0.0.1", r));
+  return `://localhost:${(server.address() as AddressInfo).port}/in`;
 };
 
-test("where hooks may connect: the address that is connected to counts, however it is written or resolved", async () => {
-  const open = new AllowedNetworks([], false);
-  for (const no of [
+test("allowed networks: the address connected to is checked, however it is written or resolved", async () => {
+  const publicOnly = new AllowedNetworks([], false);
+  for (const address of [
     "127.0.0.1",
     "10.1.2.3",
     "192.168.0.1",
@@ -289,9 +292,9 @@
     "2002:a00:1::",
     "nonsense",
   ])
-    assert.equal(open.allows(no), false, no);
-  for (const yes of ["93.184.216.34", "2606:2800:220:1::1"])
-    assert.equal(open.allows(yes), true, yes);
+    assert.equal(publicOnly.allows(address), false, address);
+  for (const address of ["93.184.216.34", "2606:2800:220:1::1"])
+    assert.equal(publicOnly.allows(address), true, address);
   const listed = new AllowedNetworks(["10.1.0.0/16", "2001:db8::/32"], true);
   assert.deepEqual(
     [
@@ -307,95 +310,95 @@
     () => parseNetwork("10.0.0.0/33"),
     /10\.0\.0\.0\/33: not a network/,
   );
-  // A name that resolves differently the second time: each connection is to an address that was checked for it.
+  // A name that resolves differently each time: every connection goes to an address that was checked for it.
   const answers = [
     ["93.184.216.34"],
     ["127.0.0.1"],
     ["127.0.0.1", "93.184.216.35"],
   ];
-  const lookup = open.lookup((_, done) =>
+  const lookup = publicOnly.lookup((_, done) =>
     done(
       null,
       answers.shift()!.map((address) => ({ address, family: 4 })),
     ),
   );
-  const resolve = (): Promise<string> =>
+  const resolveOnce = (): Promise<string> =>
     new Promise((r) =>
       lookup("rebind.example.org", {}, (e, a) =>
         r(e ? "blocked" : (a as string)),
       ),
     );
   assert.deepEqual(
-    [await resolve(), await resolve(), await resolve()],
+    [await resolveOnce(), await resolveOnce(), await resolveOnce()],
     ["93.184.216.34", "blocked", "93.184.216.35"],
   );
 });
 
 test("an attempt is bounded: address, time, answer, redirects, certificates", async (t) => {
-  let seen: http.IncomingMessage[] = [];
-  const s = http.createServer((req, res) => {
-    seen.push(req);
-    const p = req.url!;
-    if (p.endsWith("/silent")) return;
-    if (p.endsWith("/moved"))
+  let requests: http.IncomingMessage[] = [];
+  const server = http.createServer((req, res) => {
+    requests.push(req);
+    const path = req.url!;
+    if (path.endsWith("/silent")) return;
+    if (path.endsWith("/moved"))
       return void res.writeHead(302, { location: "/elsewhere" }).end();
-    if (p.endsWith("/later"))
+    if (path.endsWith("/later"))
       return void res.writeHead(429, { "retry-after": "7" }).end();
-    if (p.endsWith("/big")) {
+    if (path.endsWith("/big")) {
       res.writeHead(200);
-      const more = (): void => {
+      const writeMore = (): void => {
         while (!res.destroyed && res.write("x".repeat(10_000)));
-        if (!res.destroyed) res.once("drain", more);
+        if (!res.destroyed) res.once("drain", writeMore);
       };
-      return more();
+      return writeMore();
     }
     if (req.method === "GET")
-      return void res.writeHead(p.endsWith("/has") ? 200 : 404).end();
+      return void res.writeHead(path.endsWith("/has") ? 200 : 404).end();
     res.writeHead(204).end();
   });
-  const url = `http${await serve(t, s)}`;
-  const to = (
+  const url = `http${await serve(t, server)}`;
+  const attempt = (
     path: string,
-    more: Partial<AttemptRequest> = {},
+    overrides: Partial<AttemptRequest> = {},
     settings: object = {},
   ): Promise<unknown> =>
-    sender(settings).attempt(1, "h", launch(url + path, more));
-  assert.deepEqual(await to(""), {
+    newSender(settings).attempt(1, "h", request(url + path, overrides));
+  assert.deepEqual(await attempt(""), {
     is: "answered",
     status: 204,
     retryAfterMs: null,
   });
-  assert.deepEqual(await to("/silent", {}, { deadlineMs: 400 }), {
+  assert.deepEqual(await attempt("/silent", {}, { deadlineMs: 400 }), {
     is: "failed",
-    why: "timeout",
+    reason: "timeout",
   });
-  assert.deepEqual(await to("/moved"), {
+  assert.deepEqual(await attempt("/moved"), {
     is: "answered",
     status: 302,
     retryAfterMs: null,
   });
-  assert.deepEqual(await to("/later"), {
+  assert.deepEqual(await attempt("/later"), {
     is: "answered",
     status: 429,
     retryAfterMs: 7_000,
   });
-  assert.deepEqual(await to("/big"), {
+  assert.deepEqual(await attempt("/big"), {
     is: "answered",
     status: 200,
     retryAfterMs: null,
   });
-  assert.ok(!seen.some((r) => r.url === "/elsewhere"));
-  seen = [];
+  assert.ok(!requests.some((r) => r.url === "/elsewhere"));
+  requests = [];
   assert.deepEqual(
-    await to("/has", { ask: true, attempt: 2, reason: "timeout" }),
+    await attempt("/has", { ask: true, attempt: 2, reason: "timeout" }),
     { is: "had" },
   );
   assert.deepEqual(
-    await to("/not", { ask: true, attempt: 2, reason: "timeout" }),
+    await attempt("/not", { ask: true, attempt: 2, reason: "timeout" }),
     { is: "answered", status: 204, retryAfterMs: null },
   );
   assert.deepEqual(
-    seen.map((r) => [
+    requests.map((r) => [
       r.method,
       r.headers["linencove-attempt"],
       r.headers["linencove-repeat"],
@@ -406,65 +409,67 @@
       ["POST", "2", "timeout"],
     ],
   );
-  seen = [];
+  requests = [];
   assert.deepEqual(
-    await to("", {}, { networks: new AllowedNetworks([], false) }),
+    await attempt("", {}, { networks: new AllowedNetworks([], false) }),
     {
       is: "failed",
-      why: "blocked",
+      reason: "blocked",
     },
   );
   assert.equal(
-    seen.length,
+    requests.length,
     0,
     "nothing may reach an address that is not allowed",
   );
   assert.deepEqual(
-    await sender().attempt(1, "h", launch("http://nowhere.invalid/")),
-    { is: "failed", why: "name" },
+    await newSender().attempt(1, "h", request("http://nowhere.invalid/")),
+    { is: "failed", reason: "name" },
   );
-  s.close();
-  s.closeAllConnections();
-  assert.deepEqual(await to(""), { is: "failed", why: "refused" });
+  server.close();
+  server.closeAllConnections();
+  assert.deepEqual(await attempt(""), { is: "failed", reason: "refused" });
 
   const day = 86_400_000;
-  for (const [from, until, wanted] of [
+  for (const [from, until, expected] of [
     [-day, day, { is: "answered", status: 204, retryAfterMs: null }],
-    [-2 * day, -day, { is: "failed", why: "tls" }],
+    [-2 * day, -day, { is: "failed", reason: "tls" }],
   ] as const) {
-    const c = await certificate(from, until);
-    const tls = https.createServer(c, (_, res) => res.writeHead(204).end());
-    const at = `https${await serve(t, tls)}`;
+    const pair = await certificate(from, until);
+    const tlsServer = https.createServer(pair, (_, res) =>
+      res.writeHead(204).end(),
+    );
+    const tlsUrl = `https${await serve(t, tlsServer)}`;
     assert.deepEqual(
-      await sender({ ca: c.cert }).attempt(1, "h", launch(at)),
-      wanted,
+      await newSender({ ca: pair.cert }).attempt(1, "h", request(tlsUrl)),
+      expected,
     );
     assert.deepEqual(
-      await sender().attempt(1, "h", launch(at)),
-      { is: "failed", why: "tls" },
+      await newSender().attempt(1, "h", request(tlsUrl)),
+      { is: "failed", reason: "tls" },
       "not trusted without the operators' certificate",
     );
   }
 });
 
-test("a certificate that expires between two connections is seen, although the first session could be resumed", async (t) => {
+test("a certificate that expires between two connections is rejected, although the TLS session could be resumed", async (t) => {
   const day = 86_400_000;
   const valid = await certificate(-day, day);
   const expired = await certificate(-2 * day, -day);
-  const tls = https.createServer(valid, (_, res) =>
+  const tlsServer = https.createServer(valid, (_, res) =>
     res.writeHead(204, { connection: "close" }).end(),
   );
-  const at = `https${await serve(t, tls)}`;
-  const s = sender({ ca: `${valid.cert}\n${expired.cert}` });
-  assert.equal((await s.attempt(1, "h", launch(at))).is, "answered");
-  tls.setSecureContext(expired);
-  assert.deepEqual(await s.attempt(2, "h", launch(at)), {
+  const url = `https${await serve(t, tlsServer)}`;
+  const sender = newSender({ ca: `${valid.cert}\n${expired.cert}` });
+  assert.equal((await sender.attempt(1, "h", request(url))).is, "answered");
+  tlsServer.setSecureContext(expired);
+  assert.deepEqual(await sender.attempt(2, "h", request(url)), {
     is: "failed",
-    why: "tls",
+    reason: "tls",
   });
 });
 
-test("signatures: the published example, several keys; secrets are never shown", () => {
+test("signatures: the published example and several keys; error messages do not contain secrets", () => {
   const secret = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw";
   const body = '{"test": 2432232314}';
   assert.equal(
@@ -478,24 +483,26 @@
   );
   const now = new Date();
   const other = "whsec_" + Buffer.alloc(32, 7).toString("base64");
-  const at = Math.floor(now.getTime() / 1000);
+  const timestampS = Math.floor(now.getTime() / 1000);
   const both = [secret, other]
-    .map((k) => signature(parseSecret(k), "h.req-1", at, messageBody(END)))
+    .map((k) =>
+      signature(parseSecret(k), "h.req-1", timestampS, messageBody(END)),
+    )
     .join(" ");
   for (const k of [secret, other])
     new Webhook(k).verify(messageBody(END), {
       "webhook-id": "h.req-1",
-      "webhook-timestamp": String(at),
+      "webhook-timestamp": String(timestampS),
       "webhook-signature": both,
     });
-  for (const bad of ["whsec_", "whsec_AAAA", "päss"])
+  for (const malformed of ["whsec_", "whsec_AAAA", "päss"])
     assert.throws(
-      () => parseSecret(bad),
-      (e: Error) => !e.message.includes(bad),
+      () => parseSecret(malformed),
+      (e: Error) => !e.message.includes(malformed),
     );
 });
 
-test("lanes move only with their owner, and are spread", () => {
+test("lanes are spread over controllers and move only if their owner leaves", () => {
   const labels = ["n0", "n1", "n2", "n3", "n4"];
   const before = Array.from({ length: LANE_COUNT }, (_, l) =>
     chosenController(l, labels),
@@ -510,14 +517,14 @@
   before.forEach((b, l) => b !== "n2" && assert.equal(after[l], b));
 });
 
-test("packed entries fit again whatever their attempts become", () => {
+test("packed entries still fit when their attempt counts have grown", () => {
   const rng = new Rng(5);
   for (let k = 0; k < 200; k++) {
-    const most = rng.int(300, 1_500);
-    const p = new Packer(most);
-    const owed = [];
+    const maxBytes = rng.int(300, 1_500);
+    const packer = new Packer(maxBytes);
+    const deliveries = [];
     for (;;) {
-      const o = {
+      const delivery = {
         end: {
           ...END,
           id: `req-${rng.int(1, 1e9)}`,
@@ -526,81 +533,112 @@
         },
         attempts: rng.int(0, 3),
       };
-      if (!p.add(o)) break;
-      owed.push(o);
+      if (!packer.add(delivery)) break;
+      deliveries.push(delivery);
     }
-    assert.ok(owed.length > 0);
-    const size = Buffer.byteLength(JSON.stringify([p.names, p.entries]));
+    assert.ok(deliveries.length > 0);
+    const size = Buffer.byteLength(
+      JSON.stringify([packer.names, packer.entries]),
+    );
     assert.ok(
-      p.entries.length === 1 || size <= most + 10,
-      `${size} of ${most}`,
+      packer.entries.length === 1 || size <= maxBytes + 10,
+      `${size} of ${maxBytes}`,
     );
-    const again = new Packer(most);
-    for (const o of owed.reverse())
-      assert.ok(again.add({ ...o, attempts: 999_999 }));
+    const repacked = new Packer(maxBytes);
+    for (const delivery of deliveries.reverse())
+      assert.ok(repacked.add({ ...delivery, attempts: 999_999 }));
   }
 });
 
-test("a breaker lets one attempt through after each pause, and a pause that was asked for counts", () => {
-  const b = new Breaker(3, { baseMs: 1_000, mostMs: 8_000 }, () => 1);
-  for (let k = 0; k < 3; k++) b.failed(0);
+test("a circuit breaker allows one attempt after each pause and observes pauses that the receiver asked for", () => {
+  const breaker = new CircuitBreaker(
+    3,
+    { baseMs: 1_000, maxMs: 8_000 },
+    () => 1,
+  );
+  for (let k = 0; k < 3; k++) breaker.recordFailure(0);
   assert.deepEqual(
-    [b.state(0), b.allows(0), b.allows(999), b.allows(1_001)],
+    [
+      breaker.state(0),
+      breaker.allows(0),
+      breaker.allows(999),
+      breaker.allows(1_001),
+    ],
     ["open", false, false, true],
   );
-  b.begin(1_001);
-  assert.equal(b.allows(1_001), false, "one at a time");
-  b.failed(1_100);
-  assert.deepEqual([b.allows(3_000), b.allows(3_101)], [false, true]);
-  b.begin(3_101);
-  b.well();
-  assert.equal(b.state(3_102), "closed");
-  b.rest(4_000, 500);
-  assert.deepEqual([b.allows(4_400), b.allows(4_500)], [false, true]);
+  breaker.recordStart(1_001);
+  assert.equal(
+    breaker.allows(1_001),
+    false,
+    "only one attempt while half-open",
+  );
+  breaker.recordFailure(1_100);
+  assert.deepEqual(
+    [breaker.allows(3_000), breaker.allows(3_101)],
+    [false, true],
+  );
+  breaker.recordStart(3_101);
+  breaker.recordSuccess();
+  assert.equal(breaker.state(3_102), "closed");
+  breaker.pauseFor(4_000, 500);
+  assert.deepEqual(
+    [breaker.allows(4_400), breaker.allows(4_500)],
+    [false, true],
+  );
 });
 
-test("one dead receiver costs the others nothing, and next to no changes while it waits", () => {
-  const w = new WebhookWorld(11, { ...LIMITS, valueBytes: 7_000 }, 3);
-  w.run(3_000);
-  const dead = w.add("dead");
-  const well = w.add("well");
-  dead.mood = "refused";
+test("an unreachable receiver does not delay others, and its waiting notifications cause few changes", () => {
+  const world = new WebhookWorld(11, { ...LIMITS, valueBytes: 7_000 }, 3);
+  world.run(3_000);
+  const unreachable = world.add("dead");
+  const reachable = world.add("well");
+  unreachable.mode = "refused";
   for (let i = 0; i < 1_000; i++)
-    w.at(i * 100, () => w.end(`req-${String(i).padStart(6, "0")}`));
-  w.run(110_000);
-  assert.deepEqual(w.missing(well), []);
-  assert.equal(dead.has.size, 0);
-  const before = w.store.changes;
-  w.run(3_600_000);
+    world.at(i * 100, () => world.end(`req-${String(i).padStart(6, "0")}`));
+  world.run(110_000);
+  assert.deepEqual(world.missing(reachable), []);
+  assert.equal(unreachable.receivedCounts.size, 0);
+  const changesBefore = world.store.changes;
+  world.run(3_600_000);
+  assert.ok(
+    world.store.changes - changesBefore < 60,
+    `${world.store.changes - changesBefore} changes in an hour of waiting`,
+  );
   assert.ok(
-    w.store.changes - before < 60,
-    `${w.store.changes - before} changes in an hour of waiting`,
+    unreachable.calls.length < 150,
+    `${unreachable.calls.length} attempts`,
   );
-  assert.ok(dead.calls.length < 150, `${dead.calls.length} attempts`);
-  dead.mood = "well";
-  w.run(300_000);
-  assert.deepEqual(w.missing(dead), []);
-  assert.deepEqual(w.broken, []);
+  unreachable.mode = "healthy";
+  world.run(300_000);
+  assert.deepEqual(world.missing(unreachable), []);
+  assert.deepEqual(world.broken, []);
 });
 
-test("a receiver that is gone for good ends its hook; a resumed one goes on", () => {
-  const w = new WebhookWorld(12);
-  w.run(3_000);
-  const r = w.add("gone");
-  r.mood = "410";
-  w.end("req-000001");
-  w.run(10_000);
-  const calls = r.calls.length;
-  assert.equal(calls, 1);
-  w.end("req-000002");
-  w.run(600_000);
-  assert.equal(r.calls.length, calls);
-  r.mood = "well";
-  const req = w.ask(w.nodes[0]!, { is: "act", name: "gone", act: "resume" });
-  w.run(60_000);
-  assert.equal(w.replies.get(req)?.status, 200);
-  w.end("req-000003");
-  w.run(60_000);
-  assert.deepEqual([...r.has.keys()], ["req-000001", "req-000003"]);
-  assert.deepEqual(w.broken, []);
+test("a receiver that answers 410 ends its subscription, which can be resumed", () => {
+  const world = new WebhookWorld(12);
+  world.run(3_000);
+  const receiver = world.add("gone");
+  receiver.mode = "410";
+  world.end("req-000001");
+  world.run(10_000);
+  const callsBefore = receiver.calls.length;
+  assert.equal(callsBefore, 1);
+  world.end("req-000002");
+  world.run(600_000);
+  assert.equal(receiver.calls.length, callsBefore);
+  receiver.mode = "healthy";
+  const reqId = world.ask(world.nodes[0]!, {
+    is: "act",
+    name: "gone",
+    act: "resume",
+  });
+  world.run(60_000);
+  assert.equal(world.replies.get(reqId)?.status, 200);
+  world.end("req-000003");
+  world.run(60_000);
+  assert.deepEqual(
+    [...receiver.receivedCounts.keys()],
+    ["req-000001", "req-000003"],
+  );
+  assert.deepEqual(world.broken, []);
 });
--- a/test/webhooks/webhook-world.ts
+++ b/test/webhooks/webhook-world.ts
@@ -19,38 +19,38 @@
   txnOps: 12,
   parallel: 4,
   horizonMs: 3 * 86_400_000,
-  backoff: { baseMs: 1_000, mostMs: 600_000 },
+  backoff: { baseMs: 1_000, maxMs: 600_000 },
   spoolBatches: 200,
-  settleEvery: 150,
+  settleEveryRevisions: 150,
   changesPerS: 2,
   changesBurst: 4,
   inFlight: 16,
   breakerAfter: 5,
-  breakerPause: { baseMs: 2_000, mostMs: 120_000 },
+  breakerPause: { baseMs: 2_000, maxMs: 120_000 },
   subscriptions: 50,
 };
-const TTL_MS = 12_000;
+const LEASE_TTL_MS = 12_000;
 const DEADLINE_MS = 10_000;
 
-type Mood =
-  | "well"
+type ReceiverMode =
+  | "healthy"
   | "silent"
   | "late"
   | "reset"
-  | "dies"
+  | "reset-after-receipt"
   | "500"
   | "429"
   | "refused"
   | "tls"
   | "410";
 
-/** A receiver that keeps what it was told, and logs every call. */
+/** A simulated receiver, which records the notifications it accepted and every call. */
 export class Receiver {
-  mood: Mood = "well";
-  /** By id: how often it came. */
-  readonly has = new Map<string, number>();
-  /** When each came first, in simulated ms. */
-  readonly firstMs = new Map<string, number>();
+  mode: ReceiverMode = "healthy";
+  /** By job id: how often the notification was received. */
+  readonly receivedCounts = new Map<string, number>();
+  /** By job id: when the notification was first received, in simulated ms. */
+  readonly firstReceivedMs = new Map<string, number>();
   readonly calls: {
     webhook: string;
     id: string;
@@ -61,55 +61,59 @@
   }[] = [];
   constructor(readonly rng: Rng) {}
 
-  /** What the sender sees, and when; and whether the receiver has it. */
-  call(): { result: AttemptResult | null; afterMs: number; got: boolean } {
-    const rtt = this.rng.real(5, 300);
-    switch (this.mood) {
-      case "well":
+  /** The result for the sender (null: a timeout), when it arrives, and whether the receiver got the notification. */
+  respond(): {
+    result: AttemptResult | null;
+    afterMs: number;
+    received: boolean;
+  } {
+    const roundTripMs = this.rng.real(5, 300);
+    switch (this.mode) {
+      case "healthy":
         return {
           result: { is: "answered", status: 204, retryAfterMs: null },
-          afterMs: rtt,
-          got: true,
+          afterMs: roundTripMs,
+          received: true,
         };
       case "silent":
-        return { result: null, afterMs: 0, got: this.rng.chance(0.5) };
+        return { result: null, afterMs: 0, received: this.rng.chance(0.5) };
       case "late":
-        return { result: null, afterMs: 0, got: true };
+        return { result: null, afterMs: 0, received: true };
       case "reset":
         return {
-          result: { is: "failed", why: "reset" },
-          afterMs: rtt,
-          got: this.rng.chance(0.5),
+          result: { is: "failed", reason: "reset" },
+          afterMs: roundTripMs,
+          received: this.rng.chance(0.5),
         };
-      case "dies":
+      case "reset-after-receipt":
         return {
-          result: { is: "failed", why: "reset" },
-          afterMs: rtt,
-          got: true,
+          result: { is: "failed", reason: "reset" },
+          afterMs: roundTripMs,
+          received: true,
         };
       case "500":
         return {
           result: { is: "answered", status: 500, retryAfterMs: null },
-          afterMs: rtt,
-          got: false,
+          afterMs: roundTripMs,
+          received: false,
         };
       case "429":
         return {
           result: { is: "answered", status: 429, retryAfterMs: 5_000 },
-          afterMs: rtt,
-          got: false,
+          afterMs: roundTripMs,
+          received: false,
         };
       case "410":
         return {
           result: { is: "answered", status: 410, retryAfterMs: null },
-          afterMs: rtt,
-          got: false,
+          afterMs: roundTripMs,
+          received: false,
         };
       default:
         return {
-          result: { is: "failed", why: this.mood },
-          afterMs: rtt,
-          got: false,
+          result: { is: "failed", reason: this.mode },
+          afterMs: roundTripMs,
+          received: false,
         };
     }
   }
@@ -117,42 +121,44 @@
 
 class Node {
   core: WebhookCore | null = null;
-  hold: number | null = null;
-  epoch = -1;
-  untilMs = -Infinity;
-  /** Counts the starts: what was begun in an earlier life is not told to a later one. */
-  life = 0;
-  flights = new Map<number, { webhook: string; id: string }>();
-  /** Can't reach the state service. */
-  cut = false;
+  storeLease: number | null = null;
+  revision = -1;
+  leaseUntilMs = -Infinity;
+  /** Counts starts and kills. Replies and results for an earlier incarnation are dropped. */
+  incarnation = 0;
+  attemptsInFlight = new Map<number, { webhook: string; id: string }>();
+  /** Whether the state service is unreachable for this controller. */
+  disconnected = false;
   frozen = false;
-  held: (() => void)[] = [];
+  /** What happened while the controller was frozen, to be handled afterwards. */
+  deferred: (() => void)[] = [];
   constructor(readonly label: string) {}
 }
 
-/** Controllers with hooks, one state service, receivers: seeded, in simulated time, checked after each step. */
+/** Webhook cores of several controllers, a state service and receivers: seeded, in simulated time, with checks at every attempt. */
 export class WebhookWorld {
   now = 0;
   readonly rng: Rng;
   readonly store: Store;
   readonly nodes: Node[];
   readonly receivers = new Map<string, Receiver>();
+  /** Violated rules. */
   readonly broken: string[] = [];
-  /** What each hook is owed, by id. */
+  /** The job ends so far, by job id. */
   readonly ended = new Map<
     string,
     { team: string; outcome: "done" | "cancelled"; atMs: number }
   >();
-  readonly order: string[] = [];
+  readonly endOrder: string[] = [];
   readonly replies = new Map<
     number,
     { status: number; body: Record<string, unknown> }
   >();
-  /** Calls and answers that get lost: a commit without an answer. */
+  /** Probability that a call to the state service, or its reply, is lost. */
   lossy = 0;
-  private events: { at: number; n: number; run: () => void }[] = [];
-  private n = 0;
-  private reqs = 0;
+  private events: { atMs: number; sequence: number; run: () => void }[] = [];
+  private lastSequence = 0;
+  private lastReqId = 0;
   private readonly lastAttempt = new Map<
     string,
     { attempt: number; node: string }
@@ -173,272 +179,330 @@
       keptChanges,
     });
     this.nodes = Array.from({ length: nodes }, (_, i) => new Node(`n${i}`));
-    for (const n of this.nodes) this.start(n);
+    for (const node of this.nodes) this.start(node);
   }
 
   at(delayMs: number, run: () => void): void {
-    const e = { at: this.now + Math.max(0, delayMs), n: ++this.n, run };
-    let lo = 0;
-    let hi = this.events.length;
-    while (lo < hi) {
-      const mid = (lo + hi) >> 1;
-      const x = this.events[mid]!;
-      if (x.at < e.at || (x.at === e.at && x.n < e.n)) lo = mid + 1;
-      else hi = mid;
+    const event = {
+      atMs: this.now + Math.max(0, delayMs),
+      sequence: ++this.lastSequence,
+      run,
+    };
+    let low = 0;
+    let high = this.events.length;
+    while (low < high) {
+      const middle = (low + high) >> 1;
+      const other = this.events[middle]!;
+      if (
+        other.atMs < event.atMs ||
+        (other.atMs === event.atMs && other.sequence < event.sequence)
+      )
+        low = middle + 1;
+      else high = middle;
     }
-    this.events.splice(lo, 0, e);
+    this.events.splice(low, 0, event);
   }
   run(forMs: number): void {
-    const end = this.now + forMs;
+    const endMs = this.now + forMs;
     for (;;) {
-      const e = this.events[0];
-      if (!e || e.at > end) break;
+      const event = this.events[0];
+      if (!event || event.atMs > endMs) break;
       this.events.shift();
-      this.now = e.at;
-      e.run();
+      this.now = event.atMs;
+      event.run();
     }
-    this.now = end;
+    this.now = endMs;
   }
 
   // ---- controllers ---------------------------------------------------------------------------------------
 
-  start(n: Node): void {
-    const life = ++n.life;
-    n.core = new WebhookCore(
-      n.label,
+  start(node: Node): void {
+    const incarnation = ++node.incarnation;
+    node.core = new WebhookCore(
+      node.label,
       this.limits,
       () => this.rng.real(),
       new Set(["k1", "k2"]),
       (url) => (url.startsWith("http") ? null : "not a URL"),
     );
-    n.epoch = -1;
-    n.hold = null;
-    n.untilMs = -Infinity;
-    n.flights = new Map();
-    const alive = (f: () => void) => (): void => {
-      if (n.life !== life) return;
-      if (n.frozen) n.held.push(f);
-      else f();
+    node.revision = -1;
+    node.storeLease = null;
+    node.leaseUntilMs = -Infinity;
+    node.attemptsInFlight = new Map();
+    const ifAlive = (action: () => void) => (): void => {
+      if (node.incarnation !== incarnation) return;
+      if (node.frozen) node.deferred.push(action);
+      else action();
     };
     const tick = (): void => {
-      this.feed(n, { type: "permit", storeLease: n.hold, untilMs: n.untilMs });
-      this.feed(n, { type: "tick" });
-      this.at(200, alive(tick));
+      this.feed(node, {
+        type: "permit",
+        storeLease: node.storeLease,
+        untilMs: node.leaseUntilMs,
+      });
+      this.feed(node, { type: "tick" });
+      this.at(200, ifAlive(tick));
     };
-    const keep = (): void => {
-      const sent = this.now;
-      const then = (r: StateReply): void => {
-        if (r.is === "hold") n.hold = r.hold;
-        if (r.is === "gone") {
-          n.hold = null;
-          n.untilMs = -Infinity;
-          return keep();
+    const renewLease = (): void => {
+      const sentMs = this.now;
+      const onReply = (reply: StateReply): void => {
+        if (reply.is === "hold") node.storeLease = reply.hold;
+        if (reply.is === "gone") {
+          node.storeLease = null;
+          node.leaseUntilMs = -Infinity;
+          return renewLease();
         }
-        if (r.is === "hold" || r.is === "touched")
-          n.untilMs = sent + TTL_MS * 0.998 - 100;
-        this.at(TTL_MS / 8, alive(keep));
+        if (reply.is === "hold" || reply.is === "touched")
+          node.leaseUntilMs = sentMs + LEASE_TTL_MS * 0.998 - 100;
+        this.at(LEASE_TTL_MS / 8, ifAlive(renewLease));
       };
       this.call(
-        n,
-        life,
-        n.hold === null
-          ? { op: "newHold", ttlMs: TTL_MS }
-          : { op: "touch", hold: n.hold },
-        then,
+        node,
+        incarnation,
+        node.storeLease === null
+          ? { op: "newHold", ttlMs: LEASE_TTL_MS }
+          : { op: "touch", hold: node.storeLease },
+        onReply,
       );
     };
     const watch = (): void => {
-      const since = n.epoch < 0 ? this.store.epoch : n.epoch;
+      const since = node.revision < 0 ? this.store.revision : node.revision;
       this.call(
-        n,
-        life,
+        node,
+        incarnation,
         { op: "changes", prefix: "lc/", since, waitMs: 2_000 },
-        (r) => {
-          if (r.is === "changes") {
-            n.epoch = r.epoch;
-            this.feed(n, {
+        (reply) => {
+          if (reply.is === "changes") {
+            node.revision = reply.epoch;
+            this.feed(node, {
               type: "storeChanges",
               from: since,
-              to: r.epoch,
-              changes: r.changes,
+              to: reply.epoch,
+              changes: reply.changes,
             });
-          } else if (r.is === "gone") n.epoch = -1;
-          this.at(60, alive(watch));
+          } else if (reply.is === "gone") node.revision = -1;
+          this.at(60, ifAlive(watch));
         },
       );
     };
-    keep();
+    renewLease();
     watch();
-    this.at(this.rng.real(0, 200), alive(tick));
+    this.at(this.rng.real(0, 200), ifAlive(tick));
   }
-  kill(n: Node): void {
-    n.life++;
-    n.core = null;
-    n.frozen = false;
-    n.held = [];
+  kill(node: Node): void {
+    node.incarnation++;
+    node.core = null;
+    node.frozen = false;
+    node.deferred = [];
   }
-  freeze(n: Node, forMs: number): void {
-    if (!n.core || n.frozen) return;
-    n.frozen = true;
-    const life = n.life;
+  freeze(node: Node, forMs: number): void {
+    if (!node.core || node.frozen) return;
+    node.frozen = true;
+    const incarnation = node.incarnation;
     this.at(forMs, () => {
-      if (n.life !== life) return;
-      n.frozen = false;
-      const held = n.held;
-      n.held = [];
-      for (const f of held) f();
+      if (node.incarnation !== incarnation) return;
+      node.frozen = false;
+      const deferred = node.deferred;
+      node.deferred = [];
+      for (const f of deferred) f();
     });
   }
 
   private call(
-    n: Node,
-    life: number,
+    node: Node,
+    incarnation: number,
     call: StateCall,
-    done: (r: StateReply) => void,
+    onReply: (r: StateReply) => void,
   ): void {
-    const back = (r: StateReply): void =>
+    const deliverReply = (reply: StateReply): void =>
       this.at(this.rng.real(1, 12), () => {
-        if (n.life !== life) return;
-        if (n.frozen) n.held.push(() => done(r));
-        else done(r);
+        if (node.incarnation !== incarnation) return;
+        if (node.frozen) node.deferred.push(() => onReply(reply));
+        else onReply(reply);
       });
-    if (n.cut) return this.at(200, () => back({ is: "refused", why: "503" }));
+    if (node.disconnected)
+      return this.at(200, () => deliverReply({ is: "refused", why: "503" }));
     const lost = this.rng.chance(this.lossy);
     if (lost && this.rng.chance(0.5)) {
-      // Carried out late, long after it was given up.
+      // The commit may be carried out long after the caller gave it up.
       if (call.op === "commit")
         this.at(this.rng.real(0, 20_000), () =>
           this.store.handle(call, () => {}),
         );
-      return this.at(1_500, () => back({ is: "unknown", why: "timeout" }));
+      return this.at(1_500, () =>
+        deliverReply({ is: "unknown", why: "timeout" }),
+      );
     }
     this.at(this.rng.real(1, 12), () =>
       this.store.handle(
         call,
-        (r) => {
+        (reply) => {
           if (lost)
-            this.at(1_500, () => back({ is: "unknown", why: "timeout" }));
-          else back(r);
+            this.at(1_500, () =>
+              deliverReply({ is: "unknown", why: "timeout" }),
+            );
+          else deliverReply(reply);
         },
         (ms, f) => this.at(ms, f),
       ),
     );
   }
 
-  feed(n: Node, input: WebhookInput): void {
-    if (!n.core) return;
-    const life = n.life;
-    for (const e of n.core.step(input, this.now, this.now))
-      this.carryOut(n, life, e);
+  feed(node: Node, input: WebhookInput): void {
+    if (!node.core) return;
+    const incarnation = node.incarnation;
+    for (const effect of node.core.step(input, this.now, this.now))
+      this.carryOut(node, incarnation, effect);
   }
-  private carryOut(n: Node, life: number, e: WebhookEffect): void {
-    switch (e.type) {
+  private carryOut(
+    node: Node,
+    incarnation: number,
+    effect: WebhookEffect,
+  ): void {
+    switch (effect.type) {
       case "state":
-        return this.call(n, life, e.call, (reply) =>
-          this.feed(n, { type: "state", op: e.op, reply }),
+        return this.call(node, incarnation, effect.call, (reply) =>
+          this.feed(node, { type: "state", op: effect.op, reply }),
         );
       case "attempt":
-        return this.attempt(n, life, e.attempt, e.webhook, e.launch);
+        return this.attempt(
+          node,
+          incarnation,
+          effect.attemptId,
+          effect.webhook,
+          effect.request,
+        );
       case "abort": {
-        const f = n.flights.get(e.attempt);
-        n.flights.delete(e.attempt);
-        if (f)
+        const inFlight = node.attemptsInFlight.get(effect.attemptId);
+        node.attemptsInFlight.delete(effect.attemptId);
+        if (inFlight)
           this.at(
             0,
             () =>
-              n.life === life &&
-              this.feed(n, {
+              node.incarnation === incarnation &&
+              this.feed(node, {
                 type: "attempted",
-                attempt: e.attempt,
+                attemptId: effect.attemptId,
                 result: { is: "aborted" },
               }),
           );
         return;
       }
       case "reply":
-        this.replies.set(e.req, {
-          status: e.status,
-          body: e.body as Record<string, unknown>,
+        this.replies.set(effect.req, {
+          status: effect.status,
+          body: effect.body as Record<string, unknown>,
         });
         return;
       case "settled":
         return;
       case "log":
-        if (e.level === "error")
-          this.fail(`${n.label}: ${e.msg} ${JSON.stringify(e.fields)}`);
+        if (effect.level === "error")
+          this.reportViolation(
+            `${node.label}: ${effect.msg} ${JSON.stringify(effect.fields)}`,
+          );
     }
   }
-  private fail(what: string): void {
+  private reportViolation(what: string): void {
     this.broken.push(`${(this.now / 1000).toFixed(3)} s: ${what}`);
   }
 
   private attempt(
-    n: Node,
-    life: number,
-    attempt: number,
+    node: Node,
+    incarnation: number,
+    attemptId: number,
     webhook: string,
-    l: AttemptRequest,
+    request: AttemptRequest,
   ): void {
-    const key = `${webhook} ${l.end.id}`;
-    // Rules that hold at every attempt.
-    if (l.end.outcome !== "test" && !this.store.data.has(finalKey(l.end.id)))
-      this.fail(`${key}: sent before its end is final`);
-    for (const o of this.nodes) {
-      if (o.core && !o.frozen)
-        for (const f of o.flights.values())
-          if (f.webhook === webhook && f.id === l.end.id)
-            this.fail(`${key}: in flight twice, on ${o.label} and ${n.label}`);
-      if (o !== n && o.core && !o.frozen)
-        for (const f of o.flights.values())
-          if (f.webhook === webhook)
-            this.fail(`${webhook}: two senders, ${o.label} and ${n.label}`);
+    const key = `${webhook} ${request.end.id}`;
+    // Checks that apply to every attempt.
+    if (
+      request.end.outcome !== "test" &&
+      !this.store.data.has(finalKey(request.end.id))
+    )
+      this.reportViolation(`${key}: sent before its end is final`);
+    for (const other of this.nodes) {
+      if (other.core && !other.frozen)
+        for (const flight of other.attemptsInFlight.values())
+          if (flight.webhook === webhook && flight.id === request.end.id)
+            this.reportViolation(
+              `${key}: in flight twice, on ${other.label} and ${node.label}`,
+            );
+      if (other !== node && other.core && !other.frozen)
+        for (const flight of other.attemptsInFlight.values())
+          if (flight.webhook === webhook)
+            this.reportViolation(
+              `${webhook}: two senders, ${other.label} and ${node.label}`,
+            );
     }
     const before = this.lastAttempt.get(key);
-    if (before && l.attempt <= before.attempt)
-      this.fail(`${key}: attempt ${l.attempt} after ${before.attempt}`);
-    if (before && l.reason === null)
-      this.fail(`${key}: repeated without a reason`);
+    if (before && request.attempt <= before.attempt)
+      this.reportViolation(
+        `${key}: attempt ${request.attempt} after ${before.attempt}`,
+      );
+    if (before && request.reason === null)
+      this.reportViolation(`${key}: repeated without a reason`);
     if (
       before &&
-      before.node !== `${n.label}/${life}` &&
-      l.reason !== "owner-lost" &&
-      this.lastReason.get(`${key} ${n.label}/${life}`) === undefined &&
-      l.reason !== "redriven"
+      before.node !== `${node.label}/${incarnation}` &&
+      request.reason !== "owner-lost" &&
+      this.lastReason.get(`${key} ${node.label}/${incarnation}`) ===
+        undefined &&
+      request.reason !== "redriven"
     )
-      this.fail(`${key}: another sender repeats for ${l.reason}`);
-    this.lastReason.set(`${key} ${n.label}/${life}`, l.reason);
+      this.reportViolation(
+        `${key}: another sender repeats for ${request.reason}`,
+      );
+    this.lastReason.set(`${key} ${node.label}/${incarnation}`, request.reason);
     this.lastAttempt.set(key, {
-      attempt: l.attempt,
-      node: `${n.label}/${life}`,
+      attempt: request.attempt,
+      node: `${node.label}/${incarnation}`,
     });
-    const r = this.receivers.get(l.sub.url)!;
-    const end = (result: AttemptResult, afterMs: number): void =>
+    const receiver = this.receivers.get(request.sub.url)!;
+    const finish = (result: AttemptResult, afterMs: number): void =>
       this.at(afterMs, () => {
-        if (n.life !== life || !n.flights.has(attempt)) return;
-        const tell = (): void => {
-          if (n.flights.delete(attempt))
-            this.feed(n, { type: "attempted", attempt, result });
+        if (
+          node.incarnation !== incarnation ||
+          !node.attemptsInFlight.has(attemptId)
+        )
+          return;
+        const deliverResult = (): void => {
+          if (node.attemptsInFlight.delete(attemptId))
+            this.feed(node, {
+              type: "attempted",
+              attemptId,
+              result,
+            });
         };
-        if (n.frozen) n.held.push(tell);
-        else tell();
+        if (node.frozen) node.deferred.push(deliverResult);
+        else deliverResult();
       });
-    n.flights.set(attempt, { webhook, id: l.end.id });
-    if (l.ask && r.mood === "well" && r.has.has(l.end.id))
-      return end({ is: "had" }, 20);
-    r.calls.push({
+    node.attemptsInFlight.set(attemptId, { webhook, id: request.end.id });
+    if (
+      request.ask &&
+      receiver.mode === "healthy" &&
+      receiver.receivedCounts.has(request.end.id)
+    )
+      return finish({ is: "had" }, 20);
+    receiver.calls.push({
       webhook,
-      id: l.end.id,
-      attempt: l.attempt,
-      reason: l.reason,
-      node: n.label,
+      id: request.end.id,
+      attempt: request.attempt,
+      reason: request.reason,
+      node: node.label,
       atMs: this.now,
     });
-    const c = r.call();
-    if (c.got && !r.firstMs.has(l.end.id)) r.firstMs.set(l.end.id, this.now);
-    if (c.got) r.has.set(l.end.id, (r.has.get(l.end.id) ?? 0) + 1);
-    end(
-      c.result ?? { is: "failed", why: "timeout" },
-      c.result ? c.afterMs : DEADLINE_MS,
+    const response = receiver.respond();
+    if (response.received && !receiver.firstReceivedMs.has(request.end.id))
+      receiver.firstReceivedMs.set(request.end.id, this.now);
+    if (response.received)
+      receiver.receivedCounts.set(
+        request.end.id,
+        (receiver.receivedCounts.get(request.end.id) ?? 0) + 1,
+      );
+    finish(
+      response.result ?? { is: "failed", reason: "timeout" },
+      response.result ? response.afterMs : DEADLINE_MS,
     );
   }
   private readonly lastReason = new Map<string, string | null>();
@@ -446,69 +510,72 @@
   // ---- users ---------------------------------------------------------------------------------------------
 
   ask(
-    n: Node,
+    node: Node,
     request: Extract<WebhookInput, { type: "request" }>["request"],
   ): number {
-    const req = ++this.reqs;
-    this.feed(n, { type: "request", req, request });
-    return req;
+    const reqId = ++this.lastReqId;
+    this.feed(node, { type: "request", req: reqId, request });
+    return reqId;
   }
-  /** Adds a hook for all ends and a receiver of its own; waits until it is there. */
-  add(name: string, more: object = {}): Receiver {
+  /** Adds a subscription (by default to all ends) with a receiver of its own, and waits until it exists. */
+  add(name: string, overrides: object = {}): Receiver {
     const url = `http://r-${name}.example.org/in`;
-    const r = new Receiver(this.rng);
-    this.receivers.set(url, r);
+    const receiver = new Receiver(this.rng);
+    this.receivers.set(url, receiver);
     for (let tries = 0; tries < 20; tries++) {
-      const node = this.nodes.find((n) => n.core && !n.cut && !n.frozen)!;
-      const req = this.ask(node, {
+      const node = this.nodes.find(
+        (n) => n.core && !n.disconnected && !n.frozen,
+      )!;
+      const reqId = this.ask(node, {
         is: "add",
-        body: { name, url, keys: ["k1"], ...more },
+        body: { name, url, keys: ["k1"], ...overrides },
       });
       this.run(2_000);
-      if ([201, 409].includes(this.replies.get(req)?.status ?? 0)) return r;
+      if ([201, 409].includes(this.replies.get(reqId)?.status ?? 0))
+        return receiver;
     }
     throw new Error(`hook ${name} could not be added`);
   }
 
-  /** A job ends. `broken`: what hooks are sent from is written after the end, and may be lost with the one who writes it. */
+  /** Ends a job. `outboxAfterEnd`: a faulty controller that writes what webhooks need in a later commit, which may be lost. */
   end(
     id: string,
     team = "red",
     outcome: "done" | "cancelled" = "done",
-    broken = false,
+    outboxAfterEnd = false,
   ): void {
-    const put = (h: boolean): Write => ({
+    const put = (withEnd: boolean): Write => ({
       op: "put",
       key: finalKey(id),
       value: writeFinal({
         status: outcome,
         tasks: 2,
         done: 2,
-        ...(h ? { end: { team, class: "c", at: this.now } } : {}),
+        ...(withEnd ? { end: { team, class: "c", at: this.now } } : {}),
       }),
     });
     const commit = (writes: Write[]): void =>
-      this.store.handle({ op: "commit", conditions: [], writes }, (r) => {
-        if (r.is !== "committed") return this.at(50, () => commit(writes));
-        if (!this.ended.has(id)) this.order.push(id);
+      this.store.handle({ op: "commit", conditions: [], writes }, (reply) => {
+        if (reply.is !== "committed") return this.at(50, () => commit(writes));
+        if (!this.ended.has(id)) this.endOrder.push(id);
         this.ended.set(id, { team, outcome, atMs: this.now });
       });
-    commit([put(!broken)]);
-    if (broken && !this.rng.chance(0.01))
+    commit([put(!outboxAfterEnd)]);
+    if (outboxAfterEnd && !this.rng.chance(0.01))
       this.at(this.rng.real(1, 50), () => commit([put(true)]));
   }
 
-  /** What is owed to a receiver and did not arrive; what arrived and was not owed. */
+  /** Ids of jobs whose notification the receiver should have and has not, or has and should not have. */
   missing(
-    r: Receiver,
-    wants: (e: { team: string; outcome: string }) => boolean = () => true,
+    receiver: Receiver,
+    isOwed: (e: { team: string; outcome: string }) => boolean = () => true,
   ): string[] {
     return [...this.ended]
-      .filter(([id, e]) => wants(e) !== r.has.has(id))
+      .filter(([id, e]) => isOwed(e) !== receiver.receivedCounts.has(id))
       .map(([id]) => id);
   }
-  /** Bytes that hooks keep in the state service, beside subscriptions. */
-  webhookRecords(): number {
+  /** Number of spool and dead-letter batches in the state service. */
+  batchCount(): number {
     return [...this.store.data.keys()].filter(
       (k) =>
         k.startsWith(WEBHOOKS_PREFIX) &&
@@ -517,57 +584,60 @@
   }
 }
 
-const MOODS: Mood[] = [
+const FAULT_MODES: ReceiverMode[] = [
   "silent",
   "late",
   "reset",
-  "dies",
+  "reset-after-receipt",
   "500",
   "429",
   "refused",
   "tls",
 ];
 
-/** Injected faults of a day: moods of receivers, kills, freezes, cuts, lost answers. */
-export function faults(w: WebhookWorld, forMs: number): void {
-  const { rng } = w;
-  for (const r of w.receivers.values())
+/** Schedules faults: failing receivers, controllers killed, frozen or without the state service. */
+export function faults(world: WebhookWorld, forMs: number): void {
+  const { rng } = world;
+  for (const receiver of world.receivers.values())
     for (
-      let t = rng.real(2_000, 20_000);
-      t < forMs;
-      t += rng.real(5_000, 60_000)
+      let atMs = rng.real(2_000, 20_000);
+      atMs < forMs;
+      atMs += rng.real(5_000, 60_000)
     ) {
-      const mood = rng.pick(MOODS);
-      w.at(t, () => (r.mood = mood));
-      w.at(t + rng.real(1_000, 25_000), () => (r.mood = "well"));
+      const mode = rng.pick(FAULT_MODES);
+      world.at(atMs, () => (receiver.mode = mode));
+      world.at(
+        atMs + rng.real(1_000, 25_000),
+        () => (receiver.mode = "healthy"),
+      );
     }
   for (
-    let t = rng.real(3_000, 15_000);
-    t < forMs;
-    t += rng.real(8_000, 40_000)
+    let atMs = rng.real(3_000, 15_000);
+    atMs < forMs;
+    atMs += rng.real(8_000, 40_000)
   ) {
-    const some = rng.chance(0.2) ? w.nodes : [rng.pick(w.nodes)];
+    const affected = rng.chance(0.2) ? world.nodes : [rng.pick(world.nodes)];
     const kind = rng.int(0, 2);
-    w.at(t, () => {
-      for (const n of some) {
-        if (kind === 0 && n.core) {
-          w.kill(n);
-          w.at(rng.real(500, 20_000), () => n.core || w.start(n));
-        } else if (kind === 1) w.freeze(n, rng.real(500, 18_000));
+    world.at(atMs, () => {
+      for (const node of affected) {
+        if (kind === 0 && node.core) {
+          world.kill(node);
+          world.at(rng.real(500, 20_000), () => node.core || world.start(node));
+        } else if (kind === 1) world.freeze(node, rng.real(500, 18_000));
         else {
-          n.cut = true;
-          w.at(rng.real(1_000, 20_000), () => (n.cut = false));
+          node.disconnected = true;
+          world.at(rng.real(1_000, 20_000), () => (node.disconnected = false));
         }
       }
     });
   }
 }
-/** The end of all injected faults. */
-export function calm(w: WebhookWorld): void {
-  for (const r of w.receivers.values()) r.mood = "well";
-  w.lossy = 0;
-  for (const n of w.nodes) {
-    n.cut = false;
-    if (!n.core) w.start(n);
+/** Ends all injected faults and restarts killed controllers. */
+export function calm(world: WebhookWorld): void {
+  for (const receiver of world.receivers.values()) receiver.mode = "healthy";
+  world.lossy = 0;
+  for (const node of world.nodes) {
+    node.disconnected = false;
+    if (!node.core) world.start(node);
   }
 }
