--- a/src/webhooks/delivery.ts
+++ b/src/webhooks/delivery.ts
@@ -183,9 +183,9 @@
     const { window, ...recordFields } = progress;
     this.record = recordFields;
     // The former owner may have sent any of these, as often as the record allows for.
-    this.window = window.map((o) => ({
-      ...o,
-      reservedAttempts: o.attempts,
+    this.window = window.map((pending) => ({
+      ...pending,
+      reservedAttempts: pending.attempts,
       failures: 0,
       reason: "owner-lost",
       notBeforeMs: host.nowMs,
--- a/src/webhooks/index.ts
+++ b/src/webhooks/index.ts
@@ -38,7 +38,7 @@
   private readonly sender: WebhookSender;
   private readonly pendingRequests = new Map<
     number,
-    (r: { status: number; body: object }) => void
+    (reply: { status: number; body: object }) => void
   >();
   private lastReqId = 0;
 
@@ -75,7 +75,7 @@
     this.step({ type: "permit", ...this.host.leadershipLease() });
   }
   routes(bodyLimit: MiddlewareHandler): Hono {
-    return webhookRoutes((r) => this.handleRequest(r), bodyLimit);
+    return webhookRoutes((request) => this.handleRequest(request), bodyLimit);
   }
   get figures(): WebhookCore["figures"] {
     return this.core.figures;
--- a/src/webhooks/records.ts
+++ b/src/webhooks/records.ts
@@ -143,6 +143,7 @@
 export interface ProgressRecord {
   /** Counts the writes of this record under one token, so that a write whose reply was lost can be recognized. */
   seq: number;
+  /** Fencing token of the lane when the record was written. */
   token: number;
   /** All ends up to here are in the window, in the spool, or settled; null: all up to this record's own revision. */
   cursor: Cursor | null;
@@ -152,12 +153,14 @@
   spool: { first: number; taken: number; next: number };
   /** Number of the first batch of dead letters, and of the next one to be written. */
   dead: { first: number; next: number };
+  /** How many of the subscription's redrives and test notifications have been handled. */
   redrives: number;
   tests: number;
   /** Set while ends up to revision `to` are searched for among all final records; `after` is the last key read. */
   listing: { to: number; after: string } | null;
 }
 export interface Batch {
+  /** The cursor after this batch; null if the batch does not move it (ends found among all final records, dead letters). */
   to: Cursor | null;
   entries: PendingDelivery[];
 }
@@ -346,6 +349,7 @@
   e: packer.entries,
 });
 
+/** `hold`: the owner's store lease. */
 export const readLaneOwner = (
   value: unknown,
 ): { owner: string; hold: number } | null => read(LaneOwnerValue, value);
--- a/src/webhooks/subscription-requests.ts
+++ b/src/webhooks/subscription-requests.ts
@@ -109,9 +109,9 @@
           });
         });
       case "show":
-        return this.withSubscription(request.name, reply, (s) =>
+        return this.withSubscription(request.name, reply, (subscription) =>
           reply(200, {
-            ...subscriptionView(request.name, s),
+            ...subscriptionView(request.name, subscription),
             sending: this.figuresOf(request.name),
           }),
         );
--- a/src/webhooks/webhook-core.ts
+++ b/src/webhooks/webhook-core.ts
@@ -117,7 +117,10 @@
   private effects: WebhookEffect[] = [];
   private lastCallId = 0;
   private lastAttemptId = 0;
-  private readonly pendingCalls = new Map<number, (r: StateReply) => void>();
+  private readonly pendingCalls = new Map<
+    number,
+    (reply: StateReply) => void
+  >();
   private readonly deliveryByAttempt = new Map<number, Delivery>();
   private storeLease: number | null = null;
   private leadershipLeaseUntilMs = -Infinity;
@@ -585,7 +588,7 @@
     if (presenceStable && !chosenHere) {
       // Invariant (nothing in flight twice): a lane is given up only when no attempt is in flight and all results are written.
       if (names.every((n) => this.deliveries.get(n)?.idle !== false)) {
-        for (const n of names) this.dropDelivery(n);
+        for (const name of names) this.dropDelivery(name);
         this.commitOnce(
           `lane ${lane}`,
           [{ key: laneOwnerKey(lane), version: token }],
--- a/test/webhooks/measure.ts
+++ b/test/webhooks/measure.ts
@@ -64,8 +64,8 @@
           value: 1,
         })),
       },
-      (r) => {
-        if (r.is === "committed") sent += perCommit;
+      (reply) => {
+        if (reply.is === "committed") sent += perCommit;
       },
     );
   }
--- a/test/webhooks/processes.ts
+++ b/test/webhooks/processes.ts
@@ -28,7 +28,7 @@
   new Promise((r) => setTimeout(r, ms));
 async function bodyOf(request: http.IncomingMessage): Promise<string> {
   let text = "";
-  for await (const d of request) text += String(d);
+  for await (const chunk of request) text += String(chunk);
   return text;
 }
 
@@ -444,9 +444,9 @@
   }
   async stop(): Promise<void> {
     for (let i = 0; i < this.nodes.length; i++) await this.kill(i);
-    for (const s of this.servers) {
-      s.close();
-      s.closeAllConnections();
+    for (const server of this.servers) {
+      server.close();
+      server.closeAllConnections();
     }
     if (this.expiryTimer) clearInterval(this.expiryTimer);
   }
--- a/test/webhooks/store.ts
+++ b/test/webhooks/store.ts
@@ -23,7 +23,7 @@
   private watchers: {
     prefix: string;
     since: number;
-    onReply: (r: StateReply) => void;
+    onReply: (reply: StateReply) => void;
   }[] = [];
   /** Number of puts and deletes carried out. */
   changes = 0;
@@ -89,7 +89,7 @@
   /** `callAfter`: a timer, which ends watches without changes. */
   handle(
     call: StateCall,
-    onReply: (r: StateReply) => void,
+    onReply: (reply: StateReply) => void,
     callAfter: (ms: number, f: () => void) => void = () => {},
   ): void {
     this.expireLeases();
--- a/test/webhooks/webhook-sending.test.ts
+++ b/test/webhooks/webhook-sending.test.ts
@@ -85,9 +85,9 @@
       status: number,
       text: RegExp,
     ): Promise<void> => {
-      const r = await d.ask("POST", "/v1/hooks", body);
-      assert.equal(r.status, status, JSON.stringify(r.body));
-      assert.match(String(r.body["error"]), text);
+      const response = await d.ask("POST", "/v1/hooks", body);
+      assert.equal(response.status, status, JSON.stringify(response.body));
+      assert.match(String(response.body["error"]), text);
     };
     await bad({ url: d.url, keys: ["k1"] }, 400, /^name: /);
     await bad(
--- a/test/webhooks/webhook-world.ts
+++ b/test/webhooks/webhook-world.ts
@@ -304,7 +304,7 @@
       node.frozen = false;
       const deferred = node.deferred;
       node.deferred = [];
-      for (const f of deferred) f();
+      for (const action of deferred) action();
     });
   }
 
@@ -312,7 +312,7 @@
     node: Node,
     incarnation: number,
     call: StateCall,
-    onReply: (r: StateReply) => void,
+    onReply: (reply: StateReply) => void,
   ): void {
     const deliverReply = (reply: StateReply): void =>
       this.at(this.rng.real(1, 12), () => {
