--- a/test/scenarios/cancelled-in-transfer.test.ts
+++ b/test/scenarios/cancelled-in-transfer.test.ts
@@ -3,11 +3,11 @@
 import { cancelledInTransfer } from "./cancelled-in-transfer.js";
 import { expectDetected, expectRulesKept } from "./expect.js";
 
-test("jobs cancelled in each phase in which a group changes hands: nothing of them starts, and what runs is gone in time", () => {
+test("jobs cancelled in each phase of a leadership transfer: none of their tasks starts, and running ones are stopped in time", () => {
   expectRulesKept(cancelledInTransfer, [0, 1, 2, 3, 4, 5, 6, 7], 3);
 });
 
-test("guard: a new leader stops tasks of jobs that it does not know", () => {
+test("guard: a new leader stops tasks of jobs that are unknown to it", () => {
   expectDetected(cancelledInTransfer, [0], "ran_cancelled", () => {
     type WithCommands = {
       commandsFor(w: { unconfirmedTasks: Map<string, unknown> }): unknown;
--- a/test/scenarios/cancelled-in-transfer.ts
+++ b/test/scenarios/cancelled-in-transfer.ts
@@ -4,79 +4,85 @@
   cutOffLeader,
   partitionOf,
   Occurrences,
-  ownerOf,
+  ownershipOf,
   plainJob,
-  restart,
+  restartController,
   runToEnd,
   type ScenarioRun,
   stage,
   tasksOnMachines,
 } from "./stage.js";
 
-const OVER_MS = 170_000;
-const EPISODE_MS = 28_000;
+const FAULTS_END_MS = 170_000;
+const TRANSFER_INTERVAL_MS = 28_000;
 
-/** Where a group stands while it changes hands. */
+/** Phases of a leadership transfer. */
 const PHASES = [
-  "its leader is gone, its hold lasts",
-  "between the hold's end and the new token",
-  "given up on purpose, before the new token",
-  "the new leader reads for the first time",
-  "before the fence is over",
-  "the leader is back within a second",
+  "the leader is unresponsive, its store lease is valid",
+  "between the end of the store lease and the new token",
+  "released by its leader, before the new token",
+  "the new leader does its first read",
+  "before the failover is complete",
+  "the leader has restarted within a second",
 ] as const;
 type Phase = (typeof PHASES)[number];
 
-/** Who owned a group last, and how that ended. */
+/** The former leader of a partition, and how its leadership ended. */
 interface Transfer {
   partition: string;
   leader: string;
   token: number;
-  backWithinMs: number | null;
-  isGivenUp: boolean;
-  done: Set<Phase>;
+  /** Downtime of a leader that restarts within a second; null: it is away for longer. */
+  returnDelayMs: number | null;
+  /** The leader deleted the partition's record. */
+  isReleased: boolean;
+  handledPhases: Set<Phase>;
 }
 
 /**
- * Jobs with tasks on a group's machines are cancelled in each phase in which that group changes hands: nothing of them starts any more,
- * and what runs is gone in time, although the leader that began it never hears of the cancellation.
+ * Cancels jobs with tasks on a partition's machines in each phase of a leadership transfer. None of their tasks may start any
+ * more, and running ones must end in time, although the leader that started them never learns of the cancellation.
  */
 export function cancelledInTransfer(seed: number): ScenarioRun {
   const world = stage(seed, { controllers: 2 + (seed % 3), runFactor: 12 });
   const occurred = new Occurrences(PHASES);
   let current: Transfer | null = null;
-  world.checker.onTold = (id, told) => {
-    if (told !== "cancelled" || !current) return;
+  world.checker.onTold = (id, status) => {
+    if (status !== "cancelled" || !current) return;
     const phase = phaseOf(world, current);
     if (phase && isOnPartition(world, id, current.partition))
       occurred.note(phase);
   };
-  watchGivenUp(world, () => current);
-  for (let atMs = 12_000; atMs < OVER_MS - EPISODE_MS; atMs += EPISODE_MS)
-    world.at(atMs, () => (current = begin(world)));
+  watchReleases(world, () => current);
+  for (
+    let atMs = 12_000;
+    atMs < FAULTS_END_MS - TRANSFER_INTERVAL_MS;
+    atMs += TRANSFER_INTERVAL_MS
+  )
+    world.at(atMs, () => (current = startTransfer(world)));
   world.every(25, () => current && cancelInPhase(world, current));
-  submitWorkload(world, OVER_MS - 10_000, plainJob);
-  runToEnd(world, OVER_MS);
+  submitWorkload(world, FAULTS_END_MS - 10_000, plainJob);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
-/** The leader of a group with tasks ends, is cut off, stands still, or is back at once. */
-function begin(world: World): Transfer | null {
+/** Crashes, cuts off, pauses or quickly restarts the leader of a partition with tasks; null: there is none now. */
+function startTransfer(world: World): Transfer | null {
   const { rng } = world;
-  const busy = [...tasksOnMachines(world)].map((x) =>
+  const partitionsWithTasks = [...tasksOnMachines(world)].map((x) =>
     partitionOf(world, x.machine),
   );
-  if (busy.length === 0) return null;
-  const partition = rng.pick(busy);
-  const record = ownerOf(world, partition);
+  if (partitionsWithTasks.length === 0) return null;
+  const partition = rng.pick(partitionsWithTasks);
+  const record = ownershipOf(world, partition);
   if (!record || !world.nodes.get(record.owner)) return null;
   const { owner: leader, token } = record;
-  let backWithinMs: number | null = null;
+  let returnDelayMs: number | null = null;
   switch (rng.int(0, 4)) {
     case 0:
     case 1:
-      // Away for long enough for a peer to take the group, and given it back on purpose later.
-      restart(world, leader, rng.real(16_000, 19_000));
+      // Long enough for a peer to take the partition; the peer releases it on purpose once the leader is back.
+      restartController(world, leader, rng.real(16_000, 19_000));
       break;
     case 2:
       cutOffLeader(world, leader, 18_000);
@@ -85,53 +91,53 @@
       world.freeze(leader, rng.real(15_000, 18_000));
       break;
     case 4:
-      backWithinMs = rng.real(50, 900);
-      restart(world, leader, backWithinMs);
+      returnDelayMs = rng.real(50, 900);
+      restartController(world, leader, returnDelayMs);
   }
   return {
     partition,
     leader,
     token,
-    backWithinMs,
-    isGivenUp: false,
-    done: new Set(),
+    returnDelayMs: returnDelayMs,
+    isReleased: false,
+    handledPhases: new Set(),
   };
 }
 
-/** A record that its owner deletes was given up; one that goes away with its hold was not. */
-function watchGivenUp(world: World, current: () => Transfer | null): void {
+/** Notes whether the partition was released: its owner deletes the record; a record that expires with the store lease was not released. */
+function watchReleases(world: World, current: () => Transfer | null): void {
   world.onCommitted.push((_name, commit) => {
     const transfer = current();
     if (!transfer) return;
     for (const write of commit.writes) {
       if (write.key !== `lc/now/group/${transfer.partition}`) continue;
-      transfer.isGivenUp = write.op === "delete";
-      transfer.done.clear();
+      transfer.isReleased = write.op === "delete";
+      transfer.handledPhases.clear();
     }
   });
 }
 
 function phaseOf(world: World, transfer: Transfer): Phase | null {
-  const record = ownerOf(world, transfer.partition);
+  const record = ownershipOf(world, transfer.partition);
   if (!record)
-    return transfer.isGivenUp
-      ? "given up on purpose, before the new token"
-      : "between the hold's end and the new token";
+    return transfer.isReleased
+      ? "released by its leader, before the new token"
+      : "between the end of the store lease and the new token";
   const node = world.nodes.get(record.owner) ?? null;
   if (record.token === transfer.token) {
-    if (!isAway(world, record.owner))
-      return transfer.backWithinMs === null
+    if (!isUnresponsive(world, record.owner))
+      return transfer.returnDelayMs === null
         ? null
-        : "the leader is back within a second";
-    return "its leader is gone, its hold lasts";
+        : "the leader has restarted within a second";
+    return "the leader is unresponsive, its store lease is valid";
   }
   const leader = node?.core.leaders.get(transfer.partition);
-  if (!leader) return "the new leader reads for the first time";
-  return leader.state.isFenced ? "before the fence is over" : null;
+  if (!leader) return "the new leader does its first read";
+  return leader.state.isFenced ? "before the failover is complete" : null;
 }
 
-/** It neither acts nor hears of anything. */
-function isAway(world: World, name: string): boolean {
+/** The controller is down, paused or cut off from the state service. */
+function isUnresponsive(world: World, name: string): boolean {
   const node = world.nodes.get(name) ?? null;
   return node === null || node.still !== null || world.stateCut.has(name);
 }
@@ -143,12 +149,12 @@
   return false;
 }
 
-/** Once in each phase, two jobs with tasks on the group's machines. */
+/** Cancels up to three jobs with tasks on the partition's machines, once in each phase. */
 function cancelInPhase(world: World, transfer: Transfer): void {
   const { rng } = world;
   const phase = phaseOf(world, transfer);
-  if (phase === null || transfer.done.has(phase)) return;
-  transfer.done.add(phase);
+  if (phase === null || transfer.handledPhases.has(phase)) return;
+  transfer.handledPhases.add(phase);
   const jobs = new Set<string>();
   for (const { machine, task } of tasksOnMachines(world))
     if (
--- a/test/scenarios/commit-kinds.ts
+++ b/test/scenarios/commit-kinds.ts
@@ -2,7 +2,7 @@
 import { parseKey, readJob, readFinal } from "../../src/storage/records.js";
 import type { CommitCall, World } from "../simulation/world.js";
 
-/** Kinds of commits, as the table of commits in docs/design/meetings.md has them. */
+/** Kinds of commits, named as in the table of commits in docs/design/meetings.md. */
 export const COMMIT_KINDS = [
   "accept",
   "withdraw or end of a line",
@@ -24,7 +24,7 @@
 ] as const;
 export type CommitKind = (typeof COMMIT_KINDS)[number];
 
-/** What a transaction does, by its writes and by what it is conditional on. */
+/** The kinds of a transaction, derived from its writes and conditions. */
 export function kindsOf(world: World, commit: CommitCall): Set<CommitKind> {
   const kinds = new Set<CommitKind>();
   const endsJob = commit.writes.some(
--- a/test/scenarios/concurrent-queries.ts
+++ b/test/scenarios/concurrent-queries.ts
@@ -10,159 +10,172 @@
   cutFromPeers,
   Occurrences,
   plainJob,
-  refuse,
-  restart,
+  refuseStoreCalls,
+  restartController,
   runToEnd,
   type ScenarioRun,
   stage,
   watchPartitions,
 } from "./stage.js";
 
-const OVER_MS = 120_000;
-/** Questions at all controllers come in three bursts after a user was told something, each within 20 ms of its beginning. */
-const BURSTS_MS = [0, 40, 250];
-/** What happened to a controller so lately counts as just now. */
-const JUST_MS = 1_000;
+const FAULTS_END_MS = 120_000;
+/** Delays, after a user learns a new status, of the three bursts of queries to all controllers; a burst lasts at most 20 ms. */
+const QUERY_DELAYS_MS = [0, 40, 250];
+/** A controller "just" started, took or lost a partition if that was at most this long ago. */
+const RECENT_MS = 1_000;
 
-const TOLD = ["accepted", "done", "cancelled"] as const;
+const REPORTED_STATUSES = ["accepted", "done", "cancelled"] as const;
 const CONDITIONS = [
   "refused by the state service",
   "cut from its peers",
   "just started",
-  "just took a group",
-  "just lost a group",
+  "just took a partition",
+  "just lost a partition",
   "has an unanswered commit on the job",
 ] as const;
 type Condition = (typeof CONDITIONS)[number];
 
-/** What each controller went through lately. */
-class Conditions {
-  readonly tookMs = new Map<string, number>();
-  readonly lostMs = new Map<string, number>();
-  /** By job: who has a commit on it without an answer, and until when. */
-  readonly unanswered = new Map<string, { name: string; untilMs: number }>();
+/** Recent faults and leadership changes of each controller. */
+class ControllerConditions {
+  readonly lastTakeoverMs = new Map<string, number>();
+  readonly lastLossMs = new Map<string, number>();
+  /** By job: the controller that has an unanswered commit on it, and until when the commit counts as unanswered. */
+  readonly unansweredCommits = new Map<
+    string,
+    { name: string; untilMs: number }
+  >();
 
   constructor(private readonly world: World) {}
 
-  private isRecent(ms: number | undefined): boolean {
-    return ms !== undefined && this.world.now - ms <= JUST_MS;
+  private isRecent(timeMs: number | undefined): boolean {
+    return timeMs !== undefined && this.world.now - timeMs <= RECENT_MS;
   }
-  of(name: string, id: string): Condition[] {
+  conditionsOf(name: string, job: string): Condition[] {
     const { world } = this;
     const startedMs = world.nodes.get(name)?.startedMs;
-    const open = this.unanswered.get(id);
-    const holds: Record<Condition, boolean> = {
+    const unansweredCommit = this.unansweredCommits.get(job);
+    const applies: Record<Condition, boolean> = {
       "refused by the state service": world.stateCut.get(name) === "refused",
       "cut from its peers": world.meshCuts.has(name),
       "just started": startedMs !== 0 && this.isRecent(startedMs),
-      "just took a group": this.isRecent(this.tookMs.get(name)),
-      "just lost a group": this.isRecent(this.lostMs.get(name)),
+      "just took a partition": this.isRecent(this.lastTakeoverMs.get(name)),
+      "just lost a partition": this.isRecent(this.lastLossMs.get(name)),
       "has an unanswered commit on the job":
-        open?.name === name && world.now <= open.untilMs,
+        unansweredCommit?.name === name &&
+        world.now <= unansweredCommit.untilMs,
     };
-    return CONDITIONS.filter((c) => holds[c]);
+    return CONDITIONS.filter((c) => applies[c]);
   }
 }
 
 /**
- * Users ask at all controllers within milliseconds, and repeat the submission, right after they were told that a job is accepted, done
- * or cancelled, and some cancel at once; meanwhile one controller is refused, cut from its peers, has just started, has just taken or
- * lost a group, or has a commit on that very job without an answer.
+ * Right after users learn that a job is accepted, done or cancelled, they query all controllers within milliseconds and repeat
+ * the submission; some cancel at once. Meanwhile one controller is refused by the state service, cut from its peers, has just
+ * started, has just taken or lost a partition, or has an unanswered commit on the same job.
  */
-export function closeQuestions(seed: number): ScenarioRun {
+export function concurrentQueries(seed: number): ScenarioRun {
   const world = stage(seed, { controllers: 3 + (seed % 3), runFactor: 0.7 });
   const { rng } = world;
   const occurred = new Occurrences([
-    ...TOLD.flatMap((t) => CONDITIONS.map((c) => `${t}, ${c}`)),
+    ...REPORTED_STATUSES.flatMap((t) => CONDITIONS.map((c) => `${t}, ${c}`)),
     "cancelled within 100 ms of accepted",
     "accepted, waits for another job",
   ]);
-  const conditions = new Conditions(world);
+  const conditions = new ControllerConditions(world);
 
-  world.checker.onTold = (id, told) => {
-    if (world.now > OVER_MS) return;
-    for (const afterMs of BURSTS_MS)
+  world.checker.onTold = (id, status) => {
+    if (world.now > FAULTS_END_MS) return;
+    for (const afterMs of QUERY_DELAYS_MS)
       world.at(afterMs, () => {
         for (const name of world.names)
-          for (const c of conditions.of(name, id))
-            occurred.note(`${told}, ${c}`);
+          for (const c of conditions.conditionsOf(name, id))
+            occurred.note(`${status}, ${c}`);
         askAllControllers(world, id);
       });
-    if (told === "accepted" && (world.dependsOn.get(id)?.length ?? 0) > 0)
+    if (status === "accepted" && (world.dependsOn.get(id)?.length ?? 0) > 0)
       occurred.note("accepted, waits for another job");
-    if (told === "accepted" && rng.chance(0.2)) {
+    if (status === "accepted" && rng.chance(0.2)) {
       occurred.note("cancelled within 100 ms of accepted");
       world.at(rng.real(0, 100), () => cancel(world, id));
     }
-    if (rng.chance(0.15)) disturb(world);
+    if (rng.chance(0.15)) injectFault(world);
   };
 
-  loseAnswersOnJobs(world, conditions);
-  tellAtTakeovers(world, conditions);
-  submitWorkload(world, OVER_MS - 5_000, plainJob);
-  pipelines(world, 5_000, OVER_MS - 10_000);
-  runToEnd(world, OVER_MS + 5_000);
+  loseRepliesOnJobs(world, conditions);
+  changeJobsAtTakeovers(world, conditions);
+  submitWorkload(world, FAULTS_END_MS - 5_000, plainJob);
+  pipelines(world, 5_000, FAULTS_END_MS - 10_000);
+  runToEnd(world, FAULTS_END_MS + 5_000);
   return { world, occurred: occurred.counts };
 }
 
-/** One controller is hit by a fault at the moment of a telling, before the questions that follow it. */
-function disturb(world: World): void {
+/** Injects a fault into one controller when a user learns a status, before the queries that follow. */
+function injectFault(world: World): void {
   const { rng } = world;
   const name = rng.pick(world.names);
   const forMs = rng.real(300, 3_000);
   switch (rng.int(0, 2)) {
     case 0:
-      return refuse(world, name, forMs);
+      return refuseStoreCalls(world, name, forMs);
     case 1:
       return cutFromPeers(world, name, forMs);
     case 2:
-      return restart(world, name, rng.real(0, 150));
+      return restartController(world, name, rng.real(0, 150));
   }
 }
 
-/** Some transactions on a job are carried out and not answered; others are asked about the job before their writer knows. */
-function loseAnswersOnJobs(world: World, conditions: Conditions): void {
+/** Carries out some transactions on jobs without answering them, and queries all controllers before the writer knows the outcome. */
+function loseRepliesOnJobs(
+  world: World,
+  conditions: ControllerConditions,
+): void {
   const { rng } = world;
   world.commitFate = (name, commit) => {
     const id = commit.writes
       .map((w) => /^lc\/(?:now\/job|past)\/(.*)$/.exec(w.key)?.[1])
       .find((x) => x !== undefined);
-    if (id === undefined || world.now > OVER_MS || !rng.chance(0.15))
+    if (id === undefined || world.now > FAULTS_END_MS || !rng.chance(0.15))
       return undefined;
     const beforeMs = rng.real(1, 20);
-    conditions.unanswered.set(id, { name, untilMs: world.now + 1_500 });
+    conditions.unansweredCommits.set(id, { name, untilMs: world.now + 1_500 });
     world.at(beforeMs + rng.real(0, 300), () => askAllControllers(world, id));
     return { beforeMs, answered: false };
   };
 }
 
-/** A controller that takes a group, and the one that lost it, are asked about what users are told at that moment. */
-function tellAtTakeovers(world: World, conditions: Conditions): void {
+/** Submits and cancels jobs around takeovers, so that queries reach the controllers that have just taken or lost a partition. */
+function changeJobsAtTakeovers(
+  world: World,
+  conditions: ControllerConditions,
+): void {
   const { rng } = world;
-  const tell = (): void => {
-    if (world.now > OVER_MS) return;
+  const changeJobs = (): void => {
+    if (world.now > FAULTS_END_MS) return;
     const accepted = [...world.checker.told].filter(
       ([, t]) => t === "accepted",
     );
     for (let n = 0; n < 3 && accepted.length > 0; n++) {
       const [id] = rng.pick(accepted);
-      world.at(rng.real(0, JUST_MS / 2), () => cancel(world, id));
+      world.at(rng.real(0, RECENT_MS / 2), () => cancel(world, id));
     }
     for (let n = 0; n < 3; n++) {
       const spec = plainJob(world, 700_000 + ++submitted);
       world.specs.set(spec.id, spec);
-      world.at(rng.real(0, JUST_MS / 2), () => submit(world, spec, world.now));
+      world.at(rng.real(0, RECENT_MS / 2), () =>
+        submit(world, spec, world.now),
+      );
     }
   };
   let submitted = 0;
   watchPartitions(world, ({ owner, formerOwner }) => {
-    conditions.tookMs.set(owner, world.now);
-    if (formerOwner !== owner) conditions.lostMs.set(formerOwner, world.now);
-    tell();
+    conditions.lastTakeoverMs.set(owner, world.now);
+    if (formerOwner !== owner)
+      conditions.lastLossMs.set(formerOwner, world.now);
+    changeJobs();
   });
-  // A peer takes the groups of one that is away for longer than its hold; when it is back it asks for its own, and that peer gives it up.
+  // Downtime longer than a store lease: a peer takes the partition, and releases it when the restarted controller asks for it.
   for (const awayMs of [10_000, 60_000])
     world.at(awayMs, () =>
-      restart(world, rng.pick(world.names), rng.real(17_000, 24_000)),
+      restartController(world, rng.pick(world.names), rng.real(17_000, 24_000)),
     );
 }
--- a/test/scenarios/delayed-commands.ts
+++ b/test/scenarios/delayed-commands.ts
@@ -6,52 +6,52 @@
   isUnreachable,
   LOW_LIMITS,
   Occurrences,
-  ownerOf,
+  ownershipOf,
   plainJob,
-  putOutOfReach,
-  restart,
+  makeUnreachable,
+  restartController,
   runToEnd,
   type ScenarioRun,
   stage,
 } from "./stage.js";
 
-const OVER_MS = 160_000;
-/** Part of the direct commands that are held up, unanswered, and for how long. */
-const HELD_SHARE = 0.5;
-const HELD_MS = [2_000, 16_000] as const;
+const FAULTS_END_MS = 160_000;
+/** Share of the direct commands with starts that are delayed without an answer, and the range of the delay. */
+const DELAYED_SHARE = 0.5;
+const DELAY_MS = [2_000, 16_000] as const;
 
-const CONJUNCTIONS = [
+const COMBINATIONS = [
   "carried out late under the same leader",
-  "carried out after the group has a new leader, of which the machine has not heard",
-  "refused, for the machine has heard of a new leader",
-  "refused, for the machine has a new session",
-  "carried out late on a machine that can't report",
+  "carried out after a change of leader that the machine has not seen",
+  "refused, the machine has seen a higher token",
+  "refused, the machine has a new incarnation",
+  "carried out late on a machine that can't send heartbeats",
   "carried out late although the job is cancelled",
 ] as const;
-type Conjunction = (typeof CONJUNCTIONS)[number];
+type Combination = (typeof COMBINATIONS)[number];
 
 /**
- * Direct commands with starts are held up for 2 to 16 s and then carried out once, if token and session still match; meanwhile their
- * leader ends, their machine can't report, or the job is cancelled.
+ * Direct commands with starts are delayed by 2 to 16 s and then carried out once, if token and incarnation still match. Meanwhile
+ * their leader crashes, their machine can't send heartbeats, or the job is cancelled.
  */
-export function heldCommands(seed: number): ScenarioRun {
+export function delayedCommands(seed: number): ScenarioRun {
   const world = stage(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 3,
     teams: LOW_LIMITS,
   });
   const { rng } = world;
-  const occurred = new Occurrences(CONJUNCTIONS);
+  const occurred = new Occurrences(COMBINATIONS);
   world.commandHold = (leader, machine, token, commands) => {
     const start = commands.find((o) => o.op === "start");
-    if (!start || world.now > OVER_MS || !rng.chance(HELD_SHARE))
+    if (!start || world.now > FAULTS_END_MS || !rng.chance(DELAYED_SHARE))
       return undefined;
-    disturb(world, leader, machine, start.job);
+    injectFault(world, leader, machine, start.job);
     const incarnation = machine.incarnation;
     return {
-      forMs: rng.real(...HELD_MS),
+      forMs: rng.real(...DELAY_MS),
       onArrival: () => {
-        for (const c of conjunctionsOf(
+        for (const c of combinationsOf(
           world,
           machine,
           token,
@@ -62,16 +62,16 @@
       },
     };
   };
-  submitWorkload(world, OVER_MS - 15_000, (w, n) => ({
+  submitWorkload(world, FAULTS_END_MS - 15_000, (w, n) => ({
     ...plainJob(w, n),
     tasks: w.rng.int(1, 3),
   }));
-  runToEnd(world, OVER_MS);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
-/** While a command is held up. */
-function disturb(
+/** Injects a fault while a command is delayed. */
+function injectFault(
   world: World,
   leader: string,
   machine: SimWorker,
@@ -82,18 +82,35 @@
   switch (rng.int(0, 5)) {
     case 0:
     case 1:
-      world.at(afterMs, () => restart(world, leader, rng.real(50, 900)));
-      // It hears of its new leader only after the command has come.
+      world.at(afterMs, () =>
+        restartController(world, leader, rng.real(50, 900)),
+      );
+      // The machine learns of its new leader only after the command has arrived.
       if (rng.chance(0.5))
-        putOutOfReach(world, machine, "mute", rng.real(5_000, 9_000));
+        makeUnreachable(
+          world,
+          machine,
+          "can't connect",
+          rng.real(5_000, 9_000),
+        );
       return;
     case 2:
       if (!isUnreachable(machine))
-        putOutOfReach(world, machine, "mute", rng.real(3_000, 9_000));
+        makeUnreachable(
+          world,
+          machine,
+          "can't connect",
+          rng.real(3_000, 9_000),
+        );
       return;
     case 3:
       if (!isUnreachable(machine))
-        putOutOfReach(world, machine, "mute", rng.real(11_000, 14_000));
+        makeUnreachable(
+          world,
+          machine,
+          "can't connect",
+          rng.real(11_000, 14_000),
+        );
       return;
     case 4:
       return world.at(afterMs, () => cancel(world, job));
@@ -101,26 +118,26 @@
   }
 }
 
-function conjunctionsOf(
+function combinationsOf(
   world: World,
   machine: SimWorker,
   token: number,
   incarnation: number,
   job: string,
-): Conjunction[] {
+): Combination[] {
   if (machine.token > token)
-    return ["refused, for the machine has heard of a new leader"];
+    return ["refused, the machine has seen a higher token"];
   if (machine.incarnation !== incarnation)
-    return ["refused, for the machine has a new session"];
-  const found: Conjunction[] = [];
-  const leads = ownerOf(world, partitionOf(world, machine))?.token;
+    return ["refused, the machine has a new incarnation"];
+  const found: Combination[] = [];
+  const currentToken = ownershipOf(world, partitionOf(world, machine))?.token;
   found.push(
-    leads === token
+    currentToken === token
       ? "carried out late under the same leader"
-      : "carried out after the group has a new leader, of which the machine has not heard",
+      : "carried out after a change of leader that the machine has not seen",
   );
   if (machine.isMute)
-    found.push("carried out late on a machine that can't report");
+    found.push("carried out late on a machine that can't send heartbeats");
   if (world.checker.told.get(job) === "cancelled")
     found.push("carried out late although the job is cancelled");
   return found;
--- a/test/scenarios/expect.ts
+++ b/test/scenarios/expect.ts
@@ -6,11 +6,11 @@
 } from "../simulation/guards.js";
 import type { Scenario } from "./stage.js";
 
-/** No rule breaks in the workloads of these seeds, and each conjunction occurs at least so often on all of them together. */
+/** Expects that no rule is broken with any seed, and that each combination of faults occurs at least `minCount` times over all seeds. */
 export function expectRulesKept(
   scenario: Scenario,
   seeds: readonly number[],
-  least: number,
+  minCount: number,
 ): void {
   const total = new Map<string, number>();
   for (const seed of seeds) {
@@ -21,10 +21,13 @@
       total.set(name, (total.get(name) ?? 0) + n);
   }
   for (const [name, n] of total)
-    assert.ok(n >= least, `"${name}" occurred ${n} times, not ${least}`);
+    assert.ok(
+      n >= minCount,
+      `"${name}" occurred ${n} times, expected at least ${minCount}`,
+    );
 }
 
-/** With a guard switched off the rule breaks in the workload of one of these seeds. */
+/** Expects that, with a guard switched off, the checker detects a broken `rule` with at least one of these seeds. */
 export function expectDetected(
   scenario: Scenario,
   seeds: readonly number[],
--- a/test/scenarios/fast-booting-machines.ts
+++ b/test/scenarios/fast-booting-machines.ts
@@ -5,49 +5,49 @@
 import {
   Occurrences,
   plainJob,
-  putOutOfReach,
-  restart,
+  makeUnreachable,
+  restartController,
   runToEnd,
   type ScenarioRun,
   stage,
 } from "./stage.js";
 
-const OVER_MS = 200_000;
-/** Machines that boot faster than this are quick. */
-const QUICK_MS = 2_000;
-/** A leader ends no more often than this. */
-const EPISODE_MS = 6_000;
-/** A machine that is up, listed and at work counts for so long. */
-const FRESH_MS = 16_000;
+const FAULTS_END_MS = 200_000;
+/** Machines that boot within this time count as fast-booting. */
+const FAST_BOOT_MS = 2_000;
+/** Leaders crash no more often than this. */
+const CRASH_INTERVAL_MS = 6_000;
+/** How long after the registry commit was sent the first task is awaited. */
+const TRACKED_MS = 16_000;
 
-const LAGS = ["late", "slow", "answer lost"] as const;
-type Lag = (typeof LAGS)[number];
-/** When the leader ends: around the commit that lists a quick machine, and around its first start. */
-const MOMENTS = [
-  "before the roster's commit is carried out",
+const COMMIT_DELAYS = ["late", "slow", "answer lost"] as const;
+type CommitDelay = (typeof COMMIT_DELAYS)[number];
+/** When the leader crashes, relative to the registry commit of a fast-booting machine and its first start command. */
+const CRASH_POINTS = [
+  "before the registry commit is carried out",
   "before the commit is answered",
   "before the first start",
   "before the start is carried out",
   "before the start is answered",
 ] as const;
-type Moment = (typeof MOMENTS)[number];
+type CrashPoint = (typeof CRASH_POINTS)[number];
 
-/** A quick machine whose place in the roster is being written. */
-interface QuickMachine {
+/** A fast-booting machine whose registry entry is being committed. */
+interface FastBootingMachine {
   machine: SimWorker;
   leader: string;
-  lag: Lag;
+  commitDelay: CommitDelay;
   sentMs: number;
   isListed: boolean;
-  /** When its leader is to end; null: it goes on. */
-  end: Moment | null;
+  /** When its leader is to crash; null: it does not. */
+  crashPoint: CrashPoint | null;
 }
 
 /**
- * Machines are up within two seconds of being rented and get work at once, while the commit that lists them lags; their leader ends at a
- * moment around that commit or the first start.
+ * Machines boot within two seconds of being rented and get tasks at once, while the commit of their registry entry is delayed.
+ * Their leader crashes around that commit or the first start command.
  */
-export function quickMachines(seed: number): ScenarioRun {
+export function fastBootingMachines(seed: number): ScenarioRun {
   const world = stage(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 3,
@@ -56,20 +56,20 @@
   });
   world.bootFactor = 0.08;
   const occurred = new Occurrences(
-    LAGS.flatMap((lag) => MOMENTS.map((m) => `${lag}, ${m}`)),
+    COMMIT_DELAYS.flatMap((lag) => CRASH_POINTS.map((m) => `${lag}, ${m}`)),
   );
-  const day = new QuickMachineDay(world, occurred);
-  world.commitFate = (name, commit) => day.onCommit(name, commit);
-  world.onCommitted.push((_name, commit) => day.onCommitted(commit));
+  const tracker = new FastBootTracker(world, occurred);
+  world.commitFate = (name, commit) => tracker.onCommit(name, commit);
+  world.onCommitted.push((_name, commit) => tracker.onCommitted(commit));
   world.onCommands.push((_name, machine, commands) => {
-    if (commands.some((o) => o.op === "start")) day.onStart(machine);
+    if (commands.some((o) => o.op === "start")) tracker.onStart(machine);
   });
-  submitWorkload(world, OVER_MS - 20_000, plainJob);
-  runToEnd(world, OVER_MS);
+  submitWorkload(world, FAULTS_END_MS - 20_000, plainJob);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
-/** Machines that the roster's records in this commit name. */
+/** Machines in the registry records that this commit writes. */
 const listedBy = (commit: CommitCall): string[] =>
   commit.writes.flatMap((w) =>
     w.op === "put" && parseKey(w.key)?.kind === "roster"
@@ -77,48 +77,68 @@
       : [],
   );
 
-class QuickMachineDay {
-  private readonly machines = new Map<string, QuickMachine>();
-  private readonly named = new Set<string>();
-  private endedMs = -Infinity;
+class FastBootTracker {
+  private readonly machines = new Map<string, FastBootingMachine>();
+  private readonly everListed = new Set<string>();
+  private lastCrashMs = -Infinity;
 
   constructor(
     private readonly world: World,
     private readonly occurred: Occurrences,
   ) {}
 
-  /** A commit that lists quick machines for the first time lags, and may be what its leader's end goes by. */
+  /** Delays a commit that registers fast-booting machines for the first time, and picks when its leader crashes. */
   onCommit(leader: string, commit: CommitCall): CommitFate | undefined {
     const { world } = this;
-    if (world.now > OVER_MS) return undefined;
-    const fresh = this.newlyListed(commit);
-    if (fresh.length === 0) return undefined;
-    const { lag, moment } = this.leastSeen();
-    const mayEnd = world.now - this.endedMs > EPISODE_MS;
-    const entries = fresh.map((machine): QuickMachine => {
-      const end = mayEnd ? moment : null;
-      return { machine, leader, lag, sentMs: world.now, isListed: false, end };
+    if (world.now > FAULTS_END_MS) return undefined;
+    const newlyListed = this.newlyListed(commit);
+    if (newlyListed.length === 0) return undefined;
+    const { commitDelay, crashPoint } = this.leastFrequentCase();
+    const mayCrash = world.now - this.lastCrashMs > CRASH_INTERVAL_MS;
+    const entries = newlyListed.map((machine): FastBootingMachine => {
+      const plannedCrash = mayCrash ? crashPoint : null;
+      return {
+        machine,
+        leader,
+        commitDelay,
+        sentMs: world.now,
+        isListed: false,
+        crashPoint: plannedCrash,
+      };
     });
     for (const entry of entries) this.machines.set(entry.machine.id, entry);
-    const fate = this.fateOf(lag);
+    const fate = this.fateOf(commitDelay);
     for (const entry of entries)
-      if (entry.end === "before the roster's commit is carried out")
-        this.end(entry, world.rng.real(0, Math.min(fate.beforeMs, 500)));
+      if (entry.crashPoint === "before the registry commit is carried out")
+        this.crashLeader(
+          entry,
+          world.rng.real(0, Math.min(fate.beforeMs, 500)),
+        );
     return fate;
   }
-  /** What occurred least on this day so far. */
-  private leastSeen(): { lag: Lag; moment: Moment } {
-    const pairs = LAGS.flatMap((lag) =>
-      MOMENTS.map((moment) => ({ lag, moment })),
+  /** A case that has occurred least often so far. */
+  private leastFrequentCase(): {
+    commitDelay: CommitDelay;
+    crashPoint: CrashPoint;
+  } {
+    const cases = COMMIT_DELAYS.flatMap((commitDelay) =>
+      CRASH_POINTS.map((crashPoint) => ({ commitDelay, crashPoint })),
+    );
+    const countOf = ({
+      commitDelay,
+      crashPoint,
+    }: {
+      commitDelay: CommitDelay;
+      crashPoint: CrashPoint;
+    }): number => this.occurred.counts.get(`${commitDelay}, ${crashPoint}`)!;
+    const minCount = Math.min(...cases.map(countOf));
+    return this.world.rng.pick(
+      cases.filter((pair) => countOf(pair) === minCount),
     );
-    const seen = ({ lag, moment }: { lag: Lag; moment: Moment }): number =>
-      this.occurred.counts.get(`${lag}, ${moment}`)!;
-    const least = Math.min(...pairs.map(seen));
-    return this.world.rng.pick(pairs.filter((pair) => seen(pair) === least));
   }
-  private fateOf(lag: Lag): CommitFate {
+  private fateOf(commitDelay: CommitDelay): CommitFate {
     const { rng } = this.world;
-    switch (lag) {
+    switch (commitDelay) {
       case "late":
         return { beforeMs: rng.real(2_000, 12_000), answered: false };
       case "slow":
@@ -131,63 +151,66 @@
         return { beforeMs: rng.real(1, 10), answered: false };
     }
   }
-  /** Quick machines that this commit is the first to name. */
+  /** Fast-booting machines that no earlier commit has registered. */
   private newlyListed(commit: CommitCall): SimWorker[] {
-    const fresh = listedBy(commit).filter((id) => !this.named.has(id));
-    for (const id of fresh) this.named.add(id);
+    const newIds = listedBy(commit).filter((id) => !this.everListed.has(id));
+    for (const id of newIds) this.everListed.add(id);
     return this.world.workers.filter(
       (m) =>
-        fresh.includes(m.id) &&
+        newIds.includes(m.id) &&
         m.bornMs > 0 &&
         m.up &&
-        m.startedMs - m.bornMs <= QUICK_MS,
+        m.startedMs - m.bornMs <= FAST_BOOT_MS,
     );
   }
 
-  /** A commit that lists the machine is carried out: the one that lagged, or one that was sent after it. */
+  /** Called when a commit is carried out that registers the machine: the delayed one, or a later one. */
   onCommitted(commit: CommitCall): void {
     const { rng } = this.world;
     for (const id of listedBy(commit)) {
       const entry = this.machines.get(id);
       if (!entry || entry.isListed) continue;
       entry.isListed = true;
-      if (entry.end === "before the commit is answered")
-        this.end(entry, rng.real(0, 5));
-      // Its answer, or a read, lets the first start follow.
-      if (entry.end === "before the first start")
-        this.end(entry, rng.real(0, 700));
+      if (entry.crashPoint === "before the commit is answered")
+        this.crashLeader(entry, rng.real(0, 5));
+      // The leader sends the first start once it sees the commit, by its answer or by a read.
+      if (entry.crashPoint === "before the first start")
+        this.crashLeader(entry, rng.real(0, 700));
     }
   }
 
-  /** The first start for a machine leaves its leader. */
+  /** Called when the leader sends a start command to a machine; only the first one for a tracked machine counts. */
   onStart(id: string): void {
     const { rng } = this.world;
     const entry = this.machines.get(id);
     if (!entry) return;
-    if (entry.end === "before the start is carried out")
-      this.end(entry, rng.real(0, 2));
-    if (entry.end === "before the start is answered")
-      this.whenAtWork(entry, () => this.end(entry, rng.real(0, 40)));
+    if (entry.crashPoint === "before the start is carried out")
+      this.crashLeader(entry, rng.real(0, 2));
+    if (entry.crashPoint === "before the start is answered")
+      this.whenTaskPresent(entry, () =>
+        this.crashLeader(entry, rng.real(0, 40)),
+      );
     this.machines.delete(id);
   }
-  private whenAtWork(entry: QuickMachine, act: () => void): void {
-    if (entry.machine.gone || this.world.now - entry.sentMs > FRESH_MS) return;
+  private whenTaskPresent(entry: FastBootingMachine, act: () => void): void {
+    if (entry.machine.gone || this.world.now - entry.sentMs > TRACKED_MS)
+      return;
     if (entry.machine.tasks.size > 0) return act();
-    this.world.at(5, () => this.whenAtWork(entry, act));
+    this.world.at(5, () => this.whenTaskPresent(entry, act));
   }
 
-  private end(entry: QuickMachine, afterMs: number): void {
+  private crashLeader(entry: FastBootingMachine, afterMs: number): void {
     const { world } = this;
-    const moment = entry.end!;
-    entry.end = null;
+    const crashPoint = entry.crashPoint!;
+    entry.crashPoint = null;
     world.at(afterMs, () => {
-      if (world.now - this.endedMs <= EPISODE_MS) return;
+      if (world.now - this.lastCrashMs <= CRASH_INTERVAL_MS) return;
       if (!world.nodes.get(entry.leader)) return;
-      this.endedMs = world.now;
-      this.occurred.note(`${entry.lag}, ${moment}`);
-      // Heard of late, it is one that the next leader has to know from the roster.
+      this.lastCrashMs = world.now;
+      this.occurred.note(`${entry.commitDelay}, ${crashPoint}`);
+      // With its heartbeats cut off the next leader knows the machine only from the registry.
       if (world.rng.chance(0.5))
-        putOutOfReach(
+        makeUnreachable(
           world,
           entry.machine,
           "cut off",
@@ -196,7 +219,7 @@
       const awayMs = world.rng.chance(0.5)
         ? world.rng.real(50, 900)
         : world.rng.real(15_000, 19_000);
-      restart(world, entry.leader, awayMs);
+      restartController(world, entry.leader, awayMs);
     });
   }
 }
--- a/test/scenarios/index.ts
+++ b/test/scenarios/index.ts
@@ -1,35 +1,35 @@
 import { cancelledInTransfer } from "./cancelled-in-transfer.js";
-import { closeQuestions } from "./concurrent-queries.js";
-import { heldCommands } from "./delayed-commands.js";
+import { concurrentQueries } from "./concurrent-queries.js";
+import { delayedCommands } from "./delayed-commands.js";
 import { largeFleetAtFullSize } from "./large-fleet.js";
 import { lastTask } from "./last-task.js";
 import { lateTransactions } from "./late-transactions.js";
 import { leaderChanges } from "./leader-changes.js";
 import { limitsOutOfReach } from "./limits-out-of-reach.js";
-import { lostAnswers } from "./lost-replies.js";
-import { oldReports } from "./stale-heartbeats.js";
+import { lostReplies } from "./lost-replies.js";
+import { staleHeartbeats } from "./stale-heartbeats.js";
 import { oneTaskJobs } from "./one-task-jobs.js";
-import { quickMachines } from "./fast-booting-machines.js";
+import { fastBootingMachines } from "./fast-booting-machines.js";
 import { overtakenHeartbeats } from "./overtaken-heartbeats.js";
 import type { Scenario } from "./stage.js";
-import { unreachedTasks } from "./unreachable-tasks.js";
-import { zones } from "./zone-failures.js";
+import { unreachableTasks } from "./unreachable-tasks.js";
+import { zoneFailures } from "./zone-failures.js";
 
-/** Scenarios by name, for long searches. */
+/** Scenarios by the names that `test/simulation/hunt.ts` takes on its command line. */
 export const SCENARIOS: Readonly<Record<string, Scenario>> = {
   "cancelled-in-handover": cancelledInTransfer,
-  "close-questions": closeQuestions,
-  "held-commands": heldCommands,
+  "close-questions": concurrentQueries,
+  "held-commands": delayedCommands,
   "large-fleet": largeFleetAtFullSize,
   "last-task": lastTask,
   "late-transactions": lateTransactions,
   "leader-changes": leaderChanges,
   "limits-out-of-reach": limitsOutOfReach,
-  "lost-answers": lostAnswers,
-  "old-reports": oldReports,
+  "lost-answers": lostReplies,
+  "old-reports": staleHeartbeats,
   "one-task-jobs": oneTaskJobs,
   "overtaken-heartbeats": overtakenHeartbeats,
-  "quick-machines": quickMachines,
-  "unreached-tasks": unreachedTasks,
-  zones,
+  "quick-machines": fastBootingMachines,
+  "unreached-tasks": unreachableTasks,
+  zones: zoneFailures,
 };
--- a/test/scenarios/large-fleet-checks.ts
+++ b/test/scenarios/large-fleet-checks.ts
@@ -1,4 +1,4 @@
-/** What a large fleet must keep beyond the simulation's rules: redirects, relays and the number of log lines. */
+/** Checks of a large fleet beyond the simulation's rules: redirects, relays and the number of log lines. */
 import type { Answer, Effect, Input } from "../../src/coordination/effects.js";
 import type { SimWorker } from "../simulation/machine.js";
 import type { World } from "../simulation/world.js";
@@ -15,9 +15,10 @@
 // ---- redirects -------------------------------------------------------------------------------------------
 
 /** The answer to this input, if it was given at once. */
-function answerOf(req: number, effects: readonly Effect[]): Answer | null {
+function answerOf(reqId: number, effects: readonly Effect[]): Answer | null {
   for (const effect of effects)
-    if (effect.type === "answer" && effect.reqId === req) return effect.answer;
+    if (effect.type === "answer" && effect.reqId === reqId)
+      return effect.answer;
   return null;
 }
 
@@ -33,9 +34,9 @@
     private readonly occurred: Occurrences,
   ) {}
 
-  begin(takeover: Takeover, cut: readonly SimWorker[]): void {
+  begin(takeover: Takeover, machines: readonly SimWorker[]): void {
     this.takeover = takeover;
-    for (const machine of cut) this.cut.set(machine.id, machine);
+    for (const machine of machines) this.cut.set(machine.id, machine);
   }
 
   observe(name: string, input: Input, effects: readonly Effect[]): void {
@@ -65,8 +66,8 @@
     answer: Answer | null,
   ): void {
     const { partition, owner, token } = this.takeover!;
-    const known = this.world.nodes.get(name)?.core.cache.partitions;
-    if (known?.get(partition)?.version !== token) return;
+    const partitions = this.world.nodes.get(name)?.core.cache.partitions;
+    if (partitions?.get(partition)?.version !== token) return;
     if (answer?.kind !== "redirect" || answer.leader !== owner) return;
     if (this.redirected.has(worker))
       this.world.checker.fail("sent_back", `${worker} by ${name} once more`);
@@ -98,14 +99,14 @@
   subject?: string;
 }
 
-/** Each subject of a rate-limited warning once a minute, and few lines for each machine; those about jobs and tasks follow the work. */
+/** Checks that each subject of a rate-limited warning is logged once a minute at most, and that there are few lines for each machine. Lines about jobs and tasks, whose number grows with the workload, don't count. */
 export class LogCheck {
   lines = 0;
-  /** When a log last wrote about a subject, by log, event and subject. */
-  private readonly warnedMs = new Map<string, number>();
-  /** Lines that name a machine, in the present window. */
-  private readonly ofMachine = new Map<string, number>();
-  private window = 0;
+  /** When a subject was last logged, by controller, life, leadership, event and subject. */
+  private readonly lastWarnedMs = new Map<string, number>();
+  /** Lines that name a machine, in the current window. */
+  private readonly linesByMachine = new Map<string, number>();
+  private windowIndex = 0;
 
   constructor(
     private readonly world: World,
@@ -125,16 +126,16 @@
     }
   }
 
-  /** Logs last as long as the controller or, those about machines, as its leadership. */
+  /** A rate-limited log lasts as long as its controller process or, if it is about machines, as the leadership. */
   private checkWarning(name: string, event: string, subject: string): void {
     const node = this.world.nodes.get(name)!;
     const tokens = [...node.core.leaders.values()].map(({ token }) => token);
     const key = [name, node.life, tokens.join("+"), event, subject].join("/");
-    const last = this.warnedMs.get(key) ?? -Infinity;
+    const last = this.lastWarnedMs.get(key) ?? -Infinity;
     const clockMs = this.world.clockOf(name);
     if (clockMs - last < WARNING_GAP_MS)
       this.world.checker.fail("log_flood", `${event} about ${subject}`);
-    this.warnedMs.set(key, clockMs);
+    this.lastWarnedMs.set(key, clockMs);
     if (event === "heartbeat contradicts known machine")
       this.occurred.note("warning about a machine logged");
     if (event === OMITTED_SUBJECTS)
@@ -142,22 +143,22 @@
   }
 
   private countLine(machine: string | undefined): void {
-    const window = Math.floor(this.world.now / LOG_WINDOW_MS);
-    if (window !== this.window) {
-      this.window = window;
-      this.ofMachine.clear();
+    const windowIndex = Math.floor(this.world.now / LOG_WINDOW_MS);
+    if (windowIndex !== this.windowIndex) {
+      this.windowIndex = windowIndex;
+      this.linesByMachine.clear();
     }
     if (machine === undefined) return;
-    const count = (this.ofMachine.get(machine) ?? 0) + 1;
-    this.ofMachine.set(machine, count);
+    const count = (this.linesByMachine.get(machine) ?? 0) + 1;
+    this.linesByMachine.set(machine, count);
     if (count > MAX_LINES_PER_MACHINE)
       this.world.checker.fail("log_flood", `${count} lines on ${machine}`);
   }
 
   checkTotal(): void {
     const minutes = this.world.now / LOG_WINDOW_MS;
-    const mean = this.lines / this.machines / minutes;
-    if (mean > MAX_MEAN_LINES)
-      this.world.checker.fail("log_flood", `${mean} lines a machine`);
+    const meanLines = this.lines / this.machines / minutes;
+    if (meanLines > MAX_MEAN_LINES)
+      this.world.checker.fail("log_flood", `${meanLines} lines a machine`);
   }
 }
--- a/test/scenarios/large-fleet.test.ts
+++ b/test/scenarios/large-fleet.test.ts
@@ -1,4 +1,4 @@
-/** The scenario of a large fleet, with fewer machines and bounds lowered in proportion; the search command runs it at full size. */
+/** The scenario of a large fleet, with fewer machines and bounds lowered in proportion; `test/simulation/hunt.ts` runs it at full size. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Redirects } from "../../src/coordination/machines/redirects.js";
@@ -9,7 +9,7 @@
 import type { ScenarioRun } from "./stage.js";
 
 const MACHINES = 300;
-/** For the tests that the checks notice what they are there for. */
+/** For the tests that expect a check to detect a fault. */
 const FEW_MACHINES = 100;
 
 const fleet =
@@ -25,7 +25,7 @@
   expectRulesKept(fleet(1, MACHINES), [1], 1);
 });
 
-test("a large fleet under three controllers, a failover to one out of reach and a zone cut off: the rules hold, workers are relayed", () => {
+test("a large fleet under three controllers, a failover to one that its workers can't reach and a zone cut off: the rules hold, workers are relayed", () => {
   expectRulesKept(fleet(3, MACHINES), [0, 2], 2);
 });
 
@@ -40,12 +40,12 @@
   assert.ok(counted !== undefined && counted >= 1, `${counted}`);
 });
 
-test("guard: redirects are remembered for as many workers as come back", () => {
-  const forgetful = fleet(3, FEW_MACHINES, { maxRedirects: 3 });
-  expectDetected(forgetful, [0], "sent_back", () => () => {});
+test("guard: the bound on remembered redirects covers all workers of a partition", () => {
+  const withFewRedirects = fleet(3, FEW_MACHINES, { maxRedirects: 3 });
+  expectDetected(withFewRedirects, [0], "sent_back", () => () => {});
 });
 
-test("guard: a worker that comes back is relayed", () => {
+test("guard: a worker that comes back after a redirect is relayed", () => {
   expectDetected(fleet(3, FEW_MACHINES), [0], "sent_back", () => {
     const before = Redirects.prototype.wasJustRedirected;
     Redirects.prototype.wasJustRedirected = () => false;
--- a/test/scenarios/large-fleet.ts
+++ b/test/scenarios/large-fleet.ts
@@ -1,11 +1,11 @@
 /**
- * A fleet as large as the software is built for: under one controller that restarts, and under three of which one fails while the
- * machines of its partition can't reach its successor, and the zone of another is cut off later. Beyond the simulation's rules it checks
- * that a worker is redirected once under a fencing token and relayed from then on, and that the log stays within bounds.
+ * A fleet of the size that the software is designed for: under one controller that restarts, and under three of which one fails
+ * while the machines of its partition can't reach the new leader, and the zone of another is cut off later. Beyond the simulation's
+ * rules it checks that a worker is redirected once under a fencing token and relayed from then on, and that the log stays bounded.
  *
- * What a size takes: 4,000 machines (`FULL_FLEET`, the search command) the software's own bounds, which the controllers derive from
- * their settings. Smaller ones (CI) take bounds that stand in the same proportion to the number of machines: twice the machines
- * for redirects, four times for the subjects of warnings.
+ * At full size (4,000 machines, `FULL_FLEET`, run by `test/simulation/hunt.ts`) the controllers have the bounds that they derive
+ * from their settings. Smaller fleets (CI) have bounds in the same proportion to the number of machines: twice as many redirects
+ * and four times as many subjects of warnings.
  */
 import { DEFAULTS } from "../../src/config/operator.js";
 import type { Heartbeat, JobSpec } from "../../src/coordination/model.js";
@@ -17,7 +17,7 @@
 import {
   Occurrences,
   partitionOf,
-  restart,
+  restartController,
   type ScenarioRun,
   stage,
   type Takeover,
@@ -30,26 +30,26 @@
   lowered?: LoweredBounds;
 }
 
-/** The number of machines in one partition or under one controller that the software is built for. */
+/** The number of machines in one partition or under one controller that the software is designed for. */
 const FULL_FLEET = 4_000;
 
 const FAILOVER_AT_MS = 10_000;
 /** Long enough for a store lease to end and another controller to take the partition. */
 const LEADER_DOWN_MS = 60_000;
-const ONLY_LEADER_DOWN_MS = 300;
-/** Workers ask three controllers one after the other, and give up on a silent one after 4 s. */
+const ONLY_CONTROLLER_DOWN_MS = 300;
+/** Long enough for a worker to try all three controllers in turn: it gives up on a silent one after 4 s. */
 const WORKERS_CUT_MS = 25_000;
 const ZONE_CUT_AT_MS = 50_000;
 const ZONE_CUT_MS = 14_000;
 const CONTRADICTIONS_EVERY_MS = 10_000;
 const SUBMIT_UNTIL_MS = 60_000;
-const OVER_MS = 80_000;
+const RUN_END_MS = 80_000;
 
-const CONJUNCTIONS_OF_ONE = [
+const ONE_CONTROLLER_COMBINATIONS = [
   "the only controller restarted under the whole fleet",
   "warning about a machine logged",
 ] as const;
-const CONJUNCTIONS_OF_THREE = [
+const THREE_CONTROLLER_COMBINATIONS = [
   "failover",
   "worker redirected to a leader that it can't reach",
   "worker relayed by a peer to a leader that it can't reach",
@@ -57,7 +57,7 @@
   "warning about a machine logged",
 ] as const;
 
-/** The scenario at its full size, for the search command: odd seeds have one controller, even ones three. */
+/** The scenario at full size, for `test/simulation/hunt.ts`: odd seeds have one controller, even ones three. */
 export const largeFleetAtFullSize = (seed: number): ScenarioRun =>
   largeFleet(seed, {
     machines: FULL_FLEET,
@@ -69,9 +69,11 @@
   options: LargeFleetOptions,
 ): ScenarioRun {
   const world = stageFleet(seed, options);
-  const isAlone = options.controllers === 1;
+  const hasOneController = options.controllers === 1;
   const occurred = new Occurrences(
-    isAlone ? CONJUNCTIONS_OF_ONE : CONJUNCTIONS_OF_THREE,
+    hasOneController
+      ? ONE_CONTROLLER_COMBINATIONS
+      : THREE_CONTROLLER_COMBINATIONS,
   );
   const redirects = new RedirectCheck(world, occurred);
   const log = new LogCheck(world, options.machines, occurred);
@@ -81,18 +83,18 @@
   };
   if (options.lowered) lowerBounds(world, options.lowered);
   contradictMachines(world);
-  if (isAlone) restartOnlyController(world, occurred);
+  if (hasOneController) restartOnlyController(world, occurred);
   else {
     failOver(world, redirects, occurred);
     cutZone(world, occurred);
   }
   submitWorkload(world, SUBMIT_UNTIL_MS, fleetJob);
-  world.run(OVER_MS);
+  world.run(RUN_END_MS);
   log.checkTotal();
   return { world, occurred: occurred.counts };
 }
 
-/** Machines stay although they are idle, and no message is lost but where the scenario wants it. */
+/** Idle machines are not returned, and messages are lost only where the scenario cuts a connection. */
 function stageFleet(seed: number, options: LargeFleetOptions): World {
   const perZone = Math.ceil(options.machines / 4);
   const cpusMax = 8 * options.machines;
@@ -112,30 +114,30 @@
   return world;
 }
 
-const fleetJob = (world: World, n: number): JobSpec => ({
-  ...largeJob(world, n),
+const fleetJob = (world: World, number: number): JobSpec => ({
+  ...largeJob(world, number),
   kind: "array",
   samePlace: false,
 });
 
-// ---- troubles --------------------------------------------------------------------------------------------
+// ---- faults ----------------------------------------------------------------------------------------------
 
 /**
- * For each machine that its leader knows somebody sends a heartbeat that gives it another type, again and again. A leader that does
- * not know the machine yet would take the first one that it gets for the true one.
+ * Sends the leader, again and again, a heartbeat with a wrong machine type for each machine that it knows. A leader that does not
+ * know the machine yet would accept the type of the first heartbeat that it receives.
  */
 function contradictMachines(world: World): void {
   world.every(CONTRADICTIONS_EVERY_MS, () => {
     for (const machine of world.workers) {
       if (!machine.up || machine.gone) continue;
-      const leader = leaderThatKnows(world, machine);
+      const leader = leaderWithMachine(world, machine);
       if (leader !== undefined)
-        world.heartbeat(leader, contradiction(machine), () => {});
+        world.heartbeat(leader, contradictingHeartbeat(machine), () => {});
     }
   });
 }
 
-const leaderThatKnows = (
+const leaderWithMachine = (
   world: World,
   machine: SimWorker,
 ): string | undefined =>
@@ -147,7 +149,7 @@
     );
   });
 
-const contradiction = (machine: SimWorker): Heartbeat => ({
+const contradictingHeartbeat = (machine: SimWorker): Heartbeat => ({
   worker: machine.id,
   address: "10.0.0.2:1",
   type: machine.type.name === "big" ? "small" : "big",
@@ -162,22 +164,26 @@
 
 function restartOnlyController(world: World, occurred: Occurrences): void {
   const name = world.names[0]!;
-  world.at(FAILOVER_AT_MS, () => restart(world, name, ONLY_LEADER_DOWN_MS));
-  world.at(OVER_MS - 1, () => {
+  world.at(FAILOVER_AT_MS, () =>
+    restartController(world, name, ONLY_CONTROLLER_DOWN_MS),
+  );
+  world.at(RUN_END_MS - 1, () => {
     const leaders = world.nodes.get(name)?.core.leaders;
     if (leaders && leaders.size > 0)
       occurred.note("the only controller restarted under the whole fleet");
   });
 }
 
-/** A controller fails for good; the machines of its partition can't reach the one that takes it for a while. */
+/** Stops a controller for longer than its store lease; for a while the machines of its partition can't reach the new leader. */
 function failOver(
   world: World,
   redirects: RedirectCheck,
   occurred: Occurrences,
 ): void {
   const failing = world.names[0]!;
-  world.at(FAILOVER_AT_MS, () => restart(world, failing, LEADER_DOWN_MS));
+  world.at(FAILOVER_AT_MS, () =>
+    restartController(world, failing, LEADER_DOWN_MS),
+  );
   let isCut = false;
   watchPartitions(world, (takeover) => {
     if (takeover.formerOwner !== failing || takeover.owner === failing) return;
@@ -193,21 +199,21 @@
   takeover: Takeover,
   redirects: RedirectCheck,
 ): void {
-  const cut = world.workers.filter(
+  const machines = world.workers.filter(
     (machine) =>
       machine.up &&
       !machine.gone &&
       partitionOf(world, machine) === takeover.partition,
   );
-  for (const machine of cut) machine.cut.add(takeover.owner);
-  redirects.begin(takeover, cut);
+  for (const machine of machines) machine.cut.add(takeover.owner);
+  redirects.begin(takeover, machines);
   world.at(WORKERS_CUT_MS, () => {
-    for (const machine of cut) machine.cut.clear();
+    for (const machine of machines) machine.cut.clear();
     redirects.end();
   });
 }
 
-/** The zone of the last controller is cut off for longer than a lease, with the controller in it. */
+/** Cuts off the zone of the last controller, with the controller in it, for longer than a lease. */
 function cutZone(world: World, occurred: Occurrences): void {
   const zone = world.zoneOf(world.names.at(-1)!);
   world.at(ZONE_CUT_AT_MS, () => {
--- a/test/scenarios/last-task.ts
+++ b/test/scenarios/last-task.ts
@@ -14,17 +14,22 @@
   tasksOnMachines,
 } from "./stage.js";
 
-const OVER_MS = 120_000;
-/** Requests come within so long of the end of a job's last task, before it or after. */
-const AROUND_MS = 400;
-const JUST_MS = 30;
+const FAULTS_END_MS = 120_000;
+/** Longest time between a request and the end of the job's last task, before or after it. */
+const WINDOW_MS = 400;
+/** The same for cancellations. */
+const CANCEL_WINDOW_MS = 30;
 
-const REQUESTS = ["cancellation", "question", "repeated submission"] as const;
+const REQUESTS = [
+  "cancellation",
+  "status query",
+  "repeated submission",
+] as const;
 type Request = (typeof REQUESTS)[number];
 const SIDES = ["before", "after"] as const;
 const SHAPES = ["array", "gang"] as const;
 
-/** A cancellation, a question at all controllers or a repeated submission meets the end of a job's last task, with no other injected fault. */
+/** A cancellation, a status query at all controllers or a repeated submission races with the end of a job's last task, with no other injected fault. */
 export function lastTask(seed: number): ScenarioRun {
   const world = stage(seed, { controllers: 1 + (seed % 4), runFactor: 0.8 });
   const { rng } = world;
@@ -34,22 +39,20 @@
       REQUESTS.flatMap((r) => SIDES.map((s) => `${r} ${s} the end, ${shape}`)),
     ),
   );
-  const awaited = new Set<string>();
-  const pending = new Map<string, { request: Request; sentMs: number }[]>();
+  const scheduled = new Set<string>();
+  const sent = new Map<string, { request: Request; sentMs: number }[]>();
   world.every(50, () => {
-    if (world.now > OVER_MS) return;
-    for (const [id, endsMs] of endingSoon(world)) {
-      if (awaited.has(id)) continue;
-      awaited.add(id);
+    if (world.now > FAULTS_END_MS) return;
+    for (const [id, endsMs] of jobsEndingSoon(world)) {
+      if (scheduled.has(id)) continue;
+      scheduled.add(id);
       const request = rng.pick(REQUESTS);
-      // A cancellation ends the job within milliseconds: only one that is sent just before the end meets it.
-      const early = request === "cancellation" ? JUST_MS : AROUND_MS;
-      const atMs = endsMs + rng.real(-early, early);
+      // A cancellation ends the job within milliseconds, so only one that is sent just before the end races with it.
+      const windowMs =
+        request === "cancellation" ? CANCEL_WINDOW_MS : WINDOW_MS;
+      const atMs = endsMs + rng.real(-windowMs, windowMs);
       world.at(Math.max(0, atMs - world.now), () => {
-        pending.set(id, [
-          ...(pending.get(id) ?? []),
-          { request, sentMs: world.now },
-        ]);
+        sent.set(id, [...(sent.get(id) ?? []), { request, sentMs: world.now }]);
         send(world, id, request);
         if (world.checker.isDone(id)) noteAfter(id);
       });
@@ -58,48 +61,51 @@
   const shapeOf = (id: string): string =>
     world.specs.get(id)!.kind === "gang" ? "gang" : "array";
   const noteAfter = (id: string): void => {
-    const request = pending.get(id)?.at(-1)?.request;
+    const request = sent.get(id)?.at(-1)?.request;
     if (request) occurred.note(`${request} after the end, ${shapeOf(id)}`);
-    pending.delete(id);
+    sent.delete(id);
   };
   world.jobEnded = (id) => {
-    for (const { request, sentMs } of pending.get(id) ?? [])
-      if (world.now - sentMs <= AROUND_MS)
+    for (const { request, sentMs } of sent.get(id) ?? [])
+      if (world.now - sentMs <= WINDOW_MS)
         occurred.note(`${request} before the end, ${shapeOf(id)}`);
-    pending.delete(id);
+    sent.delete(id);
   };
-  submitWorkload(world, OVER_MS - 15_000, (w, n) => {
+  submitWorkload(world, FAULTS_END_MS - 15_000, (w, n) => {
     const job = plainJob(w, n);
     return job.kind === "service" ? { ...job, kind: "array" } : job;
   });
-  runToEnd(world, OVER_MS);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
-/** Jobs all of whose tasks are done but for those that are about to end, and when the last of them does. */
-function endingSoon(world: World): Map<string, number> {
-  const ends = new Map<string, number>();
+/** Jobs whose remaining tasks all run and end soon, and when the last of these tasks ends. */
+function jobsEndingSoon(world: World): Map<string, number> {
+  const lastEndMs = new Map<string, number>();
   const running = new Map<string, number>();
   for (const { task } of tasksOnMachines(world)) {
     if (task.state !== "running" || task.endsMs === null) continue;
     running.set(task.job, (running.get(task.job) ?? 0) + 1);
-    ends.set(task.job, Math.max(ends.get(task.job) ?? 0, task.endsMs));
+    lastEndMs.set(
+      task.job,
+      Math.max(lastEndMs.get(task.job) ?? 0, task.endsMs),
+    );
   }
-  for (const [id, endsMs] of ends) {
+  for (const [id, endsMs] of lastEndMs) {
     const { tasks } = world.specs.get(id)!;
     let done = 0;
     for (let i = 0; i < tasks; i++) if (world.results.has(`${id}/${i}`)) done++;
-    const isSoon = endsMs - world.now < 2 * AROUND_MS;
-    if (done + running.get(id)! < tasks || !isSoon) ends.delete(id);
+    const isSoon = endsMs - world.now < 2 * WINDOW_MS;
+    if (done + running.get(id)! < tasks || !isSoon) lastEndMs.delete(id);
   }
-  return ends;
+  return lastEndMs;
 }
 
 function send(world: World, id: string, request: Request): void {
   switch (request) {
     case "cancellation":
       return cancel(world, id);
-    case "question":
+    case "status query":
       return askAllControllers(world, id);
     case "repeated submission":
       return submit(world, world.specs.get(id)!, -1e9);
--- a/test/scenarios/late-transactions.ts
+++ b/test/scenarios/late-transactions.ts
@@ -4,26 +4,26 @@
 import {
   Occurrences,
   plainJob,
-  restart,
+  restartController,
   runToEnd,
   type ScenarioRun,
   stage,
 } from "./stage.js";
 
-const OVER_MS = 130_000;
-const LATE_MS = [2_000, 12_000] as const;
+const FAULTS_END_MS = 130_000;
+const DELAY_MS = [2_000, 12_000] as const;
 
-/** Of each kind, the part that is late: of records that are written often less. */
-const LATE_SHARE: Partial<Record<CommitKind, number>> = {
+/** Share of the commits of a kind that are delayed: lower for records that are written often. */
+const DELAYED_SHARE: Partial<Record<CommitKind, number>> = {
   room: 0.05,
   roster: 0.5,
   "finished ranges": 0.2,
   "parts of limits": 0.3,
   belief: 0.5,
 };
-const OTHER_SHARE = 0.1;
-/** Records of these kinds are written again and again by one controller, so that a newer one can overtake. */
-const OVERTAKEN: readonly CommitKind[] = [
+const DEFAULT_DELAYED_SHARE = 0.1;
+/** Kinds whose records one controller writes again and again, so that a newer commit can overtake a delayed one. */
+const REWRITTEN_KINDS: readonly CommitKind[] = [
   "finished ranges",
   "parts of limits",
   "roster",
@@ -32,8 +32,8 @@
 ];
 
 /**
- * Transactions without an answer reach the state service 2 to 12 s late, after newer ones of the same controller on the same records,
- * and after the group has a new leader.
+ * Transactions without an answer reach the state service 2 to 12 s late, after newer ones of the same controller on the same
+ * records, or after a change of leader.
  */
 export function lateTransactions(seed: number): ScenarioRun {
   const world = stage(seed, {
@@ -47,35 +47,37 @@
     ]),
   });
   const occurred = new Occurrences(
-    OVERTAKEN.map((k) => `${k}: late after a newer one of its controller`),
+    REWRITTEN_KINDS.map(
+      (k) => `${k}: applied after a newer one of its controller`,
+    ),
   );
-  const writtenBy = new Map<string, { name: string; ms: number }>();
+  const lastWrites = new Map<string, { name: string; timeMs: number }>();
   world.onCommitted.push((name, commit) => {
     for (const { key } of commit.writes)
-      writtenBy.set(key, { name, ms: world.now });
+      lastWrites.set(key, { name, timeMs: world.now });
   });
   world.commitFate = (name, commit) => {
-    if (world.now > OVER_MS) return undefined;
+    if (world.now > FAULTS_END_MS) return undefined;
     const kinds = kindsOf(world, commit);
     const share = Math.max(
       0,
-      ...[...kinds].map((k) => LATE_SHARE[k] ?? OTHER_SHARE),
+      ...[...kinds].map((k) => DELAYED_SHARE[k] ?? DEFAULT_DELAYED_SHARE),
     );
     if (!world.rng.chance(share)) return undefined;
     const sentMs = world.now;
-    const beforeMs = world.rng.real(...LATE_MS);
-    world.at(beforeMs - 1, () => {
-      if (!isOvertaken(commit, name, sentMs, writtenBy)) return;
+    const delayMs = world.rng.real(...DELAY_MS);
+    world.at(delayMs - 1, () => {
+      if (!isOvertaken(commit, name, sentMs, lastWrites)) return;
       for (const kind of kinds)
-        if (OVERTAKEN.includes(kind))
-          occurred.note(`${kind}: late after a newer one of its controller`);
+        if (REWRITTEN_KINDS.includes(kind))
+          occurred.note(`${kind}: applied after a newer one of its controller`);
     });
-    return { beforeMs, answered: false };
+    return { beforeMs: delayMs, answered: false };
   };
-  disturb(world);
-  submitWorkload(world, OVER_MS - 20_000, plainJob);
-  pipelines(world, 4_000, OVER_MS - 30_000);
-  runToEnd(world, OVER_MS);
+  injectFaults(world);
+  submitWorkload(world, FAULTS_END_MS - 20_000, plainJob);
+  pipelines(world, 4_000, FAULTS_END_MS - 30_000);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
@@ -83,25 +85,25 @@
   commit: CommitCall,
   name: string,
   sentMs: number,
-  writtenBy: ReadonlyMap<string, { name: string; ms: number }>,
+  lastWrites: ReadonlyMap<string, { name: string; timeMs: number }>,
 ): boolean {
   return commit.writes.some(({ key }) => {
-    const last = writtenBy.get(key);
-    return last !== undefined && last.name === name && last.ms > sentMs;
+    const last = lastWrites.get(key);
+    return last !== undefined && last.name === name && last.timeMs > sentMs;
   });
 }
 
-/** Leaders end, and machines are out of reach for a while, so that what the records say is what a new leader goes by. */
-function disturb(world: World): void {
+/** Crashes leaders and makes machines unreachable for a while, so that a new leader depends on the records. */
+function injectFaults(world: World): void {
   const { rng } = world;
   world.every(13_000, () => {
-    if (world.now > OVER_MS - 20_000) return;
+    if (world.now > FAULTS_END_MS - 20_000) return;
     for (const machine of world.workers)
       if (machine.up && !machine.gone && rng.chance(0.25)) {
         for (const name of world.names) machine.cut.add(name);
         world.at(rng.real(3_000, 7_000), () => machine.cut.clear());
       }
-    restart(
+    restartController(
       world,
       rng.pick(world.names),
       rng.chance(0.7) ? rng.real(50, 900) : rng.real(15_000, 18_000),
--- a/test/scenarios/limits-out-of-reach.test.ts
+++ b/test/scenarios/limits-out-of-reach.test.ts
@@ -3,11 +3,11 @@
 import { expectDetected, expectRulesKept } from "./expect.js";
 import { limitsOutOfReach } from "./limits-out-of-reach.js";
 
-test("jobs cancelled at their teams' limits, on machines out of reach, and a new leader within the lease: the limits hold, and they are gone in time", () => {
+test("jobs cancelled at their teams' limits, on unreachable machines, and a new leader within the lease: the limits hold, and the tasks end in time", () => {
   expectRulesKept(limitsOutOfReach, [0, 1, 2, 3, 4, 5, 6, 7, 8, 9], 1);
 });
 
-test("guard: what silent machines of the former leader may run counts for the limits", () => {
+test("guard: tasks that silent machines of the former leader may run count towards the limits", () => {
   expectDetected(limitsOutOfReach, [1], "quota", () => {
     const before = PartitionState.prototype.usage;
     PartitionState.prototype.usage = function () {
--- a/test/scenarios/limits-out-of-reach.ts
+++ b/test/scenarios/limits-out-of-reach.ts
@@ -6,39 +6,40 @@
   partitionOf,
   isUnreachable,
   liveLeaderOf,
-  NEW_LEADERS,
-  newLeader,
+  NEW_LEADER_KINDS,
+  newLeaderKind,
   Occurrences,
   plainJob,
-  putOutOfReach,
-  restart,
+  makeUnreachable,
+  restartController,
   runToEnd,
   type ScenarioRun,
   stage,
   tasksOnMachines,
-  UNREACHABLE,
-  type Unreachable,
+  UNREACHABLE_MODES,
+  type UnreachableMode,
   watchPartitions,
   whenever,
 } from "./stage.js";
 
-const OVER_MS = 200_000;
-/** Each cancellation at the limits with a leader that ends, and a while after it. */
-const EPISODE_MS = 22_000;
-/** A team is at its limit if no task of these jobs fits below it any more. */
+const FAULTS_END_MS = 200_000;
+/** Least time between two failovers that the scenario causes, and after the last one. */
+const FAILOVER_INTERVAL_MS = 22_000;
+/** A team counts as at its limit if a task of this size, the largest of these jobs, does not fit any more. */
 const LARGEST_TASK_CPUS = 2;
 
-/** A job that was cancelled while every team was at its limit, with a task on a machine that can't be reached. */
-interface Cancelled {
+/** A job cancelled while every team is at its limit, and an unreachable machine with a task of it. */
+interface CancelledTask {
   job: string;
   machine: SimWorker;
-  how: Unreachable;
+  mode: UnreachableMode;
+  /** When the cancellation was confirmed while every team was at its limit; null: not yet. */
   confirmedMs: number | null;
 }
 
 /**
- * Every team is at its limit; jobs are cancelled of which a task is on a machine that is cut off, deaf, mute or hangs; within the lease
- * the group of that machine gets a new leader, while the task is still there: it counts for the limit, and is gone in time.
+ * While every team is at its limit, jobs are cancelled that have a task on an unreachable machine. Within the lease the machine's
+ * partition gets a new leader while the task is still there: it must count towards the limit, and must end in time.
  */
 export function limitsOutOfReach(seed: number): ScenarioRun {
   const world = stage(seed, {
@@ -50,33 +51,40 @@
     ]),
   });
   const occurred = new Occurrences(
-    UNREACHABLE.flatMap((how) => NEW_LEADERS.map((l) => `${how}, ${l}`)),
+    UNREACHABLE_MODES.flatMap((mode) =>
+      NEW_LEADER_KINDS.map((l) => `${mode}, ${l}`),
+    ),
   );
-  const cancelled: Cancelled[] = [];
-  world.checker.onTold = (id, told) => {
-    if (told !== "cancelled") return;
-    for (const c of cancelled)
-      if (c.job === id && everyTeamAtLimit(world)) c.confirmedMs = world.now;
+  const cancelled: CancelledTask[] = [];
+  world.checker.onTold = (id, status) => {
+    if (status !== "cancelled") return;
+    for (const task of cancelled)
+      if (task.job === id && everyTeamAtLimit(world))
+        task.confirmedMs = world.now;
   };
   watchPartitions(world, (takeover) => {
     const { partition } = takeover;
-    const leader = newLeader(takeover);
-    for (const c of cancelled)
-      if (isMet(world, c, partition)) occurred.note(`${c.how}, ${leader}`);
+    const leader = newLeaderKind(takeover);
+    for (const task of cancelled)
+      if (isStillOnMachine(world, task, partition))
+        occurred.note(`${task.mode}, ${leader}`);
   });
   whenever(
     world,
     () => (everyTeamAtLimit(world) ? true : null),
-    () => episode(world, cancelled),
-    { restMs: EPISODE_MS, untilMs: OVER_MS - EPISODE_MS },
+    () => cancelAroundFailover(world, cancelled),
+    {
+      restMs: FAILOVER_INTERVAL_MS,
+      untilMs: FAULTS_END_MS - FAILOVER_INTERVAL_MS,
+    },
   );
-  submitWorkload(world, OVER_MS - 10_000, (w, n) => ({
+  submitWorkload(world, FAULTS_END_MS - 10_000, (w, n) => ({
     ...plainJob(w, n),
     kind: "array",
     samePlace: false,
     tasks: w.rng.int(1, 6),
   }));
-  runToEnd(world, OVER_MS);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
@@ -89,35 +97,43 @@
   );
 }
 
-/** The task is still on its machine, out of reach, within a lease of the cancellation. */
-function isMet(world: World, c: Cancelled, partition: string): boolean {
-  if (c.confirmedMs === null || c.machine.gone) return false;
-  if (partitionOf(world, c.machine) !== partition || !isUnreachable(c.machine))
+/** Whether the task is still on its unreachable machine, no longer than a lease after the cancellation was confirmed. */
+function isStillOnMachine(
+  world: World,
+  task: CancelledTask,
+  partition: string,
+): boolean {
+  if (task.confirmedMs === null || task.machine.gone) return false;
+  if (
+    partitionOf(world, task.machine) !== partition ||
+    !isUnreachable(task.machine)
+  )
+    return false;
+  if (world.now - task.confirmedMs > 1_000 * world.settings.leaseS)
     return false;
-  if (world.now - c.confirmedMs > 1_000 * world.settings.leaseS) return false;
-  return [...c.machine.tasks.values()].some(
-    (t) => t.job === c.job && c.machine.onMachine(t),
+  return [...task.machine.tasks.values()].some(
+    (t) => t.job === task.job && task.machine.onMachine(t),
   );
 }
 
-/** A group's leader ends; shortly before or after that jobs are cancelled whose machines get out of reach. */
-function episode(world: World, cancelled: Cancelled[]): void {
+/** Crashes or cuts off the leader of a partition, and shortly before a takeover cancels jobs whose machines it makes unreachable. */
+function cancelAroundFailover(world: World, cancelled: CancelledTask[]): void {
   const { rng } = world;
-  const busy = [...tasksOnMachines(world)].filter(
+  const reachableTasks = [...tasksOnMachines(world)].filter(
     ({ machine, spec }) => !isUnreachable(machine) && spec.kind === "array",
   );
-  if (busy.length === 0) return;
-  const partition = partitionOf(world, rng.pick(busy).machine);
+  if (reachableTasks.length === 0) return;
+  const partition = partitionOf(world, rng.pick(reachableTasks).machine);
   const leader = liveLeaderOf(world, partition);
   if (leader === null) return;
   const cancelAll = (): void => cancelOnMachines(world, partition, cancelled);
   if (rng.chance(0.5)) {
     cancelAll();
     return world.at(rng.real(0, 5_000), () =>
-      restart(world, leader, rng.real(50, 900)),
+      restartController(world, leader, rng.real(50, 900)),
     );
   }
-  // It goes on answering its workers until its permit ends; then a peer takes the group.
+  // The leader answers its workers until its leadership lease expires; then a peer takes the partition.
   const awayMs = 20_000;
   cutOffLeader(world, leader, awayMs);
   world.at(rng.real(9_500, 14_500), cancelAll);
@@ -126,19 +142,19 @@
 function cancelOnMachines(
   world: World,
   partition: string,
-  cancelled: Cancelled[],
+  cancelled: CancelledTask[],
 ): void {
   const { rng } = world;
-  const seen = new Set<SimWorker>();
+  const affectedMachines = new Set<SimWorker>();
   for (const { machine, task, spec } of [...tasksOnMachines(world)]) {
-    if (seen.size >= 8 || seen.has(machine)) continue;
+    if (affectedMachines.size >= 8 || affectedMachines.has(machine)) continue;
     if (partitionOf(world, machine) !== partition || spec.kind !== "array")
       continue;
     if (world.checker.asked.has(task.job) || isUnreachable(machine)) continue;
-    seen.add(machine);
-    const how = rng.pick(UNREACHABLE);
-    cancelled.push({ job: task.job, machine, how, confirmedMs: null });
-    putOutOfReach(world, machine, how, rng.real(9_000, 25_000));
+    affectedMachines.add(machine);
+    const mode = rng.pick(UNREACHABLE_MODES);
+    cancelled.push({ job: task.job, machine, mode: mode, confirmedMs: null });
+    makeUnreachable(world, machine, mode, rng.real(9_000, 25_000));
     world.at(rng.real(0, 800), () => cancel(world, task.job));
   }
 }
--- a/test/scenarios/lost-replies.ts
+++ b/test/scenarios/lost-replies.ts
@@ -11,16 +11,16 @@
 import {
   Occurrences,
   plainJob,
-  restart,
+  restartController,
   runToEnd,
   type ScenarioRun,
   stage,
-  type StageOptions,
+  type WorldOptions,
   tasksOnMachines,
 } from "./stage.js";
 
-/** Limits bind, and machines can be rented. */
-const PLENTY = (seed: number): StageOptions => ({
+/** Teams reach their limits, and machines can be rented. */
+const ampleOptions = (seed: number): WorldOptions => ({
   controllers: seed % 3 === 0 ? 3 : 5,
   runFactor: 2,
   machinesPerZone: 2,
@@ -30,8 +30,8 @@
     ["blue", { name: "blue", cpus: 12, gpus: 2, cpusMax: 60, gpusMax: 8 }],
   ]),
 });
-/** One team takes all machines that there are, and the other has a guarantee to claim. */
-const SCARCE: StageOptions = {
+/** One team takes all machines that there are, and the other has a guarantee to reclaim. */
+const SCARCE_OPTIONS: WorldOptions = {
   controllers: 3,
   runFactor: 4,
   machinesPerZone: 1,
@@ -42,13 +42,13 @@
   ]),
 };
 
-const OVER_MS = 130_000;
-/** Until a writer takes a commit for unanswered. */
-const TIMEOUT_MS = 1_500;
-/** For so long after a commit whose answer was lost what others do about it counts. */
-const BUILT_ON_MS = 20_000;
+const FAULTS_END_MS = 130_000;
+/** Time after which a writer treats a commit as unanswered. */
+const COMMIT_TIMEOUT_MS = 1_500;
+/** How long after a commit whose answer was lost the follow-up commits of others count. */
+const FOLLOW_UP_MS = 20_000;
 
-/** Parts of the commits of each kind that lose their answers: those of which there are few lose more. */
+/** Share of the commits of each kind whose answers are lost: higher for kinds that are rare. */
 const LOST_SHARE: Record<CommitKind, number> = {
   accept: 0.1,
   "withdraw or end of a line": 0.2,
@@ -70,49 +70,53 @@
 };
 
 /** A commit that was carried out and whose answer is lost. */
-interface LostAnswer {
+interface LostReply {
   writer: string;
   writerLife: number;
   kinds: ReadonlySet<CommitKind>;
   keys: ReadonlySet<string>;
   revision: number;
-  carriedOutMs: number;
-  readFirst: boolean;
-  builtOn: boolean;
+  appliedMs: number;
+  isReadByPeer: boolean;
+  hasFollowUp: boolean;
 }
 
 /**
- * Transactions of every kind are carried out and only their answers are lost, in half of the cases while their writer's reads are held
- * up, so that others read what was written, and commit on top of it, before the writer knows.
+ * Transactions of every kind are carried out and only their answers are lost. In most cases the writer's reads are delayed as well,
+ * so that other controllers read the records, and commit on top of them, before the writer learns of its own commit.
  */
-export function lostAnswers(seed: number): ScenarioRun {
+export function lostReplies(seed: number): ScenarioRun {
   const isScarce = seed % 3 === 2;
-  const world = stage(seed, isScarce ? SCARCE : PLENTY(seed));
+  const world = stage(seed, isScarce ? SCARCE_OPTIONS : ampleOptions(seed));
   const occurred = new Occurrences(
-    COMMIT_KINDS.map((k) => `${k}: read by another before its writer knew`),
+    COMMIT_KINDS.map((k) => `${k}: read by a peer before its writer`),
   );
-  for (const kind of BUILT_ON_KINDS)
-    occurred.counts.set(`${kind}: another committed on top`, 0);
-  loseAnswers(world, occurred);
-  submitWorkload(world, OVER_MS - 20_000, (w, n) =>
-    isScarce ? scarceJob(w, n) : n % 2 === 0 ? fitting(w, n) : randomJob(w, n),
+  for (const kind of SHARED_KINDS)
+    occurred.counts.set(`${kind}: a peer committed on top`, 0);
+  loseReplies(world, occurred);
+  submitWorkload(world, FAULTS_END_MS - 20_000, (w, n) =>
+    isScarce
+      ? scarceJob(w, n)
+      : n % 2 === 0
+        ? jobWithinLimits(w, n)
+        : randomJob(w, n),
   );
-  pipelines(world, 4_000, OVER_MS - 30_000);
-  // Groups change hands, for good as well as for a while.
+  pipelines(world, 4_000, FAULTS_END_MS - 30_000);
+  // Restarts within and beyond the store lease: partitions change their leader.
   for (const atMs of [25_000, 65_000])
     world.at(atMs, () =>
-      restart(
+      restartController(
         world,
         world.rng.pick(world.names),
         world.rng.pick([200, 18_000, 22_000]),
       ),
     );
-  runToEnd(world, OVER_MS);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
-/** Records of these kinds are written by several controllers. */
-const BUILT_ON_KINDS: readonly CommitKind[] = [
+/** Kinds whose records are written by several controllers. */
+const SHARED_KINDS: readonly CommitKind[] = [
   "accept",
   "release",
   "move",
@@ -123,26 +127,26 @@
   "claim of a group",
 ];
 
-/** So many of the first jobs of a scarce day are large. */
-const GUEST_FLOOD = 10;
+/** In the scarce setup, jobs of team red with a number up to this one are large. */
+const LAST_LARGE_JOB = 10;
 
-/** Arrays of one team, larger than all machines, and now and then some work of the other. */
+/** Two jobs of team red, at first larger than all machines together, for each job of team blue. */
 function scarceJob(world: World, n: number): JobSpec {
-  const isGuest = n % 3 !== 0;
+  const isRedTeam = n % 3 !== 0;
   return {
     ...plainJob(world, n),
-    team: isGuest ? "red" : "blue",
+    team: isRedTeam ? "red" : "blue",
     kind: "array",
     priority: "normal",
-    // What waits at the end has to be done by then: a team whose tasks come and go is never quite at its limit.
-    tasks: isGuest ? (n <= GUEST_FLOOD ? 60 : 4) : 12,
+    // Few enough tasks to be done by the end of the run: a team whose tasks come and go is never quite at its limit.
+    tasks: isRedTeam ? (n <= LAST_LARGE_JOB ? 60 : 4) : 12,
     cpus: 2,
     spot: true,
   };
 }
 
-/** An array for many machines, or a gang, some with parts in two zones, that no team's limit refuses. */
-function fitting(world: World, n: number): JobSpec {
+/** An array for many machines or a gang, some of them spread over two zones, within every team's limit. */
+function jobWithinLimits(world: World, n: number): JobSpec {
   if (n % 4 === 0)
     return {
       ...plainJob(world, n),
@@ -156,104 +160,111 @@
   return { ...job, tasks: Math.min(40, tasks) };
 }
 
-function loseAnswers(world: World, occurred: Occurrences): void {
+function loseReplies(world: World, occurred: Occurrences): void {
   const { rng } = world;
-  const lost = new Map<CommitCall, { kinds: ReadonlySet<CommitKind> }>();
-  const open: LostAnswer[] = [];
+  const unappliedCommits = new Map<
+    CommitCall,
+    { kinds: ReadonlySet<CommitKind> }
+  >();
+  const pendingReplies: LostReply[] = [];
   world.commitFate = (name, commit) => {
-    if (world.now > OVER_MS) return undefined;
+    if (world.now > FAULTS_END_MS) return undefined;
     const kinds = kindsOf(world, commit);
     const share = Math.max(0, ...[...kinds].map((k) => LOST_SHARE[k]));
     if (!rng.chance(share)) return undefined;
-    lost.set(commit, { kinds });
-    if (rng.chance(0.6)) holdReads(world, name, rng.real(1_600, 6_000));
+    unappliedCommits.set(commit, { kinds });
+    if (rng.chance(0.6)) delayReads(world, name, rng.real(1_600, 6_000));
     if (kinds.has("move")) addMachines(world, name);
-    if (kinds.has("attempt")) failGang(world, commit);
+    if (kinds.has("attempt")) failGangTask(world, commit);
     return { beforeMs: rng.real(1, 10), answered: false };
   };
   world.onCommitted.push((name, commit, revision) => {
-    noteBuiltOn(world, open, name, commit, occurred);
-    const found = lost.get(commit);
-    if (!found) return;
-    lost.delete(commit);
-    open.push({
+    noteFollowUps(world, pendingReplies, name, commit, occurred);
+    const commitInfo = unappliedCommits.get(commit);
+    if (!commitInfo) return;
+    unappliedCommits.delete(commit);
+    pendingReplies.push({
       writer: name,
       writerLife: world.nodes.get(name)?.life ?? 0,
-      kinds: found.kinds,
+      kinds: commitInfo.kinds,
       keys: new Set(commit.writes.map((w) => w.key)),
       revision,
-      carriedOutMs: world.now,
-      readFirst: false,
-      builtOn: false,
+      appliedMs: world.now,
+      isReadByPeer: false,
+      hasFollowUp: false,
     });
   });
-  world.every(20, () => noteReadFirst(world, open, occurred));
+  world.every(20, () => noteReadsByPeers(world, pendingReplies, occurred));
 }
 
-/** Another controller's copy shows what was written, and its writer's does not yet. */
-function noteReadFirst(
+/** Counts commits that another controller's cache contains while their writer's does not yet. */
+function noteReadsByPeers(
   world: World,
-  open: LostAnswer[],
+  pendingReplies: LostReply[],
   occurred: Occurrences,
 ): void {
-  while (open[0] && world.now - open[0].carriedOutMs > BUILT_ON_MS)
-    open.shift();
-  for (const answer of open) {
-    if (answer.readFirst || world.now - answer.carriedOutMs > TIMEOUT_MS)
+  while (
+    pendingReplies[0] &&
+    world.now - pendingReplies[0].appliedMs > FOLLOW_UP_MS
+  )
+    pendingReplies.shift();
+  for (const reply of pendingReplies) {
+    if (reply.isReadByPeer || world.now - reply.appliedMs > COMMIT_TIMEOUT_MS)
       continue;
-    const writer = world.nodes.get(answer.writer);
-    if (!writer || writer.life !== answer.writerLife) continue;
-    if (writer.core.cache.revision >= answer.revision) continue;
-    answer.readFirst = [...world.nodes].some(
+    const writer = world.nodes.get(reply.writer);
+    if (!writer || writer.life !== reply.writerLife) continue;
+    if (writer.core.cache.revision >= reply.revision) continue;
+    reply.isReadByPeer = [...world.nodes].some(
       ([name, node]) =>
-        name !== answer.writer &&
+        name !== reply.writer &&
         node !== null &&
-        node.core.cache.revision >= answer.revision,
+        node.core.cache.revision >= reply.revision,
     );
-    if (answer.readFirst)
-      for (const kind of answer.kinds)
-        occurred.note(`${kind}: read by another before its writer knew`);
+    if (reply.isReadByPeer)
+      for (const kind of reply.kinds)
+        occurred.note(`${kind}: read by a peer before its writer`);
   }
 }
 
-/** Which parts of a gang are ready, and the attempt that they start under, are one matter. */
-function topicOf(key: string): string {
+/** The key under which follow-up writes are matched: a gang's ready records share the key of its attempt record. */
+function conflictKeyOf(key: string): string {
   const parsed = parseKey(key);
   return parsed?.kind === "ready" || parsed?.kind === "gang"
     ? gangKey(parsed.id)
     : key;
 }
 
-/** Another controller commits something that is conditional on what was written, or replaces it. */
-function noteBuiltOn(
+/** Counts commits of other controllers that are conditional on a record whose reply was lost, or replace it. */
+function noteFollowUps(
   world: World,
-  open: readonly LostAnswer[],
+  pendingReplies: readonly LostReply[],
   name: string,
   commit: CommitCall,
   occurred: Occurrences,
 ): void {
-  const touched = new Set(
-    [...commit.conditions, ...commit.writes].map((x) => topicOf(x.key)),
+  const touchedKeys = new Set(
+    [...commit.conditions, ...commit.writes].map((x) => conflictKeyOf(x.key)),
   );
-  for (const answer of open) {
-    if (answer.builtOn || answer.writer === name) continue;
-    if (world.now - answer.carriedOutMs > BUILT_ON_MS) continue;
-    if (![...answer.keys].some((key) => touched.has(topicOf(key)))) continue;
-    answer.builtOn = true;
+  for (const answer of pendingReplies) {
+    if (answer.hasFollowUp || answer.writer === name) continue;
+    if (world.now - answer.appliedMs > FOLLOW_UP_MS) continue;
+    if (![...answer.keys].some((key) => touchedKeys.has(conflictKeyOf(key))))
+      continue;
+    answer.hasFollowUp = true;
     for (const kind of answer.kinds)
-      if (BUILT_ON_KINDS.includes(kind))
-        occurred.note(`${kind}: another committed on top`);
+      if (SHARED_KINDS.includes(kind))
+        occurred.note(`${kind}: a peer committed on top`);
   }
 }
 
-function holdReads(world: World, name: string, forMs: number): void {
+function delayReads(world: World, name: string, forMs: number): void {
   if (world.stateCut.has(name)) return;
   world.stateCut.set(name, "reads");
   world.at(forMs, () => world.stateCut.delete(name));
 }
 
-/** The gang loses a task soon after it was called, so that its parts come back and another attempt follows. */
-function failGang(world: World, commit: CommitCall): void {
+/** Restarts a machine of the gang soon after its attempt began, so that another attempt follows. */
+function failGangTask(world: World, commit: CommitCall): void {
   const ids = commit.writes.map((w) => {
     const parsed = parseKey(w.key);
     return parsed?.kind === "gang" ? parsed.id : null;
@@ -264,7 +275,7 @@
   });
 }
 
-/** Who gave tasks away gets room for them before it knows what became of that. */
+/** Gives a controller that moved tasks to a peer machines for them before it knows the outcome of the move. */
 function addMachines(world: World, name: string): void {
   const zone = world.zoneOf(name);
   for (let i = 0; i < 2; i++)
--- a/test/scenarios/lowered-bounds.ts
+++ b/test/scenarios/lowered-bounds.ts
@@ -1,4 +1,4 @@
-/** Runs simulated controllers with lower bounds of the software, so that fewer machines reach them. */
+/** Lowers bounds of the software in simulated controllers, so that fewer machines reach them. */
 import assert from "node:assert/strict";
 import type { Controller } from "../../src/coordination/controller.js";
 import { Redirects } from "../../src/coordination/machines/redirects.js";
@@ -6,41 +6,41 @@
 import { RateLimitedLog } from "../../src/logging/rate-limited-log.js";
 import type { World } from "../simulation/world.js";
 
-/** The software's bounds, where they are not to be its own. */
+/** Values that replace the software's own bounds. */
 export interface LoweredBounds {
   maxRedirects: number;
   maxWarningSubjects: number;
 }
 
-/** Bounds in the proportion that the software's own have to 4,000 machines. */
+/** Bounds in the same proportion to the number of machines as the software's own to 4,000 machines. */
 export const boundsInProportion = (machines: number): LoweredBounds => ({
   maxRedirects: 2 * machines,
   maxWarningSubjects: 4 * machines,
 });
 
-/** Replaces what holds the bounds in each controller and leader before it is first used. */
+/** Replaces the objects that have these bounds in each controller and leader before their first use. */
 export function lowerBounds(world: World, bounds: LoweredBounds): void {
-  const seen = new WeakSet<Controller | PartitionLeader>();
+  const lowered = new WeakSet<Controller | PartitionLeader>();
   world.afterStep = (core) => {
-    if (!seen.has(core)) {
-      seen.add(core);
+    if (!lowered.has(core)) {
+      lowered.add(core);
       lowerRedirects(core, bounds.maxRedirects);
     }
     for (const leader of core.leaders.values()) {
-      if (seen.has(leader)) continue;
-      seen.add(leader);
+      if (lowered.has(leader)) continue;
+      lowered.add(leader);
       lowerWarnings(core, leader, bounds.maxWarningSubjects);
     }
   };
 }
 
-function lowerRedirects(core: Controller, max: number): void {
+function lowerRedirects(core: Controller, maxRedirects: number): void {
   const { heartbeats: holder } = core as unknown as {
     heartbeats: { redirects: Redirects };
   };
   assert.ok(holder.redirects instanceof Redirects);
   assert.equal(holder.redirects.size, 0);
-  holder.redirects = new Redirects(max);
+  holder.redirects = new Redirects(maxRedirects);
 }
 
 function lowerWarnings(
--- a/test/scenarios/one-task-jobs.ts
+++ b/test/scenarios/one-task-jobs.ts
@@ -4,73 +4,73 @@
 import {
   Occurrences,
   plainJob,
-  refuse,
-  restart,
+  refuseStoreCalls,
+  restartController,
   runToEnd,
   type ScenarioRun,
   stage,
 } from "./stage.js";
 
-const FROM_MS = 5_000;
-const FOR_MS = 180_000;
+const SUBMIT_FROM_MS = 5_000;
+const SUBMIT_DURATION_MS = 180_000;
 const JOBS_PER_S = 4;
 const CANCELLED_SHARE = 0.25;
-/** Cancelled jobs are cancelled around one of these. */
-const CANCELLED = [
+/** When a job is cancelled. */
+const CANCELLATION_TIMES = [
   "before the submission is answered",
   "as the task starts",
   "as the task ends",
   "at any time",
 ] as const;
-type CancelledWhen = (typeof CANCELLED)[number];
+type CancellationTime = (typeof CANCELLATION_TIMES)[number];
 
-/** What the state service was asked for by such a day, of which the operators' limits are a rate. */
-interface ChangeFigures {
+/** Load on the state service, for comparison with the operators' rate limits. */
+interface WriteStatistics {
   jobs: number;
   /** Puts and deletes. */
-  changes: number;
-  /** The most in any one second, and on average in any ten. */
-  mostInOneS: number;
-  mostInTenS: number;
-  /** Records under `lc/now/` at the end of jobs that are over. */
-  leftover: string[];
+  writes: number;
+  /** Most writes in any one second, and highest average per second over any ten. */
+  peakPerS: number;
+  peakPerSOverTenS: number;
+  /** Keys under `lc/now/` that still exist at the end for jobs that have ended. */
+  leftoverKeys: string[];
 }
 
 /**
- * One-task jobs, four a second for three minutes, a quarter of them cancelled before their submission is answered, as the task starts,
- * as it ends, or at any time. On every second day a controller is refused or ends meanwhile.
+ * One-task jobs, four a second for three minutes, a quarter of them cancelled before their submission is answered, as the task
+ * starts, as it ends, or at any time. With odd seeds controllers are refused by the state service or crash meanwhile.
  */
 export function oneTaskJobs(
   seed: number,
-): ScenarioRun & { figures: ChangeFigures } {
+): ScenarioRun & { statistics: WriteStatistics } {
   const world = stage(seed, { controllers: 3, runFactor: 0.5 });
-  const occurred = new Occurrences(CANCELLED);
-  const perSecond = countChanges(world);
-  const around = new Map<string, CancelledWhen>();
-  const count = (FOR_MS / 1000) * JOBS_PER_S;
+  const occurred = new Occurrences(CANCELLATION_TIMES);
+  const perSecond = countWrites(world);
+  const cancellationTimes = new Map<string, CancellationTime>();
+  const count = (SUBMIT_DURATION_MS / 1000) * JOBS_PER_S;
   for (let n = 0; n < count; n++)
-    world.at(FROM_MS + (n * 1000) / JOBS_PER_S, () =>
-      submitOne(world, n, around, occurred),
+    world.at(SUBMIT_FROM_MS + (n * 1000) / JOBS_PER_S, () =>
+      submitOne(world, n, cancellationTimes, occurred),
     );
   world.jobEnded = (id) => {
-    if (around.get(id) !== "as the task ends") return;
+    if (cancellationTimes.get(id) !== "as the task ends") return;
     occurred.note("as the task ends");
-    // Around the end: the result is there, and its report on the way.
+    // The result exists already, and the heartbeat that shows it may still be on its way.
     world.at(world.rng.real(0, 400), () => cancel(world, id));
   };
-  if (seed % 2 === 1) disturb(world);
-  runToEnd(world, FROM_MS + FOR_MS + 10_000);
+  if (seed % 2 === 1) injectFaults(world);
+  runToEnd(world, SUBMIT_FROM_MS + SUBMIT_DURATION_MS + 10_000);
   return {
     world,
     occurred: occurred.counts,
-    figures: figuresOf(world, count, perSecond),
+    statistics: statisticsOf(world, count, perSecond),
   };
 }
 
 function submitOne(
   world: World,
   n: number,
-  around: Map<string, CancelledWhen>,
+  cancellationTimes: Map<string, CancellationTime>,
   occurred: Occurrences,
 ): void {
   const { rng } = world;
@@ -84,44 +84,45 @@
   world.specs.set(spec.id, spec);
   submit(world, spec, world.now);
   if (!rng.chance(CANCELLED_SHARE)) return;
-  const when = rng.pick(CANCELLED);
-  around.set(spec.id, when);
+  const time = rng.pick(CANCELLATION_TIMES);
+  cancellationTimes.set(spec.id, time);
   const cancelNow = (): void => {
-    occurred.note(when);
+    occurred.note(time);
     cancel(world, spec.id);
   };
-  if (when === "before the submission is answered")
+  if (time === "before the submission is answered")
     world.at(
       rng.real(0, 15),
       () => !world.checker.told.has(spec.id) && cancelNow(),
     );
-  if (when === "at any time") world.at(rng.real(20, 8_000), cancelNow);
-  if (when === "as the task starts")
-    whenOnMachine(world, spec.id, () => world.at(rng.real(0, 50), cancelNow));
+  if (time === "at any time") world.at(rng.real(20, 8_000), cancelNow);
+  if (time === "as the task starts")
+    afterStart(world, spec.id, () => world.at(rng.real(0, 50), cancelNow));
 }
 
-/** A start was carried out, whether its image is there yet or not. */
-function whenOnMachine(world: World, id: string, act: () => void): void {
+/** Calls `act` once a start command for the job was carried out, whether or not its image has been pulled yet. */
+function afterStart(world: World, id: string, act: () => void): void {
   if (world.checker.isDone(id) || world.checker.asked.has(id)) return;
-  const isThere = world.workers.some(
+  const isStarted = world.workers.some(
     (m) => !m.gone && [...m.tasks.values()].some((t) => t.job === id),
   );
-  if (isThere) return act();
-  world.at(20, () => whenOnMachine(world, id, act));
+  if (isStarted) return act();
+  world.at(20, () => afterStart(world, id, act));
 }
 
-function disturb(world: World): void {
+function injectFaults(world: World): void {
   const { rng } = world;
   for (const atMs of [30_000, 80_000, 130_000])
     world.at(atMs, () => {
       const name = rng.pick(world.names);
-      if (rng.chance(0.5)) refuse(world, name, rng.real(2_000, 20_000));
-      else restart(world, name, rng.real(100, 18_000));
+      if (rng.chance(0.5))
+        refuseStoreCalls(world, name, rng.real(2_000, 20_000));
+      else restartController(world, name, rng.real(100, 18_000));
     });
 }
 
-/** Puts and deletes that were carried out, by second. */
-function countChanges(world: World): number[] {
+/** Counts the puts and deletes that are carried out, by second. */
+function countWrites(world: World): number[] {
   const perSecond: number[] = [];
   world.onCommitted.push((_name, commit) => {
     const second = Math.floor(world.now / 1000);
@@ -130,16 +131,16 @@
   return perSecond;
 }
 
-function figuresOf(
+function statisticsOf(
   world: World,
   jobs: number,
   perSecond: readonly number[],
-): ChangeFigures {
+): WriteStatistics {
   const counts = Array.from(perSecond, (n) => n ?? 0);
-  const tens = counts.map((_, i) =>
+  const tenSecondSums = counts.map((_, i) =>
     counts.slice(i, i + 10).reduce((a, b) => a + b, 0),
   );
-  const leftover = [...world.state.data.keys()].filter((key) => {
+  const leftoverKeys = [...world.state.data.keys()].filter((key) => {
     const parsed = parseKey(key);
     if (parsed === null || !("id" in parsed) || parsed.kind === "past")
       return false;
@@ -147,9 +148,9 @@
   });
   return {
     jobs,
-    changes: counts.reduce((a, b) => a + b, 0),
-    mostInOneS: Math.max(...counts),
-    mostInTenS: Math.max(...tens) / 10,
-    leftover,
+    writes: counts.reduce((a, b) => a + b, 0),
+    peakPerS: Math.max(...counts),
+    peakPerSOverTenS: Math.max(...tenSecondSums) / 10,
+    leftoverKeys: leftoverKeys,
   };
 }
--- a/test/scenarios/overtaken-heartbeats.ts
+++ b/test/scenarios/overtaken-heartbeats.ts
@@ -1,16 +1,16 @@
 /**
- * The story of the failure. Users saw a team run more than its limit: 14 accelerators instead of 13, half a second after one
- * of its jobs was cancelled. No task ran twice, no leader changed and no part of the limit moved in the three seconds before.
+ * Guards against a team exceeding its limit: users saw 14 accelerators in use instead of 13, half a second after one of the
+ * team's jobs was cancelled. In the three seconds before, no task ran twice, no leader changed and no quota share moved.
  *
- * Order of events: a machine makes a heartbeat, whose packet is lost and sent again, or which waits in the socket of a busy
- * controller; a start sent straight to the machine is carried out and answered meanwhile; the job is cancelled, so the task
- * is to be stopped; only then does the heartbeat reach the leader. It does not show the task, for it was made before it.
+ * Order of events: a machine makes a heartbeat, which is delayed by a retransmission or waits in the socket of a busy controller.
+ * Meanwhile the machine carries out and answers a start command, and the job is cancelled, so that the task is to be stopped.
+ * Only then does the heartbeat reach the leader. It does not list the task, because it was made before the start.
  *
- * Cause: the leader took that absence for news. It gave the task's resources to others while the task ran, and sent no stop.
+ * Cause: the leader concluded that the task was gone. It gave the task's resources to others while the task ran, and sent no stop.
  *
- * Evidence: with that order brought about, 46 of the first 60 seeds had a task on a machine that its leader did not count, and
- * three broke `quota` (six without the check that every task is counted); the other days of the simulation, without it, none.
- * A cancelled task is not started anew elsewhere, which is why `quota` broke and `ran_twice` did not.
+ * With this order of events forced, and without the fix, 46 of the first 60 seeds had a task on a machine that its leader did not
+ * count, and three broke `quota` (six without the check that every task is counted). The other workloads of the simulation did
+ * not detect the fault. A cancelled task is not started again elsewhere, which is why `quota` broke and `ran_twice` did not.
  */
 import { cancel, submitWorkload } from "../simulation/workloads.js";
 import type { SimWorker } from "../simulation/machine.js";
@@ -29,17 +29,18 @@
   tasksOnMachines,
 } from "./stage.js";
 
-const OVER_MS = 120_000;
-/** Part of the heartbeats whose packet is lost and sent again. */
+const FAULTS_END_MS = 120_000;
+/** Share of the heartbeats whose packet is lost and retransmitted. */
 const DELAYED_SHARE = 0.3;
-/** Part of the jobs that are cancelled right after a start of theirs was sent, and how long after. */
+/** Share of the direct start commands after which the job is cancelled, and the delay until then. */
 const CANCELLED_SHARE = 0.3;
-const CANCELLED_AFTER_MS = [20, 1_000] as const;
+const CANCELLATION_DELAY_MS = [20, 1_000] as const;
 
-const NOT_CANCELLED = "after the answer to a start that was carried out later";
-const CANCELLED =
-  "after the answer to a start that was carried out later, and the cancellation of its job";
-/** Heartbeats are overtaken by the answers to direct commands that their machines carried out after they made them. */
+const OVERTAKEN = "after the answer to a start carried out later";
+const OVERTAKEN_AFTER_CANCELLATION =
+  "after the answer to a start carried out later and the cancellation of its job";
+
+/** Heartbeats are overtaken by the answers to direct commands that their machines carried out after making them. */
 export function overtakenHeartbeats(seed: number): ScenarioRun {
   const world = stage(seed, {
     controllers: 2 + (seed % 3),
@@ -47,9 +48,10 @@
     teams: LOW_LIMITS,
   });
   const { rng } = world;
-  const occurred = new Occurrences([NOT_CANCELLED, CANCELLED]);
+  const occurred = new Occurrences([OVERTAKEN, OVERTAKEN_AFTER_CANCELLATION]);
   world.heartbeatHold = (machine, heartbeat) => {
-    if (world.now > OVER_MS || !rng.chance(DELAYED_SHARE)) return undefined;
+    if (world.now > FAULTS_END_MS || !rng.chance(DELAYED_SHARE))
+      return undefined;
     return {
       forMs: rng.real(...RETRANSMISSION_MS),
       onArrival: () => noteOvertaken(world, machine, heartbeat, occurred),
@@ -58,17 +60,19 @@
   world.onCommands.push((_leader, _machine, commands, channel) => {
     const start = commands.find((command) => command.op === "start");
     if (!start || channel !== "command" || !rng.chance(CANCELLED_SHARE)) return;
-    world.at(rng.real(...CANCELLED_AFTER_MS), () => cancel(world, start.job));
+    world.at(rng.real(...CANCELLATION_DELAY_MS), () =>
+      cancel(world, start.job),
+    );
   });
-  submitWorkload(world, OVER_MS - 15_000, (w, n) => ({
+  submitWorkload(world, FAULTS_END_MS - 15_000, (w, n) => ({
     ...plainJob(w, n),
     tasks: w.rng.int(1, 3),
   }));
-  runToEnd(world, OVER_MS);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
-/** Notes each task on the machine that the heartbeat can't show, and whose start its leader knows to be answered. */
+/** Counts each task on the machine that started after the heartbeat was made, if its leader already has the answer to the start. */
 function noteOvertaken(
   world: World,
   machine: SimWorker,
@@ -89,13 +93,13 @@
       attemptKey(job, index, attempt),
     ),
   );
-  for (const on of tasksOnMachines(world)) {
-    if (on.machine !== machine) continue;
-    const { job, index, attempt } = on.task;
+  for (const onMachine of tasksOnMachines(world)) {
+    if (onMachine.machine !== machine) continue;
+    const { job, index, attempt } = onMachine.task;
     const key = attemptKey(job, index, attempt);
     const task = worker?.tasks.get(key);
     const isAnswered = !worker?.unansweredStarts.has(key);
     if (shown.has(key) || task?.phase !== "ordered" || !isAnswered) continue;
-    occurred.note(task.job.isOver ? CANCELLED : NOT_CANCELLED);
+    occurred.note(task.job.isOver ? OVERTAKEN_AFTER_CANCELLATION : OVERTAKEN);
   }
 }
--- a/test/scenarios/stage.ts
+++ b/test/scenarios/stage.ts
@@ -6,18 +6,18 @@
 import { World } from "../simulation/world.js";
 
 /**
- * What the scenarios share. A scenario brings one conjunction of injected faults about: it waits for a state, acts on it at a drawn moment,
- * and counts only what came together whole.
+ * Setup, faults and queries that the scenarios share. A scenario brings about a combination of injected faults: it waits for a
+ * state of the cluster, injects a fault at a random moment, and counts the combination only if all parts of it occurred.
  */
 
-/** A day of a scenario, and how often each conjunction occurred on it. */
+/** The cluster after one run of a scenario, and how often each combination of faults occurred. */
 export interface ScenarioRun {
   world: World;
   occurred: Map<string, number>;
 }
 export type Scenario = (seed: number) => ScenarioRun;
 
-/** Counts conjunctions by name; those named at the start are listed even if they never occur. */
+/** Counts combinations of faults by name; those given to the constructor are listed even if they never occur. */
 export class Occurrences {
   readonly counts = new Map<string, number>();
 
@@ -29,27 +29,27 @@
   }
 }
 
-export interface StageOptions {
+export interface WorldOptions {
   controllers?: number;
-  /** Tasks run so many times as long as the simulation's usual 1 to 12 s. */
+  /** Factor by which tasks run longer than the simulation's usual 1 to 12 s. */
   runFactor?: number;
   /** Machines of the small type in each zone from the start. */
   machinesPerZone?: number;
-  /** Most machines of a type and kind that a zone has. */
+  /** Most machines that the cloud offers in a zone of each type, spot and ordinary ones counted separately. */
   capacity?: number;
   teams?: Settings["teams"];
-  /** The operators' tuning, where it is not the simulation's usual one. */
+  /** Operator tuning; absent: the simulation's default. */
   tuning?: Tuning;
 }
 
-/** Limits that the teams are at as soon as a few jobs run. */
+/** Team limits that are reached as soon as a few jobs run. */
 export const LOW_LIMITS: Settings["teams"] = new Map([
   ["red", { name: "red", cpus: 10, gpus: 0, cpusMax: 12, gpusMax: 4 }],
   ["blue", { name: "blue", cpus: 10, gpus: 0, cpusMax: 15, gpusMax: 4 }],
 ]);
 
-/** A deployment whose machines are up from the start. */
-export function stage(seed: number, options: StageOptions = {}): World {
+/** Creates a cluster whose machines are up from the start. */
+export function stage(seed: number, options: WorldOptions = {}): World {
   const world = new World(seed, options.tuning, [], options.controllers ?? 3);
   world.capacity = options.capacity ?? 6;
   world.runFactor = options.runFactor ?? 2;
@@ -64,24 +64,24 @@
   return world;
 }
 
-/** Calls `act` whenever the condition holds, looking every `everyMs` and resting for `restMs` after each time. */
+/** Polls `condition` every `everyMs` and calls `act` when it holds; polls again no sooner than `restMs` after that. */
 export function whenever<T>(
   world: World,
   condition: () => T | null,
   act: (found: T) => void,
   { everyMs = 20, restMs = 0, untilMs = Infinity } = {},
 ): void {
-  const look = (): void => {
+  const poll = (): void => {
     if (world.now > untilMs) return;
     const found = condition();
     if (found !== null) act(found);
-    world.at(found === null ? everyMs : Math.max(everyMs, restMs), look);
+    world.at(found === null ? everyMs : Math.max(everyMs, restMs), poll);
   };
-  world.at(everyMs, look);
+  world.at(everyMs, poll);
 }
 
-/** A group's record as the state service has it. */
-export function ownerOf(
+/** Owner and fencing token of a partition according to the state service; null: the partition has no record. */
+export function ownershipOf(
   world: World,
   partition: string,
 ): { owner: string; token: number } | null {
@@ -93,7 +93,7 @@
   };
 }
 
-/** A group that one controller had and another, or the same under a new token, has taken. */
+/** A partition that had an owner and was acquired by another controller, or by the same one under a new token. */
 export interface Takeover {
   partition: string;
   owner: string;
@@ -102,43 +102,43 @@
   formerToken: number;
 }
 
-/** Tells of each takeover at the moment of the commit, and of each group whose record went away. */
+/** Calls `onTakeover` at the commit of each takeover, and `onReleased` within 10 ms after a partition's record disappears. */
 export function watchPartitions(
   world: World,
   onTakeover: (takeover: Takeover) => void,
   onReleased: (partition: string, owner: string) => void = () => {},
 ): void {
-  const last = new Map<string, { owner: string; token: number }>();
-  const present = new Set<string>();
+  const lastOwnership = new Map<string, { owner: string; token: number }>();
+  const ownedPartitions = new Set<string>();
   world.onCommitted.push((_name, commit) => {
     for (const write of commit.writes) {
       const partition = /^lc\/now\/group\/(.*)$/.exec(
         write.op === "put" ? write.key : "",
       )?.[1];
       if (partition === undefined) continue;
-      const now = ownerOf(world, partition)!;
-      const former = last.get(partition);
-      last.set(partition, now);
-      present.add(partition);
+      const ownership = ownershipOf(world, partition)!;
+      const former = lastOwnership.get(partition);
+      lastOwnership.set(partition, ownership);
+      ownedPartitions.add(partition);
       if (former)
         onTakeover({
           partition,
-          ...now,
+          ...ownership,
           formerOwner: former.owner,
           formerToken: former.token,
         });
     }
   });
   world.every(10, () => {
-    for (const partition of present)
-      if (!ownerOf(world, partition)) {
-        present.delete(partition);
-        onReleased(partition, last.get(partition)!.owner);
+    for (const partition of ownedPartitions)
+      if (!ownershipOf(world, partition)) {
+        ownedPartitions.delete(partition);
+        onReleased(partition, lastOwnership.get(partition)!.owner);
       }
   });
 }
 
-/** The group that a zone belongs to, as any controller that is up has it. */
+/** The partition of a zone according to any running controller; undefined: no controller runs. */
 export function partitionOfZone(
   world: World,
   zone: string,
@@ -146,25 +146,27 @@
   const node = [...world.nodes.values()].find((n) => n !== null);
   return node?.core.partitions.partitionOf(zone);
 }
-/** The group that a machine's zone belongs to; some controller is up. */
+/** The partition of a machine's zone. At least one controller must be running. */
 export const partitionOf = (world: World, machine: SimWorker): string =>
   partitionOfZone(world, machine.zone)!;
 
-/** The controller that leads a group, if it is up. */
+/** The controller that owns a partition; null: there is none, or it is down. */
 export function liveLeaderOf(world: World, partition: string): string | null {
-  const owner = ownerOf(world, partition)?.owner;
+  const owner = ownershipOf(world, partition)?.owner;
   return owner !== undefined && world.nodes.get(owner) ? owner : null;
 }
 
-/** Who leads a group after a takeover. */
-export const NEW_LEADERS = [
+/** Which controller leads a partition after a takeover. */
+export const NEW_LEADER_KINDS = [
   "the same controller again",
   "another controller",
 ] as const;
-export const newLeader = (takeover: Takeover): (typeof NEW_LEADERS)[number] =>
-  NEW_LEADERS[takeover.owner === takeover.formerOwner ? 0 : 1];
+export const newLeaderKind = (
+  takeover: Takeover,
+): (typeof NEW_LEADER_KINDS)[number] =>
+  NEW_LEADER_KINDS[takeover.owner === takeover.formerOwner ? 0 : 1];
 
-/** Tasks that are on machines at this moment, in the sense of PROTOCOL's rules. */
+/** Tasks that are on machines now, in the sense of PROTOCOL's rules. */
 export function* tasksOnMachines(
   world: World,
 ): Generator<{ machine: SimWorker; task: SimTask; spec: JobSpec }> {
@@ -176,29 +178,34 @@
   }
 }
 
-/** Orders to it, its reports or their answers don't arrive. */
+/** Whether commands to the machine, its heartbeats or the answers to them don't arrive. */
 export const isUnreachable = (machine: SimWorker): boolean =>
   machine.cut.size > 0 || machine.hung || machine.oneWay || machine.isMute;
 
-/** Ways in which a machine gets out of reach. */
-export const UNREACHABLE = ["cut off", "deaf", "mute", "hung"] as const;
-export type Unreachable = (typeof UNREACHABLE)[number];
+/** Ways in which a machine becomes unreachable. */
+export const UNREACHABLE_MODES = [
+  "cut off",
+  "receives nothing",
+  "can't connect",
+  "hung",
+] as const;
+export type UnreachableMode = (typeof UNREACHABLE_MODES)[number];
 
-/** Puts a machine out of reach for a while. */
-export function putOutOfReach(
+/** Makes a machine unreachable for a while. */
+export function makeUnreachable(
   world: World,
   machine: SimWorker,
-  how: Unreachable,
+  mode: UnreachableMode,
   forMs: number,
 ): void {
-  switch (how) {
+  switch (mode) {
     case "cut off":
       for (const name of world.names) machine.cut.add(name);
       return world.at(forMs, () => machine.cut.clear());
-    case "deaf":
+    case "receives nothing":
       machine.oneWay = true;
       return world.at(forMs, () => (machine.oneWay = false));
-    case "mute":
+    case "can't connect":
       machine.isMute = true;
       return world.at(forMs, () => (machine.isMute = false));
     case "hung":
@@ -210,31 +217,39 @@
   }
 }
 
-/** Kills a controller and starts it again after a while. */
-export function restart(world: World, name: string, afterMs: number): void {
+/** Crashes a controller and starts it again after `afterMs`. */
+export function restartController(
+  world: World,
+  name: string,
+  afterMs: number,
+): void {
   world.crash(name);
   world.at(afterMs, () => world.nodes.get(name) ?? world.boot(name));
 }
 
-/** The state service refuses a controller, alone, for a while. */
-export function refuse(world: World, name: string, forMs: number): void {
+/** Makes the state service refuse the calls of one controller for a while. */
+export function refuseStoreCalls(
+  world: World,
+  name: string,
+  forMs: number,
+): void {
   world.stateCut.set(name, "refused");
   world.at(forMs, () => world.stateCut.delete(name));
 }
 
-/** A controller and its peers don't reach each other for a while. */
+/** Cuts the connections between a controller and its peers for a while. */
 export function cutFromPeers(world: World, name: string, forMs: number): void {
   world.meshCuts.add(name);
   world.at(forMs, () => world.meshCuts.delete(name));
 }
 
-/** A controller loses the state service and its peers for a while, not its workers: it answers them until its permit ends. */
+/** Cuts a controller off from the state service and its peers, not from its workers: it answers them until its leadership lease expires. */
 export function cutOffLeader(world: World, name: string, forMs: number): void {
-  refuse(world, name, forMs);
+  refuseStoreCalls(world, name, forMs);
   cutFromPeers(world, name, forMs);
 }
 
-/** A job that most groups can run: no limits of place, few CPUs. */
+/** A job that most partitions can run: no required zone or machine type, few CPUs. */
 export const plainJob = (world: World, n: number): JobSpec => ({
   ...randomJob(world, n),
   cpus: world.rng.pick([1, 2]),
@@ -245,9 +260,13 @@
   deadlineS: null,
 });
 
-/** After the last injected fault at `overMs` the day goes on until forgotten and waiting jobs would have been noticed. */
-export function runToEnd(world: World, overMs: number): void {
-  world.at(overMs, () => world.every(1_000, () => world.checker.nobodyLeft()));
-  world.at(overMs + 80_000, () => world.checker.remembers(overMs + 5_000));
-  world.run(overMs + 110_000);
+/** Runs on after the last injected fault at `faultsEndMs`, long enough to detect forgotten jobs and jobs that wait beside free machines. */
+export function runToEnd(world: World, faultsEndMs: number): void {
+  world.at(faultsEndMs, () =>
+    world.every(1_000, () => world.checker.nobodyLeft()),
+  );
+  world.at(faultsEndMs + 80_000, () =>
+    world.checker.remembers(faultsEndMs + 5_000),
+  );
+  world.run(faultsEndMs + 110_000);
 }
--- a/test/scenarios/stale-heartbeats.ts
+++ b/test/scenarios/stale-heartbeats.ts
@@ -7,8 +7,8 @@
   partitionOfZone,
   Occurrences,
   plainJob,
-  putOutOfReach,
-  restart,
+  makeUnreachable,
+  restartController,
   runToEnd,
   type ScenarioRun,
   stage,
@@ -16,17 +16,17 @@
   watchPartitions,
 } from "./stage.js";
 
-const OVER_MS = 170_000;
-/** Reports of so long ago are sent again. */
-const KEPT_MS = 60_000;
+const FAULTS_END_MS = 170_000;
+/** Heartbeats made within this time are sent again. */
+const RESEND_WINDOW_MS = 60_000;
 
-const WHEN = [
+const SEND_TIMES = [
   "at every controller as a new leader begins",
-  "after the new leader has acted",
+  "after the first start command of the new leader",
 ] as const;
 const CONTENTS = [
-  "same session",
-  "earlier session",
+  "same incarnation",
+  "earlier incarnation",
   "earlier attempt",
   "task since done",
   "task since cancelled",
@@ -34,58 +34,67 @@
 ] as const;
 type Content = (typeof CONTENTS)[number];
 
-interface KeptReport {
-  report: Heartbeat;
+interface RecordedHeartbeat {
+  heartbeat: Heartbeat;
   madeMs: number;
 }
 
 /**
- * Old reports come once more: to every controller within half a second of a takeover, or to the new leader only after it has given
- * orders. They are of the same session or an earlier one, and show tasks that have another attempt by now, are done, cancelled or moved.
+ * Stale heartbeats are sent again: to every controller within half a second of a takeover, and to the new leader after its first
+ * start command. They are from the same incarnation or an earlier one, and list tasks that by now have another attempt, are done,
+ * cancelled or moved.
  */
-export function oldReports(seed: number): ScenarioRun {
+export function staleHeartbeats(seed: number): ScenarioRun {
   const world = stage(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 2,
     machinesPerZone: 2,
   });
   const occurred = new Occurrences(
-    WHEN.flatMap((w) => CONTENTS.map((c) => `${c}, ${w}`)),
+    SEND_TIMES.flatMap((w) => CONTENTS.map((c) => `${c}, ${w}`)),
   );
-  const kept: KeptReport[] = [];
-  world.onHeartbeat.push((report) => {
-    kept.push({ report: structuredClone(report), madeMs: world.now });
-    while (kept.length > 0 && world.now - kept[0]!.madeMs > KEPT_MS)
-      kept.shift();
+  const recorded: RecordedHeartbeat[] = [];
+  world.onHeartbeat.push((heartbeat) => {
+    recorded.push({ heartbeat: structuredClone(heartbeat), madeMs: world.now });
+    while (
+      recorded.length > 0 &&
+      world.now - recorded[0]!.madeMs > RESEND_WINDOW_MS
+    )
+      recorded.shift();
   });
-  sendAgain(world, kept, occurred);
-  disturb(world);
-  submitWorkload(world, OVER_MS - 20_000, plainJob);
-  runToEnd(world, OVER_MS);
+  resendStale(world, recorded, occurred);
+  injectFaults(world);
+  submitWorkload(world, FAULTS_END_MS - 20_000, plainJob);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
-function sendAgain(
+function resendStale(
   world: World,
-  kept: readonly KeptReport[],
+  recorded: readonly RecordedHeartbeat[],
   occurred: Occurrences,
 ): void {
   const { rng } = world;
-  /** By group: the leader that has not given orders yet, and what waits until it has. */
-  const held = new Map<string, { owner: string; reports: Heartbeat[] }>();
-  const send = (name: string, report: Heartbeat, when: string): void => {
-    for (const content of contentsOf(world, report))
+  /** By partition: the new leader that has not sent a start command yet, and the heartbeats to send once it has. */
+  const delayed = new Map<string, { owner: string; heartbeats: Heartbeat[] }>();
+  const send = (name: string, heartbeat: Heartbeat, when: string): void => {
+    for (const content of contentsOf(world, heartbeat))
       occurred.note(`${content}, ${when}`);
-    world.heartbeat(name, structuredClone(report), () => {});
+    world.heartbeat(name, structuredClone(heartbeat), () => {});
   };
   watchPartitions(world, (takeover) => {
-    if (world.now > OVER_MS) return;
-    const old = oldReportsOf(world, kept, takeover);
-    for (const report of old)
+    if (world.now > FAULTS_END_MS) return;
+    const stale = staleHeartbeatsOf(world, recorded, takeover);
+    for (const heartbeat of stale)
       for (const name of world.names)
         if (world.nodes.get(name))
-          world.at(rng.real(0, 500), () => send(name, report, WHEN[0]));
-    held.set(takeover.partition, { owner: takeover.owner, reports: old });
+          world.at(rng.real(0, 500), () =>
+            send(name, heartbeat, SEND_TIMES[0]),
+          );
+    delayed.set(takeover.partition, {
+      owner: takeover.owner,
+      heartbeats: stale,
+    });
   });
   world.onCommands.push((name, machineId, commands) => {
     if (!commands.some((o) => o.op === "start")) return;
@@ -93,50 +102,50 @@
     const node = world.nodes.get(name);
     if (!machine || !node) return;
     const partition = node.core.partitions.partitionOf(machine.zone);
-    const waiting = held.get(partition);
-    if (waiting?.owner !== name) return;
-    held.delete(partition);
-    for (const report of waiting.reports)
-      world.at(rng.real(0, 2_000), () => send(name, report, WHEN[1]));
+    const pending = delayed.get(partition);
+    if (pending?.owner !== name) return;
+    delayed.delete(partition);
+    for (const heartbeat of pending.heartbeats)
+      world.at(rng.real(0, 2_000), () => send(name, heartbeat, SEND_TIMES[1]));
   });
 }
 
-/** One old report for each content that there is, of machines of this group. */
-function oldReportsOf(
+/** At least one stale heartbeat of the partition's machines for each content that is found. */
+function staleHeartbeatsOf(
   world: World,
-  kept: readonly KeptReport[],
+  kept: readonly RecordedHeartbeat[],
   { partition, owner }: Takeover,
 ): Heartbeat[] {
   const partitions = world.nodes.get(owner)?.core.partitions;
   if (!partitions) return [];
   const found = new Map<Content, Heartbeat>();
-  // The newest first: what it shows differs least from what is there.
-  for (const { report } of [...kept].reverse()) {
-    if (partitions.partitionOf(report.zone) !== partition) continue;
-    for (const content of contentsOf(world, report))
+  // Newest first: these differ least from the current state.
+  for (const { heartbeat } of [...kept].reverse()) {
+    if (partitions.partitionOf(heartbeat.zone) !== partition) continue;
+    for (const content of contentsOf(world, heartbeat))
       if (!found.has(content) || world.rng.chance(0.05))
-        found.set(content, report);
+        found.set(content, heartbeat);
     if (found.size === CONTENTS.length && world.rng.chance(0.02)) break;
   }
   return [...new Set(found.values())];
 }
 
-/** What has changed since a report was made. */
-function contentsOf(world: World, report: Heartbeat): Set<Content> {
+/** What has changed since a heartbeat was made. */
+function contentsOf(world: World, heartbeat: Heartbeat): Set<Content> {
   const contents = new Set<Content>();
-  const machine = world.workers.find((m) => m.id === report.worker);
+  const machine = world.workers.find((m) => m.id === heartbeat.worker);
   if (!machine || machine.gone) return contents;
   contents.add(
-    report.incarnation < machine.incarnation
-      ? "earlier session"
-      : "same session",
+    heartbeat.incarnation < machine.incarnation
+      ? "earlier incarnation"
+      : "same incarnation",
   );
-  const partition = partitionOfZone(world, report.zone);
-  for (const task of report.tasks) {
+  const partition = partitionOfZone(world, heartbeat.zone);
+  for (const task of heartbeat.tasks) {
     if (task.state === "exited") continue;
     const { job, index, attempt } = task;
-    const told = world.checker.told.get(job);
-    if (told === "cancelled") contents.add("task since cancelled");
+    const status = world.checker.told.get(job);
+    if (status === "cancelled") contents.add("task since cancelled");
     if (world.results.has(`${job}/${index}`)) contents.add("task since done");
     if (hasOtherAttempt(world, job, index, attempt))
       contents.add("earlier attempt");
@@ -162,23 +171,25 @@
   );
 }
 
-/** Groups change hands; machines fall silent beyond their leases, begin anew and lose tasks; jobs are cancelled. */
-function disturb(world: World): void {
+/** Partitions change leaders, machines are cut off for longer than their leases or restart and lose tasks, and jobs are cancelled. */
+function injectFaults(world: World): void {
   const { rng } = world;
   world.every(17_000, () => {
-    if (world.now > OVER_MS - 20_000) return;
+    if (world.now > FAULTS_END_MS - 20_000) return;
     const name = rng.pick(world.names);
-    if (rng.chance(0.5)) return restart(world, name, rng.real(50, 900));
-    if (rng.chance(0.5)) return restart(world, name, rng.real(15_000, 18_000));
+    if (rng.chance(0.5))
+      return restartController(world, name, rng.real(50, 900));
+    if (rng.chance(0.5))
+      return restartController(world, name, rng.real(15_000, 18_000));
     cutOffLeader(world, name, 17_000);
   });
   world.every(6_000, () => {
-    if (world.now > OVER_MS - 20_000) return;
+    if (world.now > FAULTS_END_MS - 20_000) return;
     const up = world.workers.filter((m) => m.up && !m.gone && m.cut.size === 0);
     if (up.length === 0) return;
     const machine = rng.pick(up);
     if (rng.chance(0.8))
-      putOutOfReach(world, machine, "cut off", rng.real(10_500, 14_000));
+      makeUnreachable(world, machine, "cut off", rng.real(10_500, 14_000));
     else machine.restart(rng.real(50, 500));
     const running = [...machine.tasks.values()].map((t) => t.job);
     if (running.length > 0 && rng.chance(0.4)) cancel(world, rng.pick(running));
--- a/test/scenarios/zone-failures.test.ts
+++ b/test/scenarios/zone-failures.test.ts
@@ -1,15 +1,15 @@
 import { test } from "node:test";
 import { Leadership } from "../../src/coordination/leadership/leadership.js";
 import { expectDetected, expectRulesKept } from "./expect.js";
-import { zones } from "./zone-failures.js";
+import { zoneFailures } from "./zone-failures.js";
 
-test("jobs bound to a zone that loses machines, and zones cut off with their controller for longer than a lease: the rules hold", () => {
-  expectRulesKept(zones, [0, 1, 2, 3], 3);
+test("jobs restricted to a zone that loses machines, and zones cut off with their controller for longer than a lease: the rules hold", () => {
+  expectRulesKept(zoneFailures, [0, 1, 2, 3], 3);
 });
 
-test("guard: a leader that is cut off with its machines answers them only for as long as its permit lasts", () => {
-  const withoutInvariants = (seed: number): ReturnType<typeof zones> =>
-    zones(seed, false);
+test("guard: a leader that is cut off with its machines answers them only until its leadership lease expires", () => {
+  const withoutInvariants = (seed: number): ReturnType<typeof zoneFailures> =>
+    zoneFailures(seed, false);
   expectDetected(withoutInvariants, [0, 1, 2, 3], "ran_cancelled", () => {
     const name = "leadershipLeaseUntilMs";
     const before = Object.getOwnPropertyDescriptor(Leadership.prototype, name)!;
--- a/test/scenarios/zone-failures.ts
+++ b/test/scenarios/zone-failures.ts
@@ -10,36 +10,39 @@
   tasksOnMachines,
 } from "./stage.js";
 
-const OVER_MS = 190_000;
+const FAULTS_END_MS = 190_000;
 const SHAPES = ["array", "gang", "gang in one place"] as const;
-const CONJUNCTIONS = [
-  ...SHAPES.map((s) => `${s} bound to a zone lost a machine, and is done`),
-  "zone with its controller cut off beyond lease_s, tasks on its machines",
+const COMBINATIONS = [
+  ...SHAPES.map((s) => `${s} restricted to a zone lost a machine and is done`),
+  "zone with its controller cut off for longer than lease_s, tasks on its machines",
   "job cancelled with tasks in a zone that is cut off with its controller",
 ] as const;
 
 /**
- * Jobs bound to one zone lose machines of it and are done all the same; zones with a controller are cut off for longer than a lease,
- * and jobs with tasks there are cancelled meanwhile.
+ * Jobs restricted to one zone lose machines there and must still complete. Zones with a controller are cut off for longer than a
+ * lease, and jobs with tasks there are cancelled meanwhile.
  */
-export function zones(seed: number, checksInvariants = true): ScenarioRun {
+export function zoneFailures(
+  seed: number,
+  checksInvariants = true,
+): ScenarioRun {
   const world = stage(seed, { controllers: 3, runFactor: 6, capacity: 5 });
   world.checker.invariants = checksInvariants;
-  const occurred = new Occurrences(CONJUNCTIONS);
-  const lostMachine = new Map<string, string>();
-  loseMachines(world, lostMachine);
+  const occurred = new Occurrences(COMBINATIONS);
+  const shapeByAffectedJob = new Map<string, string>();
+  loseMachines(world, shapeByAffectedJob);
   cutZones(world, occurred);
-  world.checker.onTold = (id, told) => {
-    const shape = lostMachine.get(id);
-    if (told === "done" && shape !== undefined)
-      occurred.note(`${shape} bound to a zone lost a machine, and is done`);
-    if (told === "cancelled" && isInCutZone(world, id))
+  world.checker.onTold = (id, status) => {
+    const shape = shapeByAffectedJob.get(id);
+    if (status === "done" && shape !== undefined)
+      occurred.note(`${shape} restricted to a zone lost a machine and is done`);
+    if (status === "cancelled" && hasTaskInCutZone(world, id))
       occurred.note(
         "job cancelled with tasks in a zone that is cut off with its controller",
       );
   };
-  submitWorkload(world, OVER_MS - 60_000, zoneJob);
-  runToEnd(world, OVER_MS);
+  submitWorkload(world, FAULTS_END_MS - 60_000, zoneJob);
+  runToEnd(world, FAULTS_END_MS);
   return { world, occurred: occurred.counts };
 }
 
@@ -62,18 +65,21 @@
   return spec.samePlace ? "gang in one place" : "gang";
 };
 
-/** Machines with tasks of such jobs stop for good, begin anew, or are taken back. */
-function loseMachines(world: World, lostMachine: Map<string, string>): void {
+/** Machines with tasks of jobs restricted to a zone vanish, restart, or are reclaimed by the cloud. */
+function loseMachines(
+  world: World,
+  shapeByAffectedJob: Map<string, string>,
+): void {
   const { rng } = world;
   world.every(4_000, () => {
-    if (world.now > OVER_MS - 60_000) return;
-    const busy = [...tasksOnMachines(world)].filter(
+    if (world.now > FAULTS_END_MS - 60_000) return;
+    const zoneBoundTasks = [...tasksOnMachines(world)].filter(
       ({ spec }) => spec.zone !== null && spec.kind !== "service",
     );
-    if (busy.length === 0) return;
-    const { machine } = rng.pick(busy);
-    for (const { machine: other, task, spec } of busy)
-      if (other === machine) lostMachine.set(task.job, shapeOf(spec));
+    if (zoneBoundTasks.length === 0) return;
+    const { machine } = rng.pick(zoneBoundTasks);
+    for (const { machine: other, task, spec } of zoneBoundTasks)
+      if (other === machine) shapeByAffectedJob.set(task.job, shapeOf(spec));
     switch (rng.int(0, 2)) {
       case 0:
         return machine.vanish();
@@ -88,30 +94,31 @@
 const controllerZones = (world: World): string[] =>
   world.names.map((name) => world.zoneOf(name));
 
-/** One zone after the other, for longer than a lease; some of what runs there is cancelled. */
+/** Cuts off three zones, one after the other, for longer than a lease, and cancels some of the jobs with tasks there. */
 function cutZones(world: World, occurred: Occurrences): void {
   const { rng } = world;
   for (const atMs of [25_000, 70_000, 115_000])
     world.at(atMs, () => {
       const zone = rng.pick(controllerZones(world));
-      const forMs = 1_000 * world.settings.leaseS + rng.real(2_000, 26_000);
-      const inZone = [...tasksOnMachines(world)].filter(
+      const durationMs =
+        1_000 * world.settings.leaseS + rng.real(2_000, 26_000);
+      const tasksInZone = [...tasksOnMachines(world)].filter(
         ({ machine }) => machine.zone === zone,
       );
-      world.cutZone(zone, forMs);
-      world.at(forMs - 50, () => {
-        if (inZone.length > 0)
+      world.cutZone(zone, durationMs);
+      world.at(durationMs - 50, () => {
+        if (tasksInZone.length > 0)
           occurred.note(
-            "zone with its controller cut off beyond lease_s, tasks on its machines",
+            "zone with its controller cut off for longer than lease_s, tasks on its machines",
           );
       });
-      for (const { task } of inZone)
+      for (const { task } of tasksInZone)
         if (rng.chance(0.5) && !world.checker.asked.has(task.job))
           world.at(rng.real(500, 5_000), () => cancel(world, task.job));
     });
 }
 
-function isInCutZone(world: World, id: string): boolean {
+function hasTaskInCutZone(world: World, id: string): boolean {
   for (const { machine, task } of tasksOnMachines(world))
     if (
       task.job === id &&
