--- a/test/imports.test.ts
+++ b/test/imports.test.ts
@@ -3,7 +3,7 @@
 import { dirname, join, normalize } from "node:path";
 import test from "node:test";
 
-/** Folders of src that the modules of a folder may import from, or single modules of such a folder; "." is src itself. */
+/** For each folder below src, the folders or single modules that its modules may import; "." is src itself. */
 const MAY_IMPORT: Readonly<Record<string, readonly string[]>> = {
   ".": ["cli", "config", "daemon"],
   cli: ["config", "daemon", "protocol", "transport", "webhooks"],
@@ -130,14 +130,14 @@
 
 const RELATIVE_IMPORT = /(?:from |import\(|import )"(\.[^"]+)\.js"/g;
 
-/** Modules of src that a module imports, as paths below src without their ending. */
+/** Modules that a module of src imports, as paths below src without file extension. */
 function importsOf(module: string, source: string): string[] {
-  return [...source.matchAll(RELATIVE_IMPORT)].map((found) =>
-    normalize(join(dirname(module), found[1]!)),
+  return [...source.matchAll(RELATIVE_IMPORT)].map((match) =>
+    normalize(join(dirname(module), match[1]!)),
   );
 }
 
-/** The entry of the table that allows this import; undefined: none does. */
+/** The entry of the table that allows this import; undefined: the import is not allowed. */
 function allowedBy(module: string, imported: string): string | undefined {
   return MAY_IMPORT[dirname(module)]?.find(
     (entry) => entry === dirname(imported) || entry === imported,
@@ -151,8 +151,8 @@
     imports: importsOf(name, readFileSync(join("src", name), "utf8")),
   }));
 
-test("modules import only from the folders that the table names for theirs", () => {
-  const wrong = modules.flatMap(({ name, imports }) =>
+test("modules import only what the table allows for their folder", () => {
+  const violations = modules.flatMap(({ name, imports }) =>
     imports
       .filter(
         (imported) =>
@@ -160,11 +160,11 @@
       )
       .map((imported) => `${name} imports ${imported}`),
   );
-  assert.deepEqual(wrong, []);
+  assert.deepEqual(violations, []);
 });
 
 test("every entry of the table is used", () => {
-  const used = new Set(
+  const usedEntries = new Set(
     modules.flatMap(({ name, imports }) =>
       imports.map(
         (imported) => `${dirname(name)}: ${allowedBy(name, imported)}`,
@@ -175,12 +175,12 @@
     allowed.map((entry) => `${folder}: ${entry}`),
   );
   assert.deepEqual(
-    entries.filter((entry) => !used.has(entry)),
+    entries.filter((entry) => !usedEntries.has(entry)),
     [],
   );
 });
 
-test("an import from a folder that the table does not name is seen", () => {
+test("an import that the table does not allow is detected", () => {
   const source = 'import { StoreClient } from "../../storage/store-client.js";';
   const [imported] = importsOf(
     "coordination/scheduling/partition-leader.ts",
--- a/test/known-red.ts
+++ b/test/known-red.ts
@@ -1,79 +1,85 @@
 /**
- * Tests that are known to fail for a real fault which could not be mended yet: KNOWN-RED.txt at the root, a line each,
- * `TEST | COMMAND | SEEN | ISSUE`, three at most: the command, with its seed, makes it fail again. Such a failure ends no run and is printed with what was seen; everything else that is wrong with the list does.
+ * Known failures: tests that fail because of a real fault that is not fixed yet. KNOWN-RED.txt at the root lists up to three, one
+ * a line: `TEST | COMMAND | SEEN | ISSUE`. The failure of a listed test is printed but does not fail the run of all tests. An
+ * error in the list itself fails the run.
  */
-interface KnownRed {
+interface KnownRedEntry {
   test: string;
-  /** Makes it fail again, with the seed if there is one. */
+  /** Reproduces the failure, with the seed if there is one. */
   command: string;
-  /** What was seen when it failed. */
-  seen: string;
+  /** Description of the failure: the third field, `SEEN`. */
+  observed: string;
   issue: string;
 }
-const MOST = 3;
+/** Most known failures; a longer list fails the run. */
+const MAX_ENTRIES = 3;
 
-/** One test as it ended. */
-export interface Ended {
+/** The outcome of one test. */
+export interface TestResult {
   name: string;
   passed: boolean;
 }
 
-/** What is listed, and what is wrong with the list itself. */
+/** The entries of the list, and the errors in it. */
 function readKnownRed(text: string): {
-  listed: KnownRed[];
-  wrong: string[];
+  entries: KnownRedEntry[];
+  errors: string[];
 } {
-  const listed: KnownRed[] = [];
-  const wrong: string[] = [];
+  const entries: KnownRedEntry[] = [];
+  const errors: string[] = [];
   const lines = text
     .split("\n")
     .map((l) => l.trim())
     .filter((l) => l !== "");
   for (const [i, line] of lines.entries()) {
-    const [test, command, seen, issue, ...more] = line
+    const [test, command, observed, issue, ...more] = line
       .split(" | ")
       .map((x) => x.trim());
-    if (!test || !command || !seen || !issue || more.length > 0)
-      wrong.push(
+    if (!test || !command || !observed || !issue || more.length > 0)
+      errors.push(
         `KNOWN-RED.txt: line ${i + 1}: TEST | COMMAND | SEEN | ISSUE expected`,
       );
-    else if (listed.some((l) => l.test === test))
-      wrong.push(`KNOWN-RED.txt: line ${i + 1}: ${test}: listed twice`);
-    else listed.push({ test, command, seen, issue });
+    else if (entries.some((l) => l.test === test))
+      errors.push(`KNOWN-RED.txt: line ${i + 1}: ${test}: listed twice`);
+    else entries.push({ test, command, observed, issue });
   }
-  if (lines.length > MOST)
-    wrong.push(`KNOWN-RED.txt: ${lines.length} lines, at most ${MOST} allowed`);
-  return { listed, wrong };
+  if (lines.length > MAX_ENTRIES)
+    errors.push(
+      `KNOWN-RED.txt: ${lines.length} lines, at most ${MAX_ENTRIES} allowed`,
+    );
+  return { entries, errors };
 }
 
-/** Whether a run of all tests passes; what is to be printed of it. */
-export function judge(
+/** Whether a run of tests passes, given the text of KNOWN-RED.txt, and the lines to print about it. */
+export function evaluateRun(
   text: string,
-  ended: readonly Ended[],
+  results: readonly TestResult[],
 ): { ok: boolean; lines: string[] } {
-  const { listed, wrong } = readKnownRed(text);
-  const lines = [...wrong];
-  if (ended.length === 0) lines.push("no test was run");
-  for (const l of listed) {
-    const of = ended.filter((e) => e.name === l.test);
-    if (of.length === 0)
-      lines.push(`KNOWN-RED.txt: ${l.test}: there is no such test`);
-    else if (of.length > 1)
-      lines.push(`KNOWN-RED.txt: ${l.test}: ${of.length} tests have this name`);
-    else if (of[0]!.passed)
+  const { entries, errors } = readKnownRed(text);
+  const lines = [...errors];
+  if (results.length === 0) lines.push("no test was run");
+  for (const entry of entries) {
+    const matching = results.filter((e) => e.name === entry.test);
+    if (matching.length === 0)
+      lines.push(`KNOWN-RED.txt: ${entry.test}: there is no such test`);
+    else if (matching.length > 1)
       lines.push(
-        `KNOWN-RED.txt: ${l.test}: passes, and is to be taken off the list`,
+        `KNOWN-RED.txt: ${entry.test}: ${matching.length} tests have this name`,
+      );
+    else if (matching[0]!.passed)
+      lines.push(
+        `KNOWN-RED.txt: ${entry.test}: passes now, remove it from the list`,
       );
   }
-  const red = ended.filter(
-    (e) => !e.passed && !listed.some((l) => l.test === e.name),
+  const unlistedFailures = results.filter(
+    (e) => !e.passed && !entries.some((l) => l.test === e.name),
   );
-  for (const e of red) lines.push(`failed: ${e.name}`);
+  for (const failure of unlistedFailures) lines.push(`failed: ${failure.name}`);
   const ok = lines.length === 0;
-  for (const l of listed)
-    if (ended.some((e) => e.name === l.test && !e.passed))
+  for (const entry of entries)
+    if (results.some((e) => e.name === entry.test && !e.passed))
       lines.push(
-        `known red, passed over: ${l.test}: ${l.seen} (issue ${l.issue}; ${l.command})`,
+        `known red, passed over: ${entry.test}: ${entry.observed} (issue ${entry.issue}; ${entry.command})`,
       );
   return { ok, lines };
 }
--- a/test/software-limits.test.ts
+++ b/test/software-limits.test.ts
@@ -25,14 +25,17 @@
 import { randomJob } from "./simulation/workloads.js";
 import { World } from "./simulation/world.js";
 
-/** No bound of the software stands below 4,000 machines in one group or under one controller. */
+/** The software's bounds allow for 4,000 machines in one partition or under one controller. */
 
 const MACHINES = 4_000;
-const names = Array.from({ length: MACHINES }, (_, i) => `n-${100_000 + i}`);
+const workerIds = Array.from(
+  { length: MACHINES },
+  (_, i) => `n-${100_000 + i}`,
+);
 
-// ---- workers sent to another controller ------------------------------------------------------------------
+// ---- redirected workers ----------------------------------------------------------------------------------
 
-function report(worker: string, zone: string): Heartbeat {
+function heartbeatFrom(worker: string, zone: string): Heartbeat {
   return {
     worker,
     address: "127.0.0.1:1",
@@ -47,58 +50,67 @@
   };
 }
 
-test("4,000 workers that were sent to their leader and come back are all relayed to it", () => {
-  const w = new World(7, undefined, [], 2);
-  w.run(20_000);
-  const core = w.nodes.get("node-a")!.core;
-  const zone = w.zones.find(
+test("4,000 workers that come back after a redirect to their leader are all relayed to it", () => {
+  const world = new World(7, undefined, [], 2);
+  world.run(20_000);
+  const core = world.nodes.get("node-a")!.core;
+  const zone = world.zones.find(
     (z) =>
       core.cache.partitions.get(core.partitions.partitionOf(z))?.owner ===
       "node-b",
   );
-  assert.ok(zone, "the other controller leads a group");
-  const ask = (worker: string): string | undefined => {
+  assert.ok(zone, "the other controller leads a partition");
+  const answerKindFor = (worker: string): string | undefined => {
     let answer: Answer | undefined;
-    w.ask(
+    world.ask(
       "node-a",
       (reqId) => ({
         type: "heartbeat",
         reqId,
-        heartbeat: report(worker, zone),
+        heartbeat: heartbeatFrom(worker, zone),
         relayed: false,
       }),
       (a) => (answer = a ?? undefined),
     );
     return answer?.kind;
   };
-  for (const worker of names)
-    assert.equal(ask(worker), "redirect", `${worker}: first`);
-  for (const worker of names)
-    assert.equal(ask(worker), "relay", `${worker}: back at once`);
+  for (const worker of workerIds)
+    assert.equal(answerKindFor(worker), "redirect", `${worker}: first`);
+  for (const worker of workerIds)
+    assert.equal(answerKindFor(worker), "relay", `${worker}: back at once`);
 });
 
 test("a redirect is remembered for 12 s, under its token only; beyond the bound the oldest is forgotten", () => {
   const redirects = new Redirects(MACHINES);
-  for (const worker of names) redirects.note(worker, 5, 1_000);
+  for (const worker of workerIds) redirects.note(worker, 5, 1_000);
   assert.equal(redirects.size, MACHINES);
   assert.ok(
-    names.every((worker) => redirects.wasJustRedirected(worker, 5, 12_999)),
+    workerIds.every((worker) => redirects.wasJustRedirected(worker, 5, 12_999)),
+  );
+  assert.ok(
+    !redirects.wasJustRedirected(workerIds[0]!, 6, 1_001),
+    "another token",
+  );
+  assert.ok(
+    !redirects.wasJustRedirected(workerIds[0]!, 5, 13_000),
+    "too long ago",
   );
-  assert.ok(!redirects.wasJustRedirected(names[0]!, 6, 1_001), "another token");
-  assert.ok(!redirects.wasJustRedirected(names[0]!, 5, 13_000), "too long ago");
   redirects.note("one more", 5, 1_001);
   assert.equal(redirects.size, MACHINES);
-  assert.ok(!redirects.wasJustRedirected(names[0]!, 5, 1_002), "the oldest");
-  assert.ok(redirects.wasJustRedirected(names[1]!, 5, 1_002));
+  assert.ok(
+    !redirects.wasJustRedirected(workerIds[0]!, 5, 1_002),
+    "the oldest",
+  );
+  assert.ok(redirects.wasJustRedirected(workerIds[1]!, 5, 1_002));
   redirects.note("later", 5, 13_000);
-  assert.equal(redirects.size, 2, "those that say nothing any more are gone");
+  assert.equal(redirects.size, 2, "expired redirects are dropped");
   for (const memMb of [16, 146, 1_024])
     assert.ok(maxRedirects(memMb) >= 2 * MACHINES, `${memMb} MB`);
 });
 
 // ---- the log ---------------------------------------------------------------------------------------------
 
-/** A log, and what was written to it. */
+/** A rate-limited log, and the lines written to it. */
 function recordedLog(maxSubjects?: number): {
   ctx: { nowMs: number };
   log: RateLimitedLog;
@@ -113,7 +125,7 @@
   return { ctx, log: new RateLimitedLog(ctx, maxSubjects), lines };
 }
 
-test("of 4,000 machines with three kinds of warning each is logged once a minute, and how often it was seen", () => {
+test("three kinds of warnings about 4,000 machines are each logged once a minute, with their number of occurrences", () => {
   const { ctx, log, lines } = recordedLog();
   const events = [
     "inconsistent store response",
@@ -122,7 +134,7 @@
   ] as const;
   const warnAll = (): void => {
     for (const event of events)
-      for (const name of names) log.warn(event, name, {});
+      for (const name of workerIds) log.warn(event, name, {});
   };
   const all = MACHINES * events.length;
   for (let second = 0; second < 60; second += 10) {
@@ -136,25 +148,27 @@
   assert.ok(lines.slice(all).every((l) => l.fields["occurrences"] === 6));
 });
 
-test("more subjects than a log remembers don't flood it: one line a minute says how many were left out", () => {
+test("more subjects than a log remembers don't flood it: one line a minute counts the omitted ones", () => {
   const { ctx, log, lines } = recordedLog(100);
   for (let second = 0; second < 60; second++) {
     ctx.nowMs = second * 1_000;
-    for (const name of names) log.warn("unreadable record", name, {});
+    for (const name of workerIds) log.warn("unreadable record", name, {});
   }
-  const left = lines.filter((l) => l.msg === "too many warning subjects");
+  const omittedLines = lines.filter(
+    (l) => l.msg === "too many warning subjects",
+  );
   assert.equal(lines.length, 101);
-  assert.equal(left.length, 1);
+  assert.equal(omittedLines.length, 1);
   ctx.nowMs = 60_000;
   log.warn("unreadable record", "another", {});
   assert.equal(
     lines.at(-1)!.fields["subject"],
     "another",
-    "a subject whose minute is over makes room",
+    "a subject logged a minute ago is replaced",
   );
 });
 
-// ---- the mesh --------------------------------------------------------------------------------------------
+// ---- connections between controllers ---------------------------------------------------------------------
 
 const PLATFORM_FILE = (
   label: string,
@@ -200,18 +214,18 @@
   return port;
 }
 
-/** Two controllers' meshes; `serve` is what the second does with a report. */
+/** Connects two controllers and returns the first one's mesh; `serve` handles the requests that the second receives. */
 async function twoMeshes(
   senderSockets: number,
   receiverSockets: number,
   serve: () => Promise<{ status: number; body: string }>,
 ): Promise<PeerMesh> {
-  const [portA, portB] = [await freePort(), await freePort()];
-  const a = { label: "east", port: portA };
-  const b = { label: "west", port: portB };
-  const settings = (
-    own: typeof a,
-    peer: typeof a,
+  const [eastPort, westPort] = [await freePort(), await freePort()];
+  const east = { label: "east", port: eastPort };
+  const west = { label: "west", port: westPort };
+  const settingsFor = (
+    own: typeof east,
+    peer: typeof east,
     maxSockets: number,
   ): Settings =>
     parseSettings(
@@ -219,11 +233,11 @@
       "test.toml",
     );
   const never = (): Promise<never> => new Promise(() => {});
-  const sender = new PeerMesh(settings(a, b, senderSockets), {
+  const sender = new PeerMesh(settingsFor(east, west, senderSockets), {
     serve: never,
     stateOk: () => true,
   });
-  const receiver = new PeerMesh(settings(b, a, receiverSockets), {
+  const receiver = new PeerMesh(settingsFor(west, east, receiverSockets), {
     serve,
     stateOk: () => true,
   });
@@ -236,67 +250,68 @@
   while (sender.up().length === 0) await new Promise((r) => setTimeout(r, 20));
   return sender;
 }
-const REPORT_BODY = JSON.stringify({ padding: "x".repeat(1_000) });
+const HEARTBEAT_BODY = JSON.stringify({ padding: "x".repeat(1_000) });
 const CALL_TIMEOUT_MS = 20_000;
 
-test("4,000 reports in flight at once between two controllers are all answered", async () => {
+test("4,000 heartbeats in flight at once between two controllers are all answered", async () => {
   const sockets = 6_500;
   assert.ok(maxInFlight(sockets) >= MACHINES);
-  assert.equal(maxInFlight(64), 200, "never fewer than before");
-  const held: (() => void)[] = [];
+  assert.equal(maxInFlight(64), 200, "at least 200");
+  const pendingReplies: (() => void)[] = [];
   const sender = await twoMeshes(sockets, sockets, () => {
     const answered = new Promise<{ status: number; body: string }>((resolve) =>
-      held.push(() => resolve({ status: 200, body: "{}" })),
+      pendingReplies.push(() => resolve({ status: 200, body: "{}" })),
     );
-    if (held.length === MACHINES) for (const answer of held) answer();
+    if (pendingReplies.length === MACHINES)
+      for (const answer of pendingReplies) answer();
     return answered;
   });
   const answers = await Promise.all(
-    names.map(() =>
-      sender.call("west", Frame.Heartbeat, REPORT_BODY, CALL_TIMEOUT_MS),
+    workerIds.map(() =>
+      sender.call("west", Frame.Heartbeat, HEARTBEAT_BODY, CALL_TIMEOUT_MS),
     ),
   );
-  assert.equal(held.length, MACHINES, "all at once");
+  assert.equal(pendingReplies.length, MACHINES, "all at once");
   assert.equal(answers.filter((a) => a?.status === 200).length, MACHINES);
 });
 
-test("a controller that is asked for more at once than it takes refuses what is beyond, and answers the rest", async () => {
-  const most = maxInFlight(16);
-  const held: (() => void)[] = [];
+test("a controller refuses requests beyond the number that it accepts at once, and answers the others", async () => {
+  const maxRequests = maxInFlight(16);
+  const pendingReplies: (() => void)[] = [];
   const sender = await twoMeshes(
     1_000,
     16,
     () =>
       new Promise((resolve) =>
-        held.push(() => resolve({ status: 200, body: "{}" })),
+        pendingReplies.push(() => resolve({ status: 200, body: "{}" })),
       ),
   );
-  const beyond = 50;
+  const excess = 50;
   let refused = 0;
   const answers = await Promise.all(
-    Array.from({ length: most + beyond }, async () => {
+    Array.from({ length: maxRequests + excess }, async () => {
       const answer = await sender.call(
         "west",
         Frame.Heartbeat,
-        REPORT_BODY,
+        HEARTBEAT_BODY,
         CALL_TIMEOUT_MS,
       );
-      if (answer?.status === 503 && ++refused === beyond)
-        for (const one of held) one();
+      if (answer?.status === 503 && ++refused === excess)
+        for (const reply of pendingReplies) reply();
       return answer;
     }),
   );
-  assert.equal(answers.filter((a) => a?.status === 200).length, most);
-  assert.equal(refused, beyond);
+  assert.equal(answers.filter((a) => a?.status === 200).length, maxRequests);
+  assert.equal(refused, excess);
 });
 
 // ---- connections to workers ------------------------------------------------------------------------------
 
-/** A worker's status, as far as the answer to a command is read. */
+/** The fields of a worker's status that are read from the answer to a command. */
 const WORKER_STATUS = JSON.stringify({ watch: 1, tally: 1, shards: [] });
 
-/** So many servers that keep idle connections open and answer with their status, as workers do; returns their addresses. */
-async function servers(count: number): Promise<string[]> {
+/** Starts servers that, like workers, keep idle connections open and answer with their status; returns their addresses. */
+async function startServers(count: number): Promise<string[]> {
   return Promise.all(
     Array.from({ length: count }, async () => {
       const server = http.createServer((_, response) =>
@@ -313,8 +328,8 @@
   );
 }
 
-test("workers beyond the number of connections get their commands, one after the other and all at once", async () => {
-  const addresses = await servers(300);
+test("more workers than connections get their commands, both one after the other and all at once", async () => {
+  const addresses = await startServers(300);
   const workers = new WorkerClient(256);
   const command = async (address: string): Promise<string> =>
     (await workers.command(address, 1, 1, [])).kind;
@@ -328,8 +343,8 @@
   assert.ok(performance.now() - startMs < 30_000);
 });
 
-test("a client reuses idle connections and keeps no more of them than it may", async () => {
-  const [first, ...others] = await servers(20);
+test("a client reuses idle connections and keeps no more of them than its limit", async () => {
+  const [first, ...others] = await startServers(20);
   const client = new HttpClient(16, 8);
   const get = async (address: string): Promise<string> => {
     const [host, port] = address.split(":");
@@ -347,7 +362,7 @@
   for (let i = 0; i < 50; i++) assert.equal(await get(first!), "answered");
   await new Promise((r) => setImmediate(r));
   assert.equal(agent.totalSocketCount, 1);
-  assert.equal(idleSocket(), socket, "the same for all requests");
+  assert.equal(idleSocket(), socket, "one connection for all requests");
   assert.equal(socket.listenerCount("close"), listeners);
   for (const address of others) assert.equal(await get(address), "answered");
   await new Promise((r) => setTimeout(r, 50));
@@ -355,57 +370,58 @@
   client.close();
 });
 
-// ---- what a controller remembers of jobs -----------------------------------------------------------------
+// ---- data kept about jobs --------------------------------------------------------------------------------
 
-const lead = (w: World): Controller => w.nodes.get("node-a")!.core;
+const controllerOf = (world: World): Controller =>
+  world.nodes.get("node-a")!.core;
 
-test("of the jobs handed to a group the latest 1,000 are remembered", () => {
-  const w = new World(3, undefined, [], 1);
-  w.run(5_000);
-  const core = lead(w);
-  const spec = randomJob(w, 1);
+test("the latest 1,000 assignments of tasks to a partition are kept", () => {
+  const world = new World(3, undefined, [], 1);
+  world.run(5_000);
+  const core = controllerOf(world);
+  const spec = randomJob(world, 1);
   for (let tasks = 1; tasks <= 3 * MACHINES; tasks++) {
     core.notePendingAssignment("node-b", spec, tasks);
-    const handed = core.pendingAssignments.get("node-b")!;
-    assert.equal(handed.length, Math.min(tasks, 1_000));
-    assert.equal(handed.at(-1)!.tasks, tasks);
-    assert.equal(handed[0]!.tasks, Math.max(1, tasks - 999));
+    const assignments = core.pendingAssignments.get("node-b")!;
+    assert.equal(assignments.length, Math.min(tasks, 1_000));
+    assert.equal(assignments.at(-1)!.tasks, tasks);
+    assert.equal(assignments[0]!.tasks, Math.max(1, tasks - 999));
   }
 });
 
-test("a class that an objective names is known, however many other classes there were before", () => {
-  const w = new World(3, undefined, [], 1);
-  w.settings.objectives.push({ kind: "wait", class: "named", withinS: 1 });
-  w.run(8_000);
-  const leader = lead(w).leaders.values().next().value!;
-  const { autoscaler: scaleIn } = leader as unknown as {
+test("the latest job of a class that an objective names is kept, however many other classes there were before", () => {
+  const world = new World(3, undefined, [], 1);
+  world.settings.objectives.push({ kind: "wait", class: "named", withinS: 1 });
+  world.run(8_000);
+  const leader = controllerOf(world).leaders.values().next().value!;
+  const { autoscaler } = leader as unknown as {
     autoscaler: {
       noteJob(spec: JobSpec): void;
       warmCapacity: { classNeeds: Map<string, JobSpec> };
     };
   };
-  const spec = randomJob(w, 1);
-  for (const name of names) scaleIn.noteJob({ ...spec, jobClass: name });
-  scaleIn.noteJob({ ...spec, jobClass: "named", cpus: 1 });
-  scaleIn.noteJob({ ...spec, jobClass: "named", cpus: 2 });
-  const { classNeeds } = scaleIn.warmCapacity;
+  const spec = randomJob(world, 1);
+  for (const name of workerIds) autoscaler.noteJob({ ...spec, jobClass: name });
+  autoscaler.noteJob({ ...spec, jobClass: "named", cpus: 1 });
+  autoscaler.noteJob({ ...spec, jobClass: "named", cpus: 2 });
+  const { classNeeds } = autoscaler.warmCapacity;
   assert.deepEqual([...classNeeds.keys()], ["named"]);
-  assert.equal(classNeeds.get("named")!.cpus, 2, "the latest");
+  assert.equal(classNeeds.get("named")!.cpus, 2, "the latest job");
 });
 
-// ---- the roster ------------------------------------------------------------------------------------------
+// ---- the machine registry --------------------------------------------------------------------------------
 
-test("a roster of 4,000 machines is written in records that fit, each machine in one of them", () => {
+test("a registry of 4,000 machines is written in records within the size limit, each machine in one of them", () => {
   const valueBytes = 2_048;
   const txnOps = 4;
   const records = new Map<string, object>();
-  let largestWrite = 0;
+  let largestWriteBytes = 0;
   const commit = (writes: readonly Write[]): void => {
     assert.ok(writes.length <= txnOps);
     for (const write of writes) {
       assert.ok(write.op === "put");
       const value = write.value as object;
-      largestWrite = Math.max(largestWrite, bytesOf(value));
+      largestWriteBytes = Math.max(largestWriteBytes, bytesOf(value));
       records.set(write.key, value);
     }
   };
@@ -424,12 +440,12 @@
     },
     () => {},
   );
-  for (const name of names)
+  for (const name of workerIds)
     registry.set(name, { isReturning: false, type: "small" });
-  for (const name of names) assert.ok(registry.has(name), name);
-  assert.ok(largestWrite <= valueBytes, `${largestWrite} bytes`);
-  const listed = [...records.values()].flatMap((value) => [
+  for (const name of workerIds) assert.ok(registry.has(name), name);
+  assert.ok(largestWriteBytes <= valueBytes, `${largestWriteBytes} bytes`);
+  const storedIds = [...records.values()].flatMap((value) => [
     ...readRegistry(value)!.machines.keys(),
   ]);
-  assert.deepEqual(listed.sort(), [...names].sort());
+  assert.deepEqual(storedIds.sort(), [...workerIds].sort());
 });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -45,13 +45,13 @@
 } from "./simulation/production-controller.js";
 import { World } from "./simulation/world.js";
 
-/** The version in production and the present one, on each other's records and side by side. */
+/** The version in production (`test/production`) and the current one read each other's records and run side by side. */
 
 const stored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-test("records that one version writes mean the same to the other", () => {
-  const w = new World(1);
-  const spec = randomJob(w, 1);
+test("each version reads the other's records with the same meaning", () => {
+  const world = new World(1);
+  const spec = randomJob(world, 1);
   const pairs: [number, number][] = [
     [0, 3],
     [7, 7],
@@ -68,12 +68,12 @@
     [oldJob.spec, oldJob.acceptedAt, oldJob.split.get("g")!.pairs()],
     [productionSpec(spec), 5, pairs],
   );
-  // Rewritten by production, the time of release is lost and nothing else.
+  // A record that production rewrites loses only the time of release.
   assert.deepEqual(readJob(stored(old.writeJob(oldJob))), {
     ...released,
     releasedAt: null,
   });
-  // A waiting job has no tasks for anyone there.
+  // In production a job that waits for another has no tasks in any partition.
   assert.equal(
     old.readJob(
       stored(
@@ -91,13 +91,13 @@
   const finished = RangeSet.empty();
   const rng = new Rng(2);
   for (let i = 0; i < 40_000; i++) if (rng.chance(0.5)) finished.add(i);
-  // Production's whole blocks, as bitmaps, then ours beside them under other keys: together they are everything.
-  const half = finished.slice(0, 19_999);
-  const kept = new Map<string, unknown>();
+  // Whole blocks as production writes them (bitmaps), and the current version's blocks under other keys: together they hold all finished tasks.
+  const firstHalf = finished.slice(0, 19_999);
+  const storedRecords = new Map<string, unknown>();
   for (const chunk of [0, 1])
-    kept.set(
+    storedRecords.set(
       old.finKey("req-1", "g", chunk),
-      stored(old.writeFin(OldRangeSet.of(half.pairs()), chunk)),
+      stored(old.writeFin(OldRangeSet.of(firstHalf.pairs()), chunk)),
     );
   for (
     let task = 20_000 - (20_000 % COMPLETION_BLOCK_SIZE);
@@ -105,22 +105,24 @@
     task += COMPLETION_BLOCK_SIZE
   ) {
     const key = completionKey("req-1", "g", completionBlockOf(task));
-    assert.ok(!kept.has(key));
-    kept.set(
+    assert.ok(!storedRecords.has(key));
+    storedRecords.set(
       key,
       stored(writeCompletion(tasksInBlock(finished, completionBlockOf(task)))),
     );
   }
-  const byOld = RangeSet.empty();
-  const byNew = RangeSet.empty();
-  for (const [key, value] of kept) {
-    const k = old.parseKey(key)!;
-    assert.ok(k.kind === "fin" && parseKey(key)?.kind === "fin");
-    byOld.addAll(RangeSet.of(old.readFin(value, k.chunk)!.pairs()));
-    byNew.addAll(readCompletion(value, k.chunk)!);
+  const finishedReadByOld = RangeSet.empty();
+  const finishedReadByNew = RangeSet.empty();
+  for (const [key, value] of storedRecords) {
+    const parsedKey = old.parseKey(key)!;
+    assert.ok(parsedKey.kind === "fin" && parseKey(key)?.kind === "fin");
+    finishedReadByOld.addAll(
+      RangeSet.of(old.readFin(value, parsedKey.chunk)!.pairs()),
+    );
+    finishedReadByNew.addAll(readCompletion(value, parsedKey.chunk)!);
   }
-  assert.deepEqual(byNew.pairs(), finished.pairs());
-  assert.deepEqual(byOld.pairs(), finished.pairs());
+  assert.deepEqual(finishedReadByNew.pairs(), finished.pairs());
+  assert.deepEqual(finishedReadByOld.pairs(), finished.pairs());
 
   const machines = new Map([
     ["n-1", { isReturning: false, type: "a" }],
@@ -138,7 +140,7 @@
       complete: true,
     },
   );
-  // Production replaces a record whatever it holds: what it wrote may lack machines.
+  // Production replaces a record unconditionally, so what it wrote may lack machines.
   assert.deepEqual(
     readRegistry(stored(old.writeRoster(productionRoster(machines)))),
     {
@@ -146,7 +148,7 @@
       complete: false,
     },
   );
-  const room = {
+  const capacity = {
     rows: [
       {
         type: "t",
@@ -165,7 +167,7 @@
     teams: null,
     isTruncated: false,
   };
-  const row: TeamRow = {
+  const teamRow: TeamRow = {
     use: [1, 2],
     possibleUse: [3, 4],
     startable: [5, 0],
@@ -175,28 +177,28 @@
     baseShare: [7, 8],
     waiting: [9, 0],
   };
-  const { teams: _, isTruncated: __, ...asOld } = room;
-  // Production reads a room without what teams use, and writes one that says nothing of it.
-  const more: CapacityRecord = {
-    ...room,
-    rows: [{ ...room.rows[0]!, reclaimable: [[8, 0, 16, 1, 2, 3]] }],
+  const { teams: _, isTruncated: __, ...oldCapacity } = capacity;
+  // Production ignores the teams' usage in a capacity record, and writes records without it.
+  const extendedCapacity: CapacityRecord = {
+    ...capacity,
+    rows: [{ ...capacity.rows[0]!, reclaimable: [[8, 0, 16, 1, 2, 3]] }],
     queueByMinPriority: [
       [3, 2],
       [1, 2],
       [1, 0],
       [0, 0],
     ],
-    teams: new Map([["red", row]]),
+    teams: new Map([["red", teamRow]]),
     isTruncated: true,
   };
-  for (const r of [room, more]) {
-    assert.deepEqual(old.readRoom(stored(writeCapacity(r))), asOld);
-    assert.deepEqual(readCapacity(stored(writeCapacity(r))), r);
+  for (const record of [capacity, extendedCapacity]) {
+    assert.deepEqual(old.readRoom(stored(writeCapacity(record))), oldCapacity);
+    assert.deepEqual(readCapacity(stored(writeCapacity(record))), record);
   }
-  assert.deepEqual(readCapacity(stored(old.writeRoom(asOld))), room);
+  assert.deepEqual(readCapacity(stored(old.writeRoom(oldCapacity))), capacity);
 });
 
-test("a roster record of production that is too large is divided, each machine being in one record at every moment; it is marked as complete only once nothing is missing", () => {
+test("a registry record of production that is too large is split, with each machine in exactly one record at any time; it is marked as complete only once no machine is missing", () => {
   for (const [seed, count] of [
     [1, 200],
     [2, 200],
@@ -210,7 +212,7 @@
         { isReturning: false, type: rng.pick(["stonerack", "faultglass"]) },
       ]),
     );
-    const state = new Map([
+    const storedRecords = new Map([
       [
         registryKey("g", 0),
         {
@@ -222,16 +224,18 @@
     assert.ok(
       bytesOf(old.writeRoster(productionRoster(machines))) > limits.valueBytes,
     );
-    let epoch = 1;
-    const pending: (() => void)[] = [];
+    let revision = 1;
+    const pendingCommits: (() => void)[] = [];
     const cache = {
       registries: new Map([
         [
           "g",
-          new Map([[0, readRegistry(state.get(registryKey("g", 0))!.value)!]]),
+          new Map([
+            [0, readRegistry(storedRecords.get(registryKey("g", 0))!.value)!],
+          ]),
         ],
       ]),
-      latestRevisionOf: (key: string) => state.get(key)?.version ?? 0,
+      latestRevisionOf: (key: string) => storedRecords.get(key)?.version ?? 0,
     };
     const ctx = {
       nowMs: 0,
@@ -239,103 +243,111 @@
       settings: { state: limits },
       log: () => {},
     };
-    const everywhere = (): [string, boolean][] =>
-      [...state.values()].flatMap((d) =>
+    const storedEntries = (): [string, boolean][] =>
+      [...storedRecords.values()].flatMap((d) =>
         [...readRegistry(d.value)!.machines].map(
           ([id, e]): [string, boolean] => [id, e.isReturning],
         ),
       );
     const allComplete = (): boolean =>
-      [...state.values()].every((d) => readRegistry(d.value)!.complete);
+      [...storedRecords.values()].every((d) => readRegistry(d.value)!.complete);
     const commit = (
       conditions: Condition[],
       writes: Write[],
       done: (end: "ok" | "conflict" | "refused" | "unknown") => void,
     ): void => {
       assert.ok(writes.length <= limits.txnOps);
-      pending.push(() => {
-        // Some never arrive, some arrive and their answer is lost.
-        const luck = rng.int(0, 3);
-        const ok =
-          luck > 0 &&
+      pendingCommits.push(() => {
+        // Some commits never arrive; others are applied but their answer is lost.
+        const fate = rng.int(0, 3);
+        const isApplied =
+          fate > 0 &&
           conditions.every(
-            (c) => (state.get(c.key)?.version ?? 0) === c.version,
+            (c) => (storedRecords.get(c.key)?.version ?? 0) === c.version,
           );
-        if (ok) {
-          epoch++;
-          for (const x of writes) {
+        if (isApplied) {
+          revision++;
+          for (const write of writes) {
             assert.ok(
-              x.op === "put" && bytesOf(x.value as object) <= limits.valueBytes,
+              write.op === "put" &&
+                bytesOf(write.value as object) <= limits.valueBytes,
             );
-            state.set(x.key, { value: stored(x.value), version: epoch });
+            storedRecords.set(write.key, {
+              value: stored(write.value),
+              version: revision,
+            });
           }
         }
-        const ids = everywhere().map(([id]) => id);
+        const ids = storedEntries().map(([id]) => id);
         assert.equal(
           new Set(ids).size,
           ids.length,
           "no machine is in two records",
         );
         for (const id of machines.keys())
-          if (!gone.has(id))
+          if (!removed.has(id))
             assert.ok(ids.includes(id), `${id} is in no record`);
-        assert.ok(confirmed || !allComplete(), "marked before it is confirmed");
+        assert.ok(isConfirmed || !allComplete(), "marked before confirmation");
         if (allComplete())
-          for (const id of toBeListed)
-            assert.ok(gone.has(id) || ids.includes(id), `${id} is missing`);
+          for (const id of markedBeforeConfirm)
+            assert.ok(removed.has(id) || ids.includes(id), `${id} is missing`);
         done(
-          luck === 0
+          fate === 0
             ? "refused"
-            : luck === 1
+            : fate === 1
               ? "unknown"
-              : ok
+              : isApplied
                 ? "ok"
                 : "conflict",
         );
       });
     };
-    const gone = new Set<string>();
-    let confirmed = false;
-    /** Added before the records were confirmed. */
-    const toBeListed = new Set<string>();
-    const r = new MachineRegistry(
+    const removed = new Set<string>();
+    let isConfirmed = false;
+    /** Machines marked for return before the registry was confirmed as complete. */
+    const markedBeforeConfirm = new Set<string>();
+    const registry = new MachineRegistry(
       ctx as unknown as Context,
       "g",
       commit,
       () => {},
     );
-    r.flush();
+    registry.flush();
     const marked = new Set<string>();
-    for (let k = 0; k < 400; k++) {
+    for (let step = 0; step < 400; step++) {
       ctx.nowMs += 400;
       const id = `n-${String(rng.int(0, count + 30)).padStart(6, "0")}`;
-      if (rng.chance(0.3) && k < 250) {
+      if (rng.chance(0.3) && step < 250) {
         if (rng.chance(0.2) && machines.has(id)) {
-          gone.add(id);
-          r.remove(id);
-        } else if (!gone.has(id)) {
+          removed.add(id);
+          registry.remove(id);
+        } else if (!removed.has(id)) {
           marked.add(id);
-          r.set(id, { isReturning: true, type: "stonerack" });
+          registry.set(id, { isReturning: true, type: "stonerack" });
         }
       }
-      if (k === 150) {
-        confirmed = true;
-        for (const listed of marked) toBeListed.add(listed);
-        r.confirmComplete();
+      if (step === 150) {
+        isConfirmed = true;
+        for (const listed of marked) markedBeforeConfirm.add(listed);
+        registry.confirmComplete();
       }
-      r.flush();
-      pending.shift()?.();
+      registry.flush();
+      pendingCommits.shift()?.();
     }
-    assert.ok(allComplete() && !r.mayLackMachines);
-    const end = new Map(everywhere());
+    assert.ok(allComplete() && !registry.mayLackMachines);
+    const finalEntries = new Map(storedEntries());
     for (const id of marked)
-      if (!gone.has(id))
-        assert.ok(end.get(id) && r.isReturnWritten(id), `${id} is marked`);
-    for (const id of gone) assert.ok(!end.has(id) && !r.has(id));
+      if (!removed.has(id))
+        assert.ok(
+          finalEntries.get(id) && registry.isReturnWritten(id),
+          `${id} is marked`,
+        );
+    for (const id of removed)
+      assert.ok(!finalEntries.has(id) && !registry.has(id));
   }
 });
 
-test("written room fits a value however many types, zones, teams and jobs there are, and says most of what is most", () => {
+test("a capacity record fits the value size limit however many types, zones, teams and jobs there are, and keeps the rows with the most machines", () => {
   const limits = { valueBytes: 2048, txnOps: 4 };
   const types = Array.from({ length: 12 }, (_, i) => `type-of-machine-${i}`);
   const workers = types.flatMap((typeName, i) =>
@@ -356,7 +368,7 @@
   const offers = types.flatMap((t) =>
     ["zone-a", "zone-b"].map((z) => `${t}/${z}/spot`),
   );
-  const own = {
+  const partitionState = {
     partition: "g",
     usableWorkers: () => ({ usable: workers, reserved: new Set<string>() }),
     isReservedForOther: () => false,
@@ -368,7 +380,7 @@
     soldOutOffers: () => [...offers],
     remainingByOffer: () => new Map(offers.map((o) => [o, 3])),
   };
-  const sharing = {
+  const quotaAllocator = {
     headroom: () => new Map(),
     rows: () => ({
       wants: new Map(
@@ -380,43 +392,43 @@
       teams: new Map(),
     }),
   };
-  const room = new CapacityReport(
+  const capacityReport = new CapacityReport(
     {
       nowMs: 0,
       cache: { jobs: new Map() },
       settings: { state: limits },
     } as unknown as Context,
-    own as unknown as PartitionState,
-    sharing as unknown as QuotaAllocator,
+    partitionState as unknown as PartitionState,
+    quotaAllocator as unknown as QuotaAllocator,
     scaleOut as unknown as ScaleOut,
   );
-  const record = room.currentWithinSizeLimit();
+  const record = capacityReport.currentWithinSizeLimit();
   assert.ok(
     bytesOf(writeCapacity(record)) <= limits.valueBytes,
     `${bytesOf(writeCapacity(record))}`,
   );
   assert.ok(
     record.rows.length > 10 && record.rows.every((r) => r.machines >= 5),
-    "the rows of the most machines",
+    "the rows with the most machines",
   );
   assert.equal(
-    room.current().rows.length,
+    capacityReport.current().rows.length,
     48,
-    "the group itself goes by all of it",
+    "the partition itself uses all rows",
   );
   const {
     teams: _,
     isTruncated: __,
     queueByMinPriority: ___,
-    ...asOld
+    ...oldRecord
   } = record;
-  assert.deepEqual(old.readRoom(stored(writeCapacity(record))), asOld);
+  assert.deepEqual(old.readRoom(stored(writeCapacity(record))), oldRecord);
 });
 
-test("written room fits a value to the byte, with what gives way on as many rows as there are", () => {
-  for (let more = 0; more < 60; more++) {
-    const limits = { valueBytes: 1_700 + more, txnOps: 4 };
-    const run = {
+test("a capacity record uses the value size limit almost to the byte, with reclaimable capacity on as many rows as fit", () => {
+  for (let extraBytes = 0; extraBytes < 60; extraBytes++) {
+    const limits = { valueBytes: 1_700 + extraBytes, txnOps: 4 };
+    const task = {
       job: {
         view: {
           priority: "best_effort",
@@ -433,7 +445,7 @@
       spot: false,
       offerKey: `t${i}/east`,
       free: null,
-      tasks: new Map([["a", run]]),
+      tasks: new Map([["a", task]]),
       unconfirmedTasks: new Map(),
     }));
     const jobs = new Map(
@@ -442,14 +454,14 @@
         { priority: priority },
       ]),
     );
-    const own = {
+    const partitionState = {
       partition: "g",
       usableWorkers: () => ({ usable: workers, reserved: new Set<string>() }),
       isReservedForOther: () => false,
       jobs: new Map(),
       runningTasksOf: () => 0,
     };
-    const sharing = {
+    const quotaAllocator = {
       headroom: () => new Map(),
       rows: () => ({ wants: new Map(), teams: new Map() }),
     };
@@ -457,99 +469,113 @@
       soldOutOffers: () => [],
       remainingByOffer: () => new Map(),
     };
-    const room = new CapacityReport(
+    const capacityReport = new CapacityReport(
       {
         nowMs: 5_000,
         cache: { jobs },
         settings: { state: limits },
       } as unknown as Context,
-      own as unknown as PartitionState,
-      sharing as unknown as QuotaAllocator,
+      partitionState as unknown as PartitionState,
+      quotaAllocator as unknown as QuotaAllocator,
       scaleOut as unknown as ScaleOut,
     );
-    const record = room.currentWithinSizeLimit();
+    const record = capacityReport.currentWithinSizeLimit();
     const bytes = bytesOf(writeCapacity(record));
-    // The list of what gives way was counted without its own name: up to 7 bytes too many for each row.
+    // Leaving the name of the field with reclaimable capacity out of the count made records up to 7 bytes too large for each row.
     assert.ok(
       bytes <= limits.valueBytes && bytes > limits.valueBytes - 60,
       `${bytes} of ${limits.valueBytes}`,
     );
-    const n = record.rows.filter((r) => r.reclaimable !== undefined).length;
-    assert.ok(n > 0 && n < 24, `${n} rows say what gives way`);
+    const rowsWithReclaimable = record.rows.filter(
+      (r) => r.reclaimable !== undefined,
+    ).length;
+    assert.ok(
+      rowsWithReclaimable > 0 && rowsWithReclaimable < 24,
+      `${rowsWithReclaimable} rows have reclaimable capacity`,
+    );
   }
 });
 
-/** A day that begins with production's version and data; waiting jobs come once all controllers are new. */
-function upgradeDay(seed: number, withFaults: boolean): World {
-  const w = new World(seed, undefined, ["node-a", "node-b", "node-c"]);
-  for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  submitWorkload(w, 150_000);
-  w.rollout(30_000, 12_000);
-  const afterRollout = 75_000;
-  w.at(w.rng.real(afterRollout, 110_000), () => (w.limitsFell = true));
-  pipelines(w, afterRollout, 170_000);
-  if (withFaults) injectFaults(w, 190_000);
-  w.run(withFaults ? 250_000 : 330_000);
-  return w;
+/** A run that begins with production's version and data. Jobs that depend on others are submitted only once all controllers run the current version. */
+function upgradeRun(seed: number, withFaults: boolean): World {
+  const world = new World(seed, undefined, ["node-a", "node-b", "node-c"]);
+  for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
+  submitWorkload(world, 150_000);
+  world.rollout(30_000, 12_000);
+  const afterRolloutMs = 75_000;
+  world.at(
+    world.rng.real(afterRolloutMs, 110_000),
+    () => (world.limitsFell = true),
+  );
+  pipelines(world, afterRolloutMs, 170_000);
+  if (withFaults) injectFaults(world, 190_000);
+  world.run(withFaults ? 250_000 : 330_000);
+  return world;
 }
-const report = (w: World, seed: number): string =>
-  `seed ${seed}: ${w.checker.broken.join("; ")}\n${w.logs.slice(-30).join("\n")}`;
-const stages = (w: World, status: string): string[] =>
-  [...w.checker.told]
-    .filter(([id, s]) => s === status && w.dependsOn.has(id))
+const describeRun = (world: World, seed: number): string =>
+  `seed ${seed}: ${world.checker.broken.join("; ")}\n${world.logs.slice(-30).join("\n")}`;
+const dependentJobs = (world: World, status: string): string[] =>
+  [...world.checker.told]
+    .filter(([id, s]) => s === status && world.dependsOn.has(id))
     .map(([id]) => id);
 
-test("a quiet upgrade keeps the rules, and every line of jobs comes to its end", () => {
+test("an upgrade without injected faults keeps the rules, and all chains of dependent jobs end", () => {
   for (let seed = 700; seed < 704; seed++) {
-    const w = upgradeDay(seed, false);
-    assert.deepEqual(w.checker.broken, [], report(w, seed));
-    const open = stages(w, "accepted");
+    const world = upgradeRun(seed, false);
+    assert.deepEqual(world.checker.broken, [], describeRun(world, seed));
+    const unfinished = dependentJobs(world, "accepted");
     assert.deepEqual(
-      open,
+      unfinished,
       [],
-      `seed ${seed}: ${open.map((id) => `${id} needs ${w.dependsOn.get(id)!.join()}`).join("; ")}\n${w.logs.slice(-20).join("\n")}`,
+      `seed ${seed}: ${unfinished.map((id) => `${id} depends on ${world.dependsOn.get(id)!.join()}`).join("; ")}\n${world.logs.slice(-20).join("\n")}`,
     );
     assert.ok(
-      stages(w, "done").length > 20 && stages(w, "cancelled").length > 3,
-      `${stages(w, "done").length} done, ${stages(w, "cancelled").length} cancelled`,
+      dependentJobs(world, "done").length > 20 &&
+        dependentJobs(world, "cancelled").length > 3,
+      `${dependentJobs(world, "done").length} done, ${dependentJobs(world, "cancelled").length} cancelled`,
     );
     assert.equal(
-      w.logs.filter((l) => l.includes("transaction rejected by the store"))
+      world.logs.filter((l) => l.includes("transaction rejected by the store"))
         .length,
       0,
-      "nothing is over a limit",
+      "no transaction exceeds a limit",
     );
   }
 });
 
 /**
- * A day on which a roster commit of production, which is conditional on its token alone, is carried out 15 s late, after newer ones: the
- * machines that these named are off the list, and the present version, taking the group, does not wait for them.
+ * A seed with which a registry commit of production, conditional on its token alone, is applied 15 s late and overwrites newer ones.
+ * The machines that these added are missing, so the current version, when it takes over the partition, does not wait for them.
  */
-const LATE_REGISTRY = 730;
+const OVERWRITTEN_REGISTRY_SEED = 730;
 
-test("upgrades with many injected faults keep the rules: kills during them, old data, lowered limits, cancelled lines", () => {
-  let done = 0;
+test("upgrades with many injected faults keep the rules: crashes during the upgrade, old data, lowered limits, cancelled chains of jobs", () => {
+  let doneCount = 0;
   for (let seed = 720; seed < 740; seed++) {
-    // A test of its own, below.
-    if (seed === LATE_REGISTRY) continue;
-    const w = upgradeDay(seed, true);
-    assert.deepEqual(w.checker.broken, [], report(w, seed));
-    done += stages(w, "done").length;
+    // Has its own test below.
+    if (seed === OVERWRITTEN_REGISTRY_SEED) continue;
+    const world = upgradeRun(seed, true);
+    assert.deepEqual(world.checker.broken, [], describeRun(world, seed));
+    doneCount += dependentJobs(world, "done").length;
   }
-  assert.ok(done > 200, `${done} stages done`);
+  assert.ok(doneCount > 200, `${doneCount} dependent jobs done`);
 });
 
-test("an upgrade on which production's roster is put back by a late commit of its own: what runs is not started twice", () => {
-  const w = upgradeDay(LATE_REGISTRY, true);
-  assert.deepEqual(w.checker.broken, [], report(w, LATE_REGISTRY));
+test("an upgrade during which a late commit of production overwrites its registry: running tasks are not started twice", () => {
+  const world = upgradeRun(OVERWRITTEN_REGISTRY_SEED, true);
+  assert.deepEqual(
+    world.checker.broken,
+    [],
+    describeRun(world, OVERWRITTEN_REGISTRY_SEED),
+  );
 });
 
 /**
- * A master of production lists two machines; its first roster commit, which names one of them, is carried out after that. It is replaced
- * by one of the present version while the other machine, with tasks on it, can't be reached for some seconds.
+ * A leader of production registers two machines. Its first registry commit, which contains only one of them, is applied late and
+ * overwrites the newer record. Then a leader of the current version replaces it, while the other machine runs tasks and can't be
+ * reached for some seconds.
  */
-function registryPutBack(): World {
+function overwrittenRegistry(): World {
   const world = new World(3, undefined, ["node-a"], 2);
   world.loss = 0;
   world.runFactor = 20;
@@ -593,13 +619,13 @@
     assert.deepEqual(
       [...readRegistry(registry!.value)!.machines.keys()],
       [first.id],
-      "the list is put back",
+      "the newer registry record is overwritten",
     );
     for (const name of world.names) second.cut.add(name);
     world.production.delete("node-a");
     world.crash("node-a");
     world.at(300, () => world.boot("node-a"));
-    // Room for what runs on the machine out of reach.
+    // Capacity for the tasks of the unreachable machine, should they wrongly be started again.
     world.cloud.add(world.types[0]!, "east", false, 0);
     world.at(7_000, () => second.cut.clear());
   });
@@ -607,13 +633,13 @@
   return world;
 }
 
-test("a roster of production that is put back does not make its successor start what runs on a machine that it lacks", () => {
-  const world = registryPutBack();
-  assert.deepEqual(world.checker.broken, [], report(world, 3));
+test("after a late commit overwrote production's registry, the new leader does not start tasks that run on a missing machine", () => {
+  const world = overwrittenRegistry();
+  assert.deepEqual(world.checker.broken, [], describeRun(world, 3));
 });
 
-test("guard: a new master also waits for machines that a roster written by production may lack", () => {
-  expectGuardNeeded(registryPutBack, [0], "ran_twice", () => {
+test("guard: a new leader also waits for machines that may be missing from a registry written by production", () => {
+  expectGuardNeeded(overwrittenRegistry, [0], "ran_twice", () => {
     const before = Object.getOwnPropertyDescriptor(
       MachineRegistry.prototype,
       "mayLackMachines",
