--- a/test/scenarios/cancelled-in-transfer.test.ts
+++ b/test/scenarios/cancelled-in-transfer.test.ts
@@ -10,7 +10,7 @@
 test("guard: a new leader stops tasks of jobs that are unknown to it", () => {
   expectDetected(cancelledInTransfer, [0], "ran_cancelled", () => {
     type WithCommands = {
-      commandsFor(w: { unconfirmedTasks: Map<string, unknown> }): unknown;
+      commandsFor(worker: { unconfirmedTasks: Map<string, unknown> }): unknown;
     };
     const leader = PartitionLeader.prototype as unknown as WithCommands;
     const before = leader.commandsFor;
--- a/test/scenarios/cancelled-in-transfer.ts
+++ b/test/scenarios/cancelled-in-transfer.ts
@@ -98,7 +98,7 @@
     partition,
     leader,
     token,
-    returnDelayMs: returnDelayMs,
+    returnDelayMs,
     isReleased: false,
     handledPhases: new Set(),
   };
--- a/test/scenarios/concurrent-queries.ts
+++ b/test/scenarios/concurrent-queries.ts
@@ -124,7 +124,7 @@
   }
 }
 
-/** Carries out some transactions on jobs without answering them, and queries all controllers before the writer knows the outcome. */
+/** Carries out some transactions on jobs without a reply, and queries all controllers before the writer knows the outcome. */
 function loseRepliesOnJobs(
   world: World,
   conditions: ControllerConditions,
--- a/test/scenarios/fast-booting-machines.ts
+++ b/test/scenarios/fast-booting-machines.ts
@@ -20,6 +20,7 @@
 /** How long after the registry commit was sent the first task is awaited. */
 const TRACKED_MS = 16_000;
 
+/** How the registry commit is delayed: applied seconds late and not answered, applied and answered slowly, or only not answered. */
 const COMMIT_DELAYS = ["late", "slow", "answer lost"] as const;
 type CommitDelay = (typeof COMMIT_DELAYS)[number];
 /** When the leader crashes, relative to the registry commit of a fast-booting machine and its first start command. */
@@ -56,7 +57,7 @@
   });
   world.bootFactor = 0.08;
   const occurred = new Occurrences(
-    COMMIT_DELAYS.flatMap((lag) => CRASH_POINTS.map((m) => `${lag}, ${m}`)),
+    COMMIT_DELAYS.flatMap((delay) => CRASH_POINTS.map((m) => `${delay}, ${m}`)),
   );
   const tracker = new FastBootTracker(world, occurred);
   world.commitFate = (name, commit) => tracker.onCommit(name, commit);
--- a/test/scenarios/large-fleet.ts
+++ b/test/scenarios/large-fleet.ts
@@ -114,8 +114,8 @@
   return world;
 }
 
-const fleetJob = (world: World, number: number): JobSpec => ({
-  ...largeJob(world, number),
+const fleetJob = (world: World, jobNumber: number): JobSpec => ({
+  ...largeJob(world, jobNumber),
   kind: "array",
   samePlace: false,
 });
--- a/test/scenarios/leader-changes.ts
+++ b/test/scenarios/leader-changes.ts
@@ -50,9 +50,9 @@
   return { world, occurred: occurred.counts };
 }
 
-function smallArray(world: World, n: number): JobSpec {
-  const job = plainJob(world, n);
-  if (n % 3 === 0) return job;
+function smallArray(world: World, jobNumber: number): JobSpec {
+  const job = plainJob(world, jobNumber);
+  if (jobNumber % 3 === 0) return job;
   return { ...job, kind: "array", tasks: world.rng.int(2, 3) };
 }
 
--- a/test/scenarios/lost-replies.ts
+++ b/test/scenarios/lost-replies.ts
@@ -43,12 +43,12 @@
 };
 
 const FAULTS_END_MS = 130_000;
-/** Time after which a writer treats a commit as unanswered. */
+/** Time after which a writer stops waiting for the reply to a commit. */
 const COMMIT_TIMEOUT_MS = 1_500;
-/** How long after a commit whose answer was lost the follow-up commits of others count. */
+/** How long after a commit whose reply was lost the follow-up commits of others count. */
 const FOLLOW_UP_MS = 20_000;
 
-/** Share of the commits of each kind whose answers are lost: higher for kinds that are rare. */
+/** Share of the commits of each kind whose replies are lost: higher for kinds that are rare. */
 const LOST_SHARE: Record<CommitKind, number> = {
   accept: 0.1,
   "withdraw or end of a line": 0.2,
@@ -69,20 +69,23 @@
   sweep: 0.5,
 };
 
-/** A commit that was carried out and whose answer is lost. */
+/** A commit that was carried out and whose reply is lost. */
 interface LostReply {
   writer: string;
+  /** Number of the writer's process: it changes with each restart. */
   writerLife: number;
   kinds: ReadonlySet<CommitKind>;
   keys: ReadonlySet<string>;
   revision: number;
   appliedMs: number;
+  /** Another controller's cache contained the commit before its writer's did. */
   isReadByPeer: boolean;
+  /** Another controller committed on top of it. */
   hasFollowUp: boolean;
 }
 
 /**
- * Transactions of every kind are carried out and only their answers are lost. In most cases the writer's reads are delayed as well,
+ * Transactions of every kind are carried out and only their replies are lost. In most cases the writer's reads are delayed as well,
  * so that other controllers read the records, and commit on top of them, before the writer learns of its own commit.
  */
 export function lostReplies(seed: number): ScenarioRun {
@@ -131,31 +134,32 @@
 const LAST_LARGE_JOB = 10;
 
 /** Two jobs of team red, at first larger than all machines together, for each job of team blue. */
-function scarceJob(world: World, n: number): JobSpec {
-  const isRedTeam = n % 3 !== 0;
+function scarceJob(world: World, jobNumber: number): JobSpec {
+  const isRedTeam = jobNumber % 3 !== 0;
   return {
-    ...plainJob(world, n),
+    ...plainJob(world, jobNumber),
     team: isRedTeam ? "red" : "blue",
     kind: "array",
     priority: "normal",
-    // Few enough tasks to be done by the end of the run: a team whose tasks come and go is never quite at its limit.
-    tasks: isRedTeam ? (n <= LAST_LARGE_JOB ? 60 : 4) : 12,
+    // Few enough tasks to be done by the end of the run: a team whose tasks come and go is never quite at its limit, so the checker
+    // would report its waiting jobs.
+    tasks: isRedTeam ? (jobNumber <= LAST_LARGE_JOB ? 60 : 4) : 12,
     cpus: 2,
     spot: true,
   };
 }
 
 /** An array for many machines or a gang, some of them spread over two zones, within every team's limit. */
-function jobWithinLimits(world: World, n: number): JobSpec {
-  if (n % 4 === 0)
+function jobWithinLimits(world: World, jobNumber: number): JobSpec {
+  if (jobNumber % 4 === 0)
     return {
-      ...plainJob(world, n),
+      ...plainJob(world, jobNumber),
       kind: "gang",
       tasks: world.rng.int(2, 5),
       samePlace: false,
       spread: true,
     };
-  const job = largeJob(world, n);
+  const job = largeJob(world, jobNumber);
   const tasks = job.kind === "gang" ? Math.min(3, job.tasks) : job.tasks;
   return { ...job, tasks: Math.min(40, tasks) };
 }
@@ -245,13 +249,13 @@
   const touchedKeys = new Set(
     [...commit.conditions, ...commit.writes].map((x) => conflictKeyOf(x.key)),
   );
-  for (const answer of pendingReplies) {
-    if (answer.hasFollowUp || answer.writer === name) continue;
-    if (world.now - answer.appliedMs > FOLLOW_UP_MS) continue;
-    if (![...answer.keys].some((key) => touchedKeys.has(conflictKeyOf(key))))
+  for (const reply of pendingReplies) {
+    if (reply.hasFollowUp || reply.writer === name) continue;
+    if (world.now - reply.appliedMs > FOLLOW_UP_MS) continue;
+    if (![...reply.keys].some((key) => touchedKeys.has(conflictKeyOf(key))))
       continue;
-    answer.hasFollowUp = true;
-    for (const kind of answer.kinds)
+    reply.hasFollowUp = true;
+    for (const kind of reply.kinds)
       if (SHARED_KINDS.includes(kind))
         occurred.note(`${kind}: a peer committed on top`);
   }
--- a/test/scenarios/one-task-jobs.ts
+++ b/test/scenarios/one-task-jobs.ts
@@ -69,13 +69,13 @@
 
 function submitOne(
   world: World,
-  n: number,
+  index: number,
   cancellationTimes: Map<string, CancellationTime>,
   occurred: Occurrences,
 ): void {
   const { rng } = world;
   const spec = {
-    ...plainJob(world, n + 1),
+    ...plainJob(world, index + 1),
     kind: "array" as const,
     samePlace: false,
     tasks: 1,
--- a/test/scenarios/stage.ts
+++ b/test/scenarios/stage.ts
@@ -35,7 +35,7 @@
   runFactor?: number;
   /** Machines of the small type in each zone from the start. */
   machinesPerZone?: number;
-  /** Most machines that the cloud offers in a zone of each type, spot and ordinary ones counted separately. */
+  /** Most machines of each type that the cloud offers in a zone, spot and ordinary ones counted separately. */
   capacity?: number;
   teams?: Settings["teams"];
   /** Operator tuning; absent: the simulation's default. */
@@ -250,8 +250,8 @@
 }
 
 /** A job that most partitions can run: no required zone or machine type, few CPUs. */
-export const plainJob = (world: World, n: number): JobSpec => ({
-  ...randomJob(world, n),
+export const plainJob = (world: World, jobNumber: number): JobSpec => ({
+  ...randomJob(world, jobNumber),
   cpus: world.rng.pick([1, 2]),
   gpus: 0,
   machineTypes: null,
--- a/test/scenarios/stale-heartbeats.ts
+++ b/test/scenarios/stale-heartbeats.ts
@@ -113,14 +113,14 @@
 /** At least one stale heartbeat of the partition's machines for each content that is found. */
 function staleHeartbeatsOf(
   world: World,
-  kept: readonly RecordedHeartbeat[],
+  recorded: readonly RecordedHeartbeat[],
   { partition, owner }: Takeover,
 ): Heartbeat[] {
   const partitions = world.nodes.get(owner)?.core.partitions;
   if (!partitions) return [];
   const found = new Map<Content, Heartbeat>();
   // Newest first: these differ least from the current state.
-  for (const { heartbeat } of [...kept].reverse()) {
+  for (const { heartbeat } of [...recorded].reverse()) {
     if (partitions.partitionOf(heartbeat.zone) !== partition) continue;
     for (const content of contentsOf(world, heartbeat))
       if (!found.has(content) || world.rng.chance(0.05))
--- a/test/scenarios/zone-failures.ts
+++ b/test/scenarios/zone-failures.ts
@@ -46,9 +46,12 @@
   return { world, occurred: occurred.counts };
 }
 
-function zoneJob(world: World, n: number): JobSpec {
+function zoneJob(world: World, jobNumber: number): JobSpec {
   const { rng } = world;
-  const job = { ...plainJob(world, n), zone: rng.pick(["east", "mid"]) };
+  const job = {
+    ...plainJob(world, jobNumber),
+    zone: rng.pick(["east", "mid"]),
+  };
   const shape = rng.pick(SHAPES);
   if (shape === "array")
     return { ...job, kind: "array", samePlace: false, tasks: rng.int(2, 6) };
