--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,6 +1,6 @@
 /**
- * Services that the controller provides to the parts of the core, as small interfaces, so that each part declares only those that it
- * needs. The controller implements all of them together as `Context`, and sets the times before each step.
+ * Services that the controller provides to the parts of the core, as small interfaces, so that each part declares only those that
+ * it needs. The controller implements all of them together as `Context`, and sets the times before each step.
  */
 import type { Settings } from "../config/settings.js";
 import type { EventLog } from "../logging/events.js";
@@ -116,10 +116,10 @@
   LeaderlessTokens &
   EventLog;
 
-/** Steady clocks of two machines may drift apart by 0.05%: a wait for a time that another machine measures is multiplied by this. */
+/** Steady clocks of two machines may drift apart by 0.05%. A wait for a time measured on another machine is multiplied by this. */
 export const CLOCK_DRIFT_FACTOR = 1.0015;
 /**
- * With a cache older than this no team's guarantee is evaluated, and no partition counts as absent. A watch without changes is renewed
- * every 2 s.
+ * With a cache older than this no team's guarantee is evaluated, and no partition counts as absent. A watch without changes is
+ * renewed every 2 s.
  */
 export const STALE_CACHE_MS = 6_000;
--- a/src/coordination/jobs/job-partitioner.ts
+++ b/src/coordination/jobs/job-partitioner.ts
@@ -4,7 +4,7 @@
  */
 import type { CapacityRecord } from "../../storage/records.js";
 import type { JobSpec, MachineType } from "../model.js";
-import { maxTasksPerZone, startsWhole } from "../scheduling/placement.js";
+import { maxTasksPerZone, staysUndivided } from "../scheduling/placement.js";
 import { expectedWaitS, expectedUndividedWaitS } from "./expected-wait.js";
 import {
   backlogKindOf,
@@ -84,7 +84,7 @@
   const weighted = [...capable.slice(start), ...capable.slice(0, start)].map(
     (partition) => weighPartition(spec, partition, view),
   );
-  if (startsWhole(spec)) return assignUndivided(spec, weighted, view);
+  if (staysUndivided(spec)) return assignUndivided(spec, weighted, view);
   const distribution = new TaskDistribution(spec.tasks, weighted);
   distribution.fillFreeSlots();
   distribution.fillRemainingSlots();
@@ -251,7 +251,10 @@
     }
   }
 
-  /** Assigns what rounding and zone limits left over to the partition expected to start it first, beyond its limit if all are full. */
+  /**
+   * Assigns what rounding and zone limits left over to the partition expected to start it first, beyond its limit if all are
+   * full.
+   */
   assignRest(): void {
     while (this.unassigned > 0) {
       const partition = this.highestScored((candidate) =>
--- a/src/coordination/machines/autoscaler.ts
+++ b/src/coordination/machines/autoscaler.ts
@@ -1,6 +1,6 @@
 /**
- * The autoscaler of a partition. Decides which machines are returned to the cloud, from their use, their heartbeats and the
- * cloud's machine list, and drives scale-out, machine returns, warm capacity and the polling of the list.
+ * The autoscaler of a partition. Decides from use, heartbeats and the cloud's machine list which machines are returned to the
+ * cloud, and drives scale-out, machine returns, warm capacity and the polling of the list.
  */
 import { type Context, CLOCK_DRIFT_FACTOR } from "../context.js";
 import type { JobSpec, ListedMachine } from "../model.js";
@@ -18,7 +18,7 @@
 /** Assumed boot time of a type that the catalog lacks. */
 const DEFAULT_BOOT_S = 60;
 /** Time that a new machine has after its boot to send its first heartbeat. */
-const FIRST_REPORT_GRACE_MS = 5_000;
+const FIRST_HEARTBEAT_GRACE_MS = 5_000;
 /** How long beyond its lag the list may omit a booting machine before that machine is forgotten. */
 const UNLISTED_BOOTING_GRACE_MS = 30_000;
 /** How long beyond its lag the list may omit a machine with an expired lease before that machine is returned. */
@@ -108,7 +108,7 @@
     this.returnIdle();
     this.returnSilent();
     this.returnUnreachable();
-    this.returnNeverReported();
+    this.returnNeverUp();
   }
 
   /**
@@ -202,11 +202,11 @@
     return nowMs - sinceMs > tuning.silentReturnS * 1000;
   }
 
-  private returnNeverReported(): void {
+  private returnNeverUp(): void {
     const { nowMs, tuning } = this.context;
     for (const [id, { type, rentedMs }] of this.scaleOut.booting) {
       const bootMs = this.bootS(type) * 1000;
-      const maxBootMs = bootMs * tuning.bootPatience + FIRST_REPORT_GRACE_MS;
+      const maxBootMs = bootMs * tuning.bootPatience + FIRST_HEARTBEAT_GRACE_MS;
       if (nowMs - rentedMs > maxBootMs)
         this.returnMachine(id, type, "never came up");
     }
--- a/src/coordination/machines/capacity-offers.ts
+++ b/src/coordination/machines/capacity-offers.ts
@@ -1,6 +1,7 @@
 /**
- * Tracks what the cloud can still provide to this partition. An offer is a machine type in a zone, spot or on-demand ("ordinary").
- * Owns what refused rentals taught: which offers are sold out, and how many machines of an offer there can be at most.
+ * Tracks what the cloud can still provide to this partition. An offer is a machine type in a zone, spot or on-demand ("ordinary"
+ * in its key). Owns what was learned from refused rentals: which offers are sold out, and how many machines of an offer there can
+ * be at most.
  */
 import type { Context } from "../context.js";
 import type { PartitionState } from "../scheduling/partition-state.js";
@@ -13,7 +14,7 @@
   type Resources,
 } from "../scheduling/placement.js";
 
-/** Machines of one type in one zone, either spot or ordinary. */
+/** Machines of one type in one zone, either spot or on-demand. */
 export interface CapacityOffer {
   type: string;
   zone: string;
@@ -59,10 +60,10 @@
 const CEILING_LIFETIME_MS = 300_000;
 /** A sold-out offer is reported to other partitions until this long after its pause has ended. */
 const SOLD_OUT_REPORT_MS = 30_000;
-/** Each machine type is offered in each zone as spot and as ordinary machines. */
+/** Each machine type is offered in each zone as spot and as on-demand machines. */
 const OFFERS_PER_TYPE_AND_ZONE = 2;
 
-/** Whether both are the same type in the same zone, and both spot or both ordinary. */
+/** Whether both are the same type in the same zone, and both spot or both on-demand. */
 export const isSameOffer = (a: CapacityOffer, b: CapacityOffer): boolean =>
   a.type === b.type && a.zone === b.zone && a.spot === b.spot;
 
@@ -73,7 +74,7 @@
 ): MachineType | undefined =>
   context.catalog?.find((machineType) => machineType.name === name);
 
-/** The offers in one partition's zones, and what refused rentals tell about their remaining stock. */
+/** The offers in one partition's zones, and what refused rentals show about their remaining stock. */
 export class CapacityOffers {
   private readonly soldOutUntilMs = new Map<string, number>();
   private readonly ceilings = new Map<string, OfferCeiling>();
@@ -169,7 +170,7 @@
 
   /**
    * Offers in these zones that the job may use and that may have more machines than already planned. Ordered by the catalog,
-   * then by zone, spot before ordinary.
+   * then by zone, spot before on-demand.
    */
   *rentableOffers(
     spec: JobSpec,
--- a/src/coordination/machines/delivery-tracker.ts
+++ b/src/coordination/machines/delivery-tracker.ts
@@ -16,7 +16,7 @@
 const PREVIOUS_LIFETIME_LEASES = 10;
 /**
  * Together these bound how far a worker's sequence can have risen since its last accepted heartbeat. It rises with each
- * heartbeat, at most two a second, and with each command.
+ * heartbeat, at most two a second, and with each message of commands.
  */
 const SEQUENCE_SLACK = 5;
 const SEQUENCES_PER_S = 2.2;
@@ -92,7 +92,7 @@
     const maxSilenceMs = (this.ctx.settings.reportS * 1.25 + 1) * 1000;
     return (
       !worker.delivery.isInspecting &&
-      (!mustBeSilent || this.ctx.nowMs - worker.lastHeardMs > maxSilenceMs) &&
+      (!mustBeSilent || this.ctx.nowMs - worker.lastStatusMs > maxSilenceMs) &&
       this.ctx.nowMs - worker.delivery.lastInspectedMs > INSPECT_INTERVAL_MS
     );
   }
@@ -213,7 +213,7 @@
 
   /** The highest sequence that the worker can have reached by now if it has not restarted. */
   private maxPossibleSequence(worker: Worker): number {
-    const silentS = (this.ctx.nowMs - worker.lastHeardMs) / 1000;
+    const silentS = (this.ctx.nowMs - worker.lastStatusMs) / 1000;
     return worker.sequence + SEQUENCE_SLACK + silentS * SEQUENCES_PER_S;
   }
 
--- a/src/coordination/machines/failover-fence.ts
+++ b/src/coordination/machines/failover-fence.ts
@@ -52,12 +52,12 @@
    */
   addListed(
     machines: ReadonlyMap<string, ListedMachine>,
-    hasReported: (id: string) => boolean,
+    isAccountedFor: (id: string) => boolean,
   ): number {
     this.isListPending = false;
     let added = 0;
     for (const [id, { state, type }] of machines) {
-      if (state === "failed" || hasReported(id) || this.unaccounted.has(id))
+      if (state === "failed" || isAccountedFor(id) || this.unaccounted.has(id))
         continue;
       this.unaccounted.set(id, type);
       added++;
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Adds to `sum` what unreported tasks may use. A silent machine may run tasks of any team, including tasks of jobs that are
-   * over. A machine whose heartbeat may be a late copy may run more tasks than the heartbeat lists.
+   * Adds to `sum` what tasks that no heartbeat has shown may use. A silent machine may run tasks of any team, including tasks of
+   * jobs that are over. A machine whose heartbeat may be a late copy may run more tasks than the heartbeat lists.
    */
   addPossibleUse(
     sum: ResourceUse,
--- a/src/coordination/machines/inspection.ts
+++ b/src/coordination/machines/inspection.ts
@@ -21,7 +21,7 @@
 
   /**
    * Queries the status of a machine. The status is made after the query. If it is nevertheless older than the known state by its
-   * incarnation and sequence, the worker process or the whole machine has restarted, and every task that ran there is gone.
+   * incarnation and sequence, the worker process or the whole machine has restarted, and every task that ran there has ended.
    */
   inspect(worker: Worker): void {
     const queriedMs = this.ctx.nowMs;
@@ -45,11 +45,11 @@
 
   private onStatus(worker: Worker, status: Heartbeat, queriedMs: number): void {
     this.deliveries.noteAnswered(worker);
-    if (worker.lastHeardMs > queriedMs) return;
-    const isNewerInPresentLife =
+    if (worker.lastStatusMs > queriedMs) return;
+    const isNewerSinceRestart =
       this.deliveries.isAmbiguous(worker, status) &&
       status.sequence > worker.sequence;
-    if (isNewerInPresentLife) this.applyStatus(worker, status);
+    if (isNewerSinceRestart) this.applyStatus(worker, status);
     else if (
       !mayMissLaterStart(worker, status, queriedMs) &&
       this.deliveries.isStale(worker, status)
@@ -66,7 +66,7 @@
       this.state.startIncarnation(worker, status.incarnation);
     worker.sequence = status.sequence;
     worker.token = Math.max(worker.token, status.token);
-    worker.lastHeardMs = this.ctx.nowMs;
+    worker.lastStatusMs = this.ctx.nowMs;
     this.reconciliation.reconcile(worker, status.tasks, false);
     this.state.noteIdle(worker);
   }
@@ -95,7 +95,7 @@
     worker.token = status.token;
     worker.leaseExpired = false;
     worker.lastAnsweredMs = this.ctx.nowMs;
-    worker.lastHeardMs = this.ctx.nowMs;
+    worker.lastStatusMs = this.ctx.nowMs;
   }
 }
 
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -17,8 +17,8 @@
 } from "./worker-state.js";
 
 /**
- * How long nothing is placed on a machine that refused a task for lack of resources, and nothing is started of a job that was
- * unknown to a machine.
+ * How long a machine that refused a task for lack of resources gets no tasks, and how long no tasks are started of a job that a
+ * machine did not know.
  */
 const PAUSE_AFTER_REFUSAL_MS = 2_000;
 
@@ -35,7 +35,10 @@
 
 /** Matches a worker's known tasks with those that it reports, and handles tasks that ended or are missing. */
 export class Reconciliation {
-  /** How often a heartbeat lacked a task because it was made before the start, whose answer had overtaken it. */
+  /**
+   * Times that a heartbeat lacked a task because it was made before the task's start command was answered, but arrived after that
+   * answer.
+   */
   overtakenHeartbeats = 0;
 
   constructor(
--- a/src/coordination/machines/rental-timing.ts
+++ b/src/coordination/machines/rental-timing.ts
@@ -10,8 +10,8 @@
 export const ESTIMATE_FACTOR = 1.4;
 
 /**
- * Seconds until the job is due; Infinity for a job without a deadline of its own. Deadlines of jobs that depend on it make it no
- * cheaper for such a job to be late.
+ * Seconds until the job is due; Infinity for a job without a deadline of its own. If only jobs that depend on it have deadlines,
+ * it never counts as too late to be worth an on-demand machine.
  */
 export function timeToDeadlineS(
   context: Context,
@@ -66,7 +66,7 @@
 
 /**
  * Whether only spot machines are worth renting for the job. Either it can wait for one and would still meet its deadline on an
- * ordinary machine, or it is too late for all its objectives, so that an ordinary machine would gain nothing.
+ * on-demand machine, or it is too late for all its objectives, so that an on-demand machine would gain nothing.
  */
 export function isOnlySpotWorthwhile(
   context: Context,
--- a/src/coordination/machines/request-kinds.ts
+++ b/src/coordination/machines/request-kinds.ts
@@ -6,7 +6,7 @@
 import {
   fitCount,
   requestKeyOf,
-  startsWhole,
+  staysUndivided,
 } from "../scheduling/placement.js";
 import { isShort } from "../scheduling/scheduling-round.js";
 import type { MachineCapacity } from "./capacity-offers.js";
@@ -98,7 +98,7 @@
 ): string {
   const bindingJobId = activeCount > 0 ? spec.id : "";
   if (spec.spread) return `spread/${spec.tasks}/${taskCount}/${bindingJobId}`;
-  if (startsWhole(spec))
+  if (staysUndivided(spec))
     return `${spec.kind}/${spec.samePlace}/${taskCount}/${bindingJobId}`;
   return "";
 }
--- a/src/coordination/machines/scale-out-planner.ts
+++ b/src/coordination/machines/scale-out-planner.ts
@@ -10,7 +10,7 @@
   fitCount,
   fitWithinLimit,
   maxTasksPerZone,
-  startsWhole,
+  staysUndivided,
 } from "../scheduling/placement.js";
 import type { PartitionState } from "../scheduling/partition-state.js";
 import {
@@ -114,7 +114,7 @@
   ): boolean {
     const { spec } = job.view;
     if (spec.spread) return this.planSpread(job, taskCount, candidates);
-    if (startsWhole(spec))
+    if (staysUndivided(spec))
       return this.planUndivided(job, taskCount, candidates);
     return this.planTaskByTask(job, taskCount, candidates);
   }
--- a/src/coordination/machines/scale-out.ts
+++ b/src/coordination/machines/scale-out.ts
@@ -1,6 +1,6 @@
 /**
- * Scale-out: rents the machines that waiting work needs. Owns the set of booting machines and the latest plan, and tells which
- * further capacity is available for a job.
+ * Scale-out: rents the machines that waiting work needs. Owns the set of booting machines and the latest plan, and determines
+ * which further capacity is available for a job.
  */
 import type { Context } from "../context.js";
 import type { JobSpec } from "../model.js";
@@ -96,7 +96,7 @@
   }
 
   /** Whether a task of this job fits on a usable or booting machine, or a suitable machine may be rented. */
-  hasPlace(spec: JobSpec): boolean {
+  canGetSlot(spec: JobSpec): boolean {
     for (const worker of this.state.usableWorkers().usable)
       if (
         this.offers.serves(spec, offerOf(worker)) &&
--- a/src/coordination/machines/worker-state.ts
+++ b/src/coordination/machines/worker-state.ts
@@ -47,7 +47,7 @@
   isComplete: boolean;
   /** When finished tasks were last sent to the store. */
   lastFinishedWriteMs: number;
-  /** The job existed before this leader's token, so its tasks may run on machines that have not reported yet. */
+  /** The job existed before this leader's token, so its tasks may run on machines that have not sent a heartbeat yet. */
   predatesLeader: boolean;
   /** The job has ended or has no tasks in this partition any more, so its remaining tasks are stopped. */
   isOver: boolean;
@@ -143,7 +143,7 @@
   lastAnsweredMs: number;
   leaseExpired: boolean;
   /** When a heartbeat or status of the worker was last accepted as new. */
-  lastHeardMs: number;
+  lastStatusMs: number;
   delivery: DeliveryState;
   firstSeenMs: number;
   /** When the cloud will reclaim this spot machine; null if it has given no notice. */
@@ -247,7 +247,7 @@
     token: 0,
     lastAnsweredMs: nowMs,
     leaseExpired: false,
-    lastHeardMs: nowMs,
+    lastStatusMs: nowMs,
     delivery: newDeliveryState(origin.isProven, nowMs),
     firstSeenMs: nowMs,
     reclaimedAtMs: null,
--- a/src/coordination/model.ts
+++ b/src/coordination/model.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * `array`: tasks that run independently. `gang`: tasks that run all at once or not at all. `service`: tasks that are restarted whenever
- * they exit, until the job is cancelled.
+ * `array`: tasks that run independently. `gang`: tasks that run all at once or not at all. `service`: tasks that are restarted
+ * whenever they exit, until the job is cancelled.
  */
 export type JobKind = "array" | "gang" | "service";
 
@@ -79,11 +79,11 @@
   type: string;
   zone: string;
   spot: boolean;
-  /** Grows with each start of the worker process. */
+  /** Grows each time the worker's lease expires; starts anew when the worker process restarts. */
   incarnation: number;
-  /** Grows with each heartbeat of an incarnation. */
+  /** Grows with each heartbeat and each message of commands; starts anew when the worker process restarts. */
   sequence: number;
-  /** The fencing token of the last reply that the worker received. */
+  /** The highest fencing token that the worker has received since its process started. */
   token: number;
   /** Time until the platform reclaims the machine; null if it has given no notice. */
   noticeS: number | null;
@@ -130,7 +130,10 @@
   reservedShare: number;
   /** Tasks with a shorter estimated run time count as short. */
   shortCutoffS: number;
-  /** The same for gangs, of the run time multiplied by the number of tasks, since a gang occupies all its machines at once. */
+  /**
+   * The same limit for gangs. It applies to the run time multiplied by the number of tasks, since a gang occupies all its
+   * machines at once.
+   */
   shortGangS: number;
   /** Waiting time after which a gang reserves the capacity that it can already use. */
   holdAfterS: number;
--- a/src/coordination/quota/guarantee-reclaims.ts
+++ b/src/coordination/quota/guarantee-reclaims.ts
@@ -12,7 +12,10 @@
 import type { Guarantees } from "./guarantees.js";
 import { DIMENSIONS, type ResourceAmounts } from "./resource-amounts.js";
 
-/** Added to the grace period and two heartbeats, until preempted tasks have ended and the use of their successors is published. */
+/**
+ * Added to the grace period and two heartbeat intervals: by then the preempted tasks have ended, and the use of those started
+ * instead is published.
+ */
 const RECLAIM_TTL_S = 6;
 
 /** What a reclaim takes from each team. */
--- a/src/coordination/quota/partition-demand.ts
+++ b/src/coordination/quota/partition-demand.ts
@@ -17,21 +17,21 @@
   /** For tasks that have a free slot, or have waited for so long that they count as if they had. */
   startable: ResourceAmounts;
   /**
-   * Place in the queue order of the first of these that lacks CPUs, and of the first that lacks accelerators, in ms since the
-   * epoch; Infinity if there is none.
+   * Position in the queue order (time of day, ms) of the first of these that lacks CPUs, and of the first that lacks
+   * accelerators; Infinity if none does.
    */
   startableSinceMs: ResourceAmounts;
   /** For tasks whose machines are yet to be rented. */
   awaitingMachines: ResourceAmounts;
   awaitingMachinesSinceMs: ResourceAmounts;
-  /** The share that this demand comes on top of: by as much as the share has grown since, the demand is satisfied. */
+  /** The share that this demand comes on top of. The demand shrinks by as much as the share has grown since. */
   baseShare: ResourceAmounts;
   /**
-   * What the first tasks lack that could start with idle quota of other partitions; absent if there are none, or from an earlier
-   * version.
+   * What the first tasks lack that could start with idle quota of other partitions; absent if there are none or an earlier
+   * version published the demand.
    */
   backfill?: ResourceAmounts | undefined;
-  /** For a large job whose first start is overdue; absent if there is none, or from an earlier version. */
+  /** For a large job whose first start is overdue; absent if there is none or an earlier version published the demand. */
   reservation?: QuotaReservation | undefined;
 }
 
@@ -83,7 +83,7 @@
   { need, queueOrderMs }: WaitingTasks,
   free: ResourceAmounts,
   wanted: ResourceAmounts,
-  since: ResourceAmounts,
+  sinceMs: ResourceAmounts,
 ): void {
   for (const dimension of DIMENSIONS) {
     const needed = need[dimension];
@@ -94,7 +94,7 @@
     free[dimension] -= needed;
     if (lacking <= EPSILON) continue;
     wanted[dimension] += lacking;
-    since[dimension] = Math.min(since[dimension], queueOrderMs);
+    sinceMs[dimension] = Math.min(sinceMs[dimension], queueOrderMs);
   }
 }
 
--- a/src/coordination/quota/quota-allocator.ts
+++ b/src/coordination/quota/quota-allocator.ts
@@ -369,8 +369,8 @@
   }
 
   /**
-   * Partitions that are no longer in the settings but still have a share, once none of their tasks can be running; with the
-   * fencing tokens under which they have no leader.
+   * Partitions that are no longer in the settings but still have a share, with the fencing token under which each has no leader.
+   * Contains only those of which no task can be running any more.
    */
   private removedPartitions(): Map<string, number> {
     const removed = new Map<string, number>();
--- a/src/coordination/quota/quota-backfill.ts
+++ b/src/coordination/quota/quota-backfill.ts
@@ -117,8 +117,8 @@
 }
 
 /**
- * The first startable tasks in queue order that free quota here and idle quota elsewhere suffice for together, and as many tasks of
- * that job as they suffice for; null if there are none.
+ * The first startable tasks, in queue order, for which free quota here suffices only together with idle quota elsewhere: as many
+ * tasks of one job as both suffice for. null if there are none.
  */
 export function backfillTarget(
   waiting: readonly WaitingTasks[],
--- a/src/coordination/quota/quota-demand.ts
+++ b/src/coordination/quota/quota-demand.ts
@@ -12,7 +12,7 @@
   isAllowedOn,
   isSuitable,
   maxTasksPerZone,
-  startsWhole,
+  staysUndivided,
 } from "../scheduling/placement.js";
 import { isShort, queueOrderMs } from "../scheduling/scheduling-round.js";
 import { isSpreadOverPartitions } from "../scheduling/spread-gangs.js";
@@ -23,7 +23,7 @@
 export interface WaitingTasks {
   /** What all of them need together. */
   need: ResourceAmounts;
-  /** Place in the queue order: a time of day, in whole ms. */
+  /** Position in the queue order: a time of day, in whole ms. */
   queueOrderMs: number;
   /** When the job became ready, in ms since the epoch. */
   readyAt: number;
@@ -135,7 +135,7 @@
   private addJob(job: JobRun, slots: SlotsOfKind): void {
     const { spec, readyAt } = job.view;
     const waiting = job.waiting.size;
-    const startsTogether = startsWhole(spec) || spec.kind === "service";
+    const startsTogether = staysUndivided(spec) || spec.kind === "service";
     const withSlot =
       startsTogether && slots.freeSlots < waiting
         ? 0
--- a/src/coordination/quota/quota-takers.ts
+++ b/src/coordination/quota/quota-takers.ts
@@ -12,7 +12,7 @@
 /** A partition that demands more of one resource of a team's quota. */
 export interface QuotaTaker {
   partition: string;
-  /** Place in the queue order of the first tasks that lack this resource: a time of day, in ms. */
+  /** Position in the queue order of the first tasks that lack this resource: a time of day, in ms. */
   queueOrderMs: number;
   /** Whether these tasks have a free slot, or have waited for so long that they count as if they had. */
   isStartable: boolean;
--- a/src/coordination/quota/quota-team-planner.ts
+++ b/src/coordination/quota/quota-team-planner.ts
@@ -279,9 +279,9 @@
   ): number {
     const amount = roundDownToHundredth(Math.max(0, wanted));
     if (amount <= EPSILON) return 0;
-    const ownPart = this.shareOf(this.situation.partition);
+    const ownShare = this.shareOf(this.situation.partition);
     const takerShare = this.shareOf(to);
-    ownPart[dimension] = roundDownToHundredth(ownPart[dimension] - amount);
+    ownShare[dimension] = roundDownToHundredth(ownShare[dimension] - amount);
     takerShare[dimension] = roundDownToHundredth(
       takerShare[dimension] + amount,
     );
--- a/src/coordination/scheduling/backlog.ts
+++ b/src/coordination/scheduling/backlog.ts
@@ -2,7 +2,7 @@
  * Counts the waiting tasks of a partition. Owns no state.
  */
 import type { ResourceUse } from "../machines/resource-ledger.js";
-import { fitWithinLimit, startsWhole } from "./placement.js";
+import { fitWithinLimit, staysUndivided } from "./placement.js";
 import { backlogKindOf } from "../jobs/partition-capacity.js";
 import type { JobRun } from "../machines/worker-state.js";
 
@@ -40,7 +40,7 @@
   const waiting = job.waiting.size;
   if (!headroom || waiting === 0) return waiting;
   const allowed = Math.max(0, fitWithinLimit(spec, headroom));
-  if (startsWhole(spec) && allowed < waiting) return 0;
+  if (staysUndivided(spec) && allowed < waiting) return 0;
   const tasks = Math.min(waiting, allowed);
   headroom.cpus -= tasks * spec.cpus;
   headroom.gpus -= tasks * spec.gpus;
--- a/src/coordination/scheduling/capacity-report.ts
+++ b/src/coordination/scheduling/capacity-report.ts
@@ -26,7 +26,7 @@
 } from "../jobs/partition-capacity.js";
 import { freeOn, type Worker } from "../machines/worker-state.js";
 
-/** Interval at which the priorities of all jobs are collected anew. */
+/** Interval at which the priorities of all jobs are collected again. */
 const PRIORITIES_REFRESH_MS = 2_000;
 /** Minimum interval between writes of the report. */
 const WRITE_INTERVAL_MS = 700;
@@ -149,7 +149,7 @@
     const { scaleOut } = this;
     const soldOut = scaleOut.soldOutOffers();
     // Offers that are sold out have no machines left and need no entry here.
-    const left = new Map(
+    const remainingByOffer = new Map(
       [...scaleOut.remainingByOffer()].filter(
         ([offer, machines]) => machines > 0 || !soldOut.includes(offer),
       ),
@@ -160,7 +160,7 @@
       queueByMinPriority,
       running,
       soldOut,
-      left,
+      left: remainingByOffer,
       ...this.quota.rows(),
       isTruncated: false,
     };
@@ -238,13 +238,13 @@
       })),
       running: new Map(),
     };
-    const { soldOut, left, wants } = record;
+    const { soldOut, left: remainingByOffer, wants } = record;
     const teams = (record.teams = new Map(full.teams));
     const maxBytes = this.ctx.settings.state.valueBytes;
     // With very many teams, types and zones even this is too large: hints are dropped first, then the rows with the fewest
     // machines. The store would reject a larger record every time, and other partitions would no longer learn the capacity.
     const reductions = [
-      () => left.delete([...left.keys()].at(-1)!),
+      () => remainingByOffer.delete([...remainingByOffer.keys()].at(-1)!),
       () => soldOut.pop() !== undefined,
       () => wants.delete([...wants.keys()].at(-1)!),
       () =>
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -58,7 +58,7 @@
     this.soonestAssemblyS = Math.min(this.soonestAssemblyS, assembledInS);
   }
 
-  /** Reserves a gang's part of its team's limit, which small jobs of the team would otherwise use as soon as it is free. */
+  /** Reserves the quota that a gang needs, which small jobs of the team would otherwise use as soon as it is free. */
   reserveQuota(spec: JobSpec, used: Map<string, ResourceUse>): void {
     const teamUse = used.get(spec.team) ?? NO_USE;
     used.set(spec.team, {
--- a/src/coordination/scheduling/machine-selector.ts
+++ b/src/coordination/scheduling/machine-selector.ts
@@ -15,21 +15,21 @@
 } from "./placement.js";
 import type { RoundResources } from "./round-resources.js";
 
-/** Tasks of the job failed on the machine, which is used only if no other has room. */
+/** Tasks of the job failed on the machine, which is used only if no other has a free slot. */
 const FAILED_HERE_PENALTY = 1_000;
 /** The image is on the machine, or the task needs none. */
 const IMAGE_PRESENT_BONUS = 200;
-/** The machine is reserved for short tasks and is left to them as long as others have room. */
+/** The machine is reserved for short tasks and is left to them as long as others have free slots. */
 const RESERVED_PENALTY = 100;
 /** For each task on the machine that has the same image. */
 const SAME_IMAGE_TASK_BONUS = 50;
 /** Multiplied by the share of the machine's CPUs that stays free: a tight fit is better. */
 const LEFTOVER_PENALTY = 10;
 
-/** A machine that has room for tasks of a job. */
+/** A machine that has free slots for tasks of a job. */
 interface Candidate {
   readonly worker: Worker;
-  /** Tasks that it has room for. */
+  /** Number of these slots. */
   readonly count: number;
   readonly score: number;
 }
@@ -43,7 +43,7 @@
 
   /**
    * Selects machines for up to `taskCount` tasks of a job and returns one entry per task. A gang or a job that needs one zone
-   * gets as many of the best machines as it needs; any other job gets only the best one, as many times as it has room.
+   * gets as many of the best machines as it needs; any other job gets only the best one, as many times as it has slots.
    */
   select(
     job: JobRun,
@@ -124,7 +124,7 @@
     );
   }
 
-  /** Whether room that preemption made on a machine is reserved for another job. */
+  /** Whether capacity that preemption freed on a machine is reserved for another job. */
   private isReservedForOther(job: JobRun, worker: Worker): boolean {
     const reservation = worker.reservedFor;
     return (
--- a/src/coordination/scheduling/partition-leader.ts
+++ b/src/coordination/scheduling/partition-leader.ts
@@ -79,7 +79,7 @@
     this.deliveries = new DeliveryTracker(ctx, token);
     this.contradictions = new RateLimitedLog(ctx);
     this.quota = new QuotaAllocator(ctx, state, (spec) =>
-      this.autoscaler.scaleOut.hasPlace(spec),
+      this.autoscaler.scaleOut.canGetSlot(spec),
     );
     this.guarantees = new Guarantees(ctx, state);
     this.autoscaler = new Autoscaler(ctx, state, this.quota);
@@ -143,7 +143,10 @@
         );
   }
 
-  /** Number of heartbeats that lacked a task because they were made before the worker answered its start command. */
+  /**
+   * Times that a heartbeat lacked a task because it was made before the task's start command was answered, but arrived after that
+   * answer.
+   */
   get overtakenHeartbeats(): number {
     return this.reconciliation.overtakenHeartbeats;
   }
@@ -339,14 +342,14 @@
   }
 
   private noteLiveness(worker: Worker, heartbeat: Heartbeat): void {
-    const now = this.ctx.nowMs;
+    const nowMs = this.ctx.nowMs;
     const { noticeS } = heartbeat;
     worker.sequence = heartbeat.sequence;
     worker.token = Math.max(worker.token, heartbeat.token);
     worker.address = heartbeat.address;
-    worker.reclaimedAtMs = noticeS === null ? null : now + noticeS * 1000;
-    worker.lastAnsweredMs = now;
-    worker.lastHeardMs = now;
+    worker.reclaimedAtMs = noticeS === null ? null : nowMs + noticeS * 1000;
+    worker.lastAnsweredMs = nowMs;
+    worker.lastStatusMs = nowMs;
   }
 
   private noteLeaseRenewal(worker: Worker): void {
@@ -426,7 +429,10 @@
   }
 }
 
-/** Whether a heartbeat matches the known machine: names are unique, and a machine's type, zone and kind never change. */
+/**
+ * Whether a heartbeat matches the known machine: names are unique, and a machine never changes its type, its zone or whether it
+ * is a spot machine.
+ */
 function isSameMachine(worker: Worker, heartbeat: Heartbeat): boolean {
   return (
     worker.typeName === heartbeat.type &&
--- a/src/coordination/scheduling/partition-state.ts
+++ b/src/coordination/scheduling/partition-state.ts
@@ -175,7 +175,7 @@
       !job.isOver &&
       !job.waiting.isEmpty &&
       this.ctx.nowMs >= job.backoffUntilMs &&
-      // See FailoverFence: tasks of a job from before this leader may be running on machines that have not reported yet.
+      // See FailoverFence: tasks of a job from before this leader may be running on machines that have not sent a heartbeat yet.
       !(this.failoverFence && job.predatesLeader)
     );
   }
@@ -402,7 +402,7 @@
     return this.failoverFence !== null;
   }
 
-  /** Lifts the failover fence for a machine that has reported under this token or is gone: it runs no unknown tasks. */
+  /** Lifts the failover fence for a machine that has sent a heartbeat with this token or is gone: it runs no unknown tasks. */
   markAccountedFor(id: string): void {
     if (!this.failoverFence) return;
     this.failoverFence.noteAccountedFor(id);
@@ -429,7 +429,7 @@
 
   /**
    * Removes a machine from the registry. Past its lease it has killed all its tasks and accepts no older message, so nothing
-   * can run there until it has reported and is in the registry again. When machines that were gone stayed in the registry,
+   * can run there until it has sent a heartbeat and is in the registry again. When machines that were gone stayed in the registry,
    * every later leader waited for a whole lease (docs/incidents/tremorline-grown-crashes.md).
    */
   deregister(id: string): void {
@@ -497,8 +497,8 @@
   }
 
   private expireFence(fence: FailoverFence): void {
-    // Invariant (ran_twice): a machine that has reported, though not under this token yet, may run tasks, so it stays in the
-    // registry.
+    // Invariant (ran_twice): a machine that has sent heartbeats, though none with this token yet, may run tasks, so it stays in
+    // the registry.
     for (const id of fence.unaccountedMachines())
       if (!this.workers.has(id)) this.deregister(id);
     this.liftFence(fence, "leases of silent machines have ended");
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -46,7 +46,7 @@
     { cpus: remaining.cpus, gpus: remaining.gpus, memGb: 0 },
   );
 
-/** Whether a job's tasks may run on machines of this type and zone, spot or ordinary. */
+/** Whether a job's tasks may run on machines of this type and zone, spot or on-demand. */
 export function isAllowedOn(
   spec: JobSpec,
   type: string,
@@ -59,7 +59,7 @@
   return spec.spot || !spot;
 }
 
-/** Whether a task of a job can run on an ordinary machine of this type in a zone. */
+/** Whether a task of a job can run on an on-demand machine of this type in a zone. */
 export function canRunOn(
   spec: JobSpec,
   type: MachineType,
@@ -115,7 +115,7 @@
  * Whether a job stays undivided in one partition: gangs start together, and `samePlace` requires one zone. The exception is a
  * gang with `spread` for which no partition has enough zones.
  */
-export const startsWhole = (spec: JobSpec): boolean =>
+export const staysUndivided = (spec: JobSpec): boolean =>
   spec.kind === "gang" || spec.samePlace;
 
 /** Key of what a job's tasks require of a machine: jobs with the same key can use the same machines. */
@@ -129,24 +129,24 @@
     spec.spot,
   ]);
 
-/** Key of a machine type in a zone, spot or ordinary. */
+/** Key of a machine type in a zone, spot or on-demand. */
 export const offerKey = (type: string, zone: string, spot: boolean): string =>
   `${type}/${zone}/${spot ? "spot" : "ordinary"}`;
 
-/** A request for which there was no room. */
+/** A request for which there were not enough slots. */
 interface UnplaceableRequest extends Resources {
   tasks: number;
 }
 
 /**
- * Requests for which there was no room in a scheduling round. Free capacity only shrinks during a round, so a job that has
- * the same requirements and requests no less need not be tried. `machineClass` tells apart jobs that may use different
+ * Requests for which there were not enough slots in a scheduling round. Free capacity only shrinks during a round, so a job that
+ * has the same requirements and requests no less need not be tried. `machineClass` tells apart jobs that may use different
  * machines for reasons other than their specification.
  */
 export class UnplaceableCache {
   private readonly requestsByKey = new Map<string, UnplaceableRequest[]>();
 
-  /** Records that there was no room for a job. */
+  /** Records that there were not enough slots for a job. */
   add(spec: JobSpec, machineClass: string): void {
     if (!isComparable(spec)) return;
     const key = requirementsKeyOf(spec, machineClass);
@@ -160,7 +160,7 @@
     this.requestsByKey.set(key, requests);
   }
 
-  /** Whether there was no room for a job that requests no more than this one. */
+  /** Whether there were not enough slots for a job that requests no more than this one. */
   includes(spec: JobSpec, machineClass: string): boolean {
     if (!isComparable(spec)) return false;
     const key = requirementsKeyOf(spec, machineClass);
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -31,7 +31,7 @@
 const MS_PER_S = 1_000;
 /** Work lost by stopping any task, in CPU seconds. */
 const RESTART_LOSS_CPU_S = 5;
-/** Room stays reserved for this many heartbeat intervals, plus a margin, after the victims should be gone. */
+/** Capacity stays reserved for this many heartbeat intervals, plus a margin, after the victims should be gone. */
 const RESERVED_HEARTBEATS = 2;
 const RESERVATION_MARGIN_MS = 3_000;
 
@@ -172,9 +172,9 @@
   }
 
   /**
-   * Preempts tasks for a waiting job that fits nowhere and for which no more machines can be rented: on the machines where
-   * the least work is lost, for a gang as many as it lacks, in one zone if the job requires it. The room is reserved for
-   * the job until the victims are gone.
+   * Preempts tasks for a waiting job that fits nowhere and for which no more machines can be rented: on the machines where the
+   * least work is lost, for a gang as many as it lacks, in one zone if the job requires it. The capacity is reserved for the job
+   * until the victims are gone.
    */
   preemptFor(
     job: JobRun,
@@ -220,7 +220,7 @@
     );
   }
 
-  /** Whether room is already reserved for a job by an earlier preemption. */
+  /** Whether an earlier preemption has already reserved capacity for a job. */
   private hasReservation(job: JobRun, workers: readonly Worker[]): boolean {
     return workers.some(
       (worker) => worker.reservedFor?.job === job.id && this.isReserved(worker),
@@ -231,7 +231,7 @@
     return reservedFor !== null && this.ctx.nowMs < reservedFor.untilMs;
   }
 
-  /** Whether a job's tasks may run on a machine once there is room. */
+  /** Whether a job's tasks may run on a machine once enough of it is free. */
   private mayUse(job: JobRun, worker: Worker): boolean {
     const { spec } = job.view;
     return (
@@ -253,12 +253,12 @@
     const { spec } = job.view;
     let best: Candidate | null = null;
     for (const eligible of spec.samePlace ? byZone(usable) : [usable]) {
-      const withRoom = eligible.filter((worker) =>
+      const withSlots = eligible.filter((worker) =>
         fits(spec, free.get(worker)!),
       );
       const missingSlots =
         taskCount -
-        withRoom.reduce(
+        withSlots.reduce(
           (slots, worker) => slots + fitCount(spec, free.get(worker)!),
           0,
         );
@@ -267,7 +267,7 @@
         this.singleTaskVictims(
           job,
           eligible,
-          withRoom,
+          withSlots,
           missingSlots,
           free,
           reclaimable,
@@ -275,7 +275,7 @@
         this.gangVictims(
           job,
           eligible,
-          withRoom,
+          withSlots,
           missingSlots,
           free,
           reclaimable,
@@ -290,7 +290,7 @@
   private singleTaskVictims(
     job: JobRun,
     eligible: readonly Worker[],
-    withRoom: readonly Worker[],
+    withSlots: readonly Worker[],
     missingSlots: number,
     free: ReadonlyMap<Worker, Resources>,
     reclaimable: ReclaimableTeams,
@@ -301,7 +301,7 @@
     ): Victims | null =>
       this.victimsOn(worker, job, free.get(worker)!, reclaimable, remaining);
     const options = eligible
-      .filter((worker) => !withRoom.includes(worker))
+      .filter((worker) => !withSlots.includes(worker))
       .flatMap((worker) => {
         const found = victimsOn(worker, new Map(reclaimable));
         return found ? [{ worker, lostCpuS: found.lostCpuS }] : [];
@@ -311,7 +311,7 @@
     // The search above judged each machine alone; here what is reclaimed from a team adds up over all machines.
     const remaining = new Map(reclaimable);
     const candidate: Candidate = {
-      workers: [...withRoom],
+      workers: [...withSlots],
       victims: [],
       lostCpuS: 0,
     };
@@ -329,13 +329,13 @@
   }
 
   /**
-   * If only gangs can be preempted: the gang that makes enough room and loses the least work, stopped as a whole with time
+   * If only gangs can be preempted: the gang that frees enough slots and loses the least work, stopped as a whole with time
    * to save a checkpoint. Gangs that can't save, or that have parts in other partitions, are not preempted.
    */
   private gangVictims(
     job: JobRun,
     eligible: readonly Worker[],
-    withRoom: readonly Worker[],
+    withSlots: readonly Worker[],
     missingSlots: number,
     free: ReadonlyMap<Worker, Resources>,
     reclaimable: ReclaimableTeams,
@@ -346,7 +346,7 @@
       if (!this.mayPreemptGang(job, gang, reclaimable)) continue;
       const victims = [...gang.active.values()];
       const freedWorkers = [...freeWithout(victims, free)].filter(
-        ([worker]) => eligible.includes(worker) && !withRoom.includes(worker),
+        ([worker]) => eligible.includes(worker) && !withSlots.includes(worker),
       );
       const slots = freedWorkers.reduce(
         (sum, [, available]) => sum + fitCount(spec, available),
@@ -359,7 +359,7 @@
       );
       if (!best || lostCpuS < best.lostCpuS) {
         const workers = [
-          ...withRoom,
+          ...withSlots,
           ...freedWorkers.map(([worker]) => worker),
         ];
         best = { workers, victims, lostCpuS };
@@ -445,7 +445,7 @@
 }
 
 interface Candidate extends Victims {
-  /** Machines that have room, or will have it once the victims are gone. */
+  /** Machines that have free slots, or will have them once the victims are gone. */
   workers: Worker[];
 }
 
--- a/src/coordination/scheduling/rebalancer.ts
+++ b/src/coordination/scheduling/rebalancer.ts
@@ -16,7 +16,7 @@
 import type { ResourceUse } from "../machines/resource-ledger.js";
 import type { QuotaAllocator } from "../quota/index.js";
 import type { JobSpec } from "../model.js";
-import { fitWithinLimit, startsWhole } from "./placement.js";
+import { fitWithinLimit, staysUndivided } from "./placement.js";
 import { isShort } from "./scheduling-round.js";
 import type { RangeSet } from "../jobs/range-set.js";
 import type { ScaleOut } from "../machines/scale-out.js";
@@ -36,10 +36,10 @@
 const REBALANCE_INTERVAL_MS = 400;
 
 /**
- * After this wait, tasks of an array may move to any partition that has room for them beside its own queue, no matter which
- * partition has the longest queue. Before this rule, a gang that did not fit, or a longer queue of tasks for one zone, kept
- * them from idle machines for as long as it waited. Moving them sooner made other jobs miss deadlines, since tasks that wait
- * in the target are mostly about to start.
+ * After this wait, tasks of an array may move to any partition that has more free slots than its own queue needs, no matter which
+ * partition has the longest queue. Before this rule, a gang that did not fit, or a longer queue of tasks for one zone, kept them
+ * from idle machines for as long as it waited. Moving them sooner made other jobs miss deadlines, since tasks that wait in the
+ * target are mostly about to start.
  */
 const LONG_WAIT_MS = 20_000;
 
@@ -84,7 +84,7 @@
       if (!this.mayMove(job, backlog)) continue;
       const headroom = headroomByTeam.get(job.view.spec.team);
       const target =
-        this.partitionWithRoom(job, headroom) ??
+        this.partitionWithSlots(job, headroom) ??
         this.partitionToRentIn(job, headroom);
       if (target) this.transfer(job, target, headroom);
     }
@@ -104,9 +104,9 @@
       return false;
     if (spec.spread || !this.partition.mayStart(job)) return false;
     if (this.waitedMs(job) < REBALANCE_INTERVAL_MS) return false;
-    // An undivided job moves to any partition that has room for all of it. Tasks of an array move from the longest queue only,
+    // An undivided job moves to any partition that has slots for all of it. Tasks of an array move from the longest queue only,
     // unless they have waited for long: a longer queue may consist of tasks that no other partition can run.
-    if (startsWhole(spec)) return this.partition.isWhollyWaiting(job);
+    if (staysUndivided(spec)) return this.partition.isWhollyWaiting(job);
     return (
       this.waitedMs(job) >= LONG_WAIT_MS ||
       this.isLongestQueue(backlogKindOf(spec), backlog)
@@ -124,14 +124,14 @@
   }
 
   /** The partition that has slots for the most tasks of the job, or for all of them if the job is undivided. */
-  private partitionWithRoom(
+  private partitionWithSlots(
     job: JobRun,
     headroom: ResourceUse | undefined,
   ): TransferTarget | null {
     const { spec } = job.view;
-    const isWhole = startsWhole(spec);
+    const isUndivided = staysUndivided(spec);
     const usesReserved = isShort(spec, this.ctx.tuning);
-    const minTasks = isWhole ? spec.tasks : 1;
+    const minTasks = isUndivided ? spec.tasks : 1;
     let best: TransferTarget | null = null;
     for (const [partition, capacity] of this.ctx.cache.capacities) {
       if (
@@ -140,8 +140,9 @@
       )
         continue;
       const pending = this.ctx.pendingAssignments.get(partition);
-      // Tasks that wait there do not compete for this room: they don't fit into it, and reserved room is not reported as free.
-      const slots = isWhole
+      // Tasks that wait there do not compete for these slots: they don't fit into them, and reserved slots are not reported as
+      // free.
+      const slots = isUndivided
         ? this.undividedSlotsAt(job, partition, capacity, usesReserved, pending)
         : this.arraySlotsAt(job, capacity, usesReserved, pending);
       const tasks = Math.min(
@@ -154,7 +155,7 @@
     return best;
   }
 
-  /** For when nothing is free anywhere and no more can be rented here: a partition with an empty queue that may still rent. */
+  /** The target if nothing is free anywhere and no more can be rented here: a partition with an empty queue that may still rent. */
   private partitionToRentIn(
     job: JobRun,
     headroom: ResourceUse | undefined,
@@ -164,7 +165,7 @@
     if (!catalog || this.waitedMs(job) <= 2 * REBALANCE_INTERVAL_MS)
       return null;
     if (!this.scaleOut.isCapacityExhausted(spec)) return null;
-    const isWhole = startsWhole(spec);
+    const isUndivided = staysUndivided(spec);
     const usesReserved = isShort(spec, this.ctx.tuning);
     for (const { partition, zones } of capablePartitions(
       spec,
@@ -187,13 +188,13 @@
         catalog,
         usesReserved,
       );
-      if (isWhole && afterRental < spec.tasks) continue;
-      const wanted = isWhole ? spec.tasks : Math.ceil(job.waiting.size / 2);
+      if (isUndivided && afterRental < spec.tasks) continue;
+      const wanted = isUndivided ? spec.tasks : Math.ceil(job.waiting.size / 2);
       const tasks = Math.min(
         this.tasksWithinLimit(spec, partition, headroom),
         wanted,
       );
-      if (tasks >= (isWhole ? spec.tasks : 1)) return { partition, tasks };
+      if (tasks >= (isUndivided ? spec.tasks : 1)) return { partition, tasks };
     }
     return null;
   }
@@ -205,9 +206,9 @@
     headroom: ResourceUse | undefined,
   ): void {
     const { spec } = job.view;
-    const isWhole = startsWhole(spec);
+    const isUndivided = staysUndivided(spec);
     // Otherwise machines that are booting for tasks of the array would have been rented for nothing.
-    const movable = isWhole
+    const movable = isUndivided
       ? spec.tasks
       : job.waiting.size - this.scaleOut.countTasksFittingBooting(spec);
     if (movable <= 0) return;
@@ -220,12 +221,15 @@
     this.ctx.notePendingAssignment(target.partition, spec, tasks);
     this.move(
       job,
-      job.waiting.take(isWhole ? spec.tasks : maxTasks),
+      job.waiting.take(isUndivided ? spec.tasks : maxTasks),
       target.partition,
     );
   }
 
-  /** Tasks of an array that a partition can take: only with an empty queue or, after a long wait, with room beside its queue. */
+  /**
+   * Tasks of an array that a partition can take: only with an empty queue or, after a long wait, with more free slots than its
+   * queue needs.
+   */
   private arraySlotsAt(
     job: JobRun,
     capacity: CapacityRecord,
@@ -269,9 +273,9 @@
   }
 
   /**
-   * Tasks that the team's limit allows to start there, including the part of the limit that is unused here and follows the
-   * tasks. Without this check, tasks that only their limit kept from starting moved from partition to partition, each with
-   * free machines and none with a part of the limit: 7,600 moves in 500 s with limits of a quarter of the demand.
+   * Tasks that the team's limit allows to start there, including quota that is unused here, since it follows the tasks. Without
+   * this check, tasks that only their limit kept from starting moved from partition to partition, each with free machines and
+   * none with quota: 7,600 moves in 500 s with limits of a quarter of the demand.
    */
   private tasksWithinLimit(
     spec: JobSpec,
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -49,13 +49,13 @@
 /** The result of an attempt to place tasks of a job. */
 type PlacementResult =
   | { readonly kind: "placed"; readonly tasks: number }
-  /** No task of the job may start now, however much room there is. */
+  /** No task of the job may start now, however much capacity is free. */
   | { readonly kind: "notStartable" }
-  /** The machines have no room for it, or the room is reserved for it until it may start. */
-  | { readonly kind: "noRoom" };
+  /** There are not enough slots for it, or they are reserved for it until it may start. */
+  | { readonly kind: "noSlots" };
 
 const NOT_STARTABLE: PlacementResult = { kind: "notStartable" };
-const NO_ROOM: PlacementResult = { kind: "noRoom" };
+const NO_SLOTS: PlacementResult = { kind: "noSlots" };
 
 export class Scheduler {
   /** Number of rounds run so far, by which tests verify that heartbeats alone cause none. */
@@ -154,7 +154,7 @@
     };
   }
 
-  /** Places tasks until no more can be placed; returns the first jobs without room, which may preempt others. */
+  /** Places tasks until no more can be placed; returns the first jobs that could not be placed, which may preempt others. */
   private serveQueues(
     round: SchedulingRound<ReadyJob>,
     resources: RoundResources,
@@ -167,7 +167,7 @@
     for (let head = round.head(); head; head = round.head()) {
       const { job, precedence } = head;
       const servesOneTask = precedence === "firstTask";
-      // A job for which preemption made room has capacity that others lack, so its result does not apply to them.
+      // A job for which preemption freed capacity has slots that others lack, so its result does not apply to them.
       const isComparable =
         precedence === "no" && !jobsWithReservation.has(job.id);
       const result = this.placeUnlessUnplaceable(
@@ -189,7 +189,7 @@
     return blocked;
   }
 
-  /** Places tasks of a job, unless it is comparable and this round had no room for a job that requests no more. */
+  /** Places tasks of a job, unless it is comparable and this round had not enough slots for a job that requests no more. */
   private placeUnlessUnplaceable(
     job: JobRun,
     maxTasks: number,
@@ -204,7 +204,7 @@
       return NOT_STARTABLE;
     const eligible = isShortJob ? resources.workers : resources.unreserved;
     const result = this.placeTasks(job, maxTasks, eligible, resources);
-    if (result.kind === "noRoom") unplaceable.add(spec, machineClass);
+    if (result.kind === "noSlots") unplaceable.add(spec, machineClass);
     return result;
   }
 
@@ -249,13 +249,13 @@
     );
     if (chosen.length === 0 || (isGang && chosen.length < taskCount)) {
       if (isGang && taskCount > 1) this.reserveForGang(job, chosen, resources);
-      return NO_ROOM;
+      return NO_SLOTS;
     }
     const attempt = this.nextAttempt(job);
     if (attempt === null) {
-      // The other parts of the gang are not ready yet, so the room for this one is reserved until they are.
+      // The other parts of the gang are not ready yet, so the slots for this one are reserved until they are.
       this.reservations.reserveFully(chosen, spec, resources.free);
-      return NO_ROOM;
+      return NO_SLOTS;
     }
     this.startTasks(job, indices, chosen, attempt, resources);
     return { kind: "placed", tasks: chosen.length };
@@ -300,7 +300,7 @@
   }
 
   /**
-   * Reserves the room that a waiting gang could already use, so that jobs behind it do not get it. This does not begin at
+   * Reserves the slots that a waiting gang could already use, so that jobs behind it do not get them. This does not begin at
    * once, since a large gang that keeps machines idle delays many small ones, most of which would end before it starts.
    * `GangAssembly` determines when the gang must reserve in order to begin in time.
    */
--- a/src/coordination/scheduling/scheduling-round.ts
+++ b/src/coordination/scheduling/scheduling-round.ts
@@ -15,7 +15,7 @@
   | "no"
   /** First of its priority if all its slots are free at this moment; no machine is kept idle for it. */
   | "whenFitting"
-  /** First of its priority, and freed room is reserved for it: its machines are being assembled. */
+  /** First of its priority, and freed capacity is reserved for it: its machines are being assembled. */
   | "assembling"
   /** One of its tasks precedes everything else: none has begun yet, and other jobs lose no more than one slot. */
   | "firstTask";
@@ -26,7 +26,7 @@
   effectivePriority: Pick<EffectivePriority, "priority" | "readyAt">;
   /** Its size, by which it is ordered behind smaller jobs in its queue: see `PartitionState.unfinishedTasks`. */
   remainingTasks: number;
-  /** It can no longer be done in time, so jobs that still can come first: see `isLate`. */
+  /** It can no longer be done in time, so it comes after jobs that still can: see `isLate`. */
   late: boolean;
   /** Whether it has to begin now: see `GangAssembly`. */
   precedence: Precedence;
@@ -55,9 +55,9 @@
 
 /** Arrays whose first task has to start now come first; then higher priorities; then gangs that have to begin now. */
 function compareByPriority(first: QueuedJob, second: QueuedJob): number {
-  const isFirstArray = first.precedence === "firstTask";
-  const isSecondArray = second.precedence === "firstTask";
-  if (isFirstArray !== isSecondArray) return isFirstArray ? -1 : 1;
+  const firstMustStart = first.precedence === "firstTask";
+  const secondMustStart = second.precedence === "firstTask";
+  if (firstMustStart !== secondMustStart) return firstMustStart ? -1 : 1;
   return (
     priorityRank(second) - priorityRank(first) ||
     PRECEDENCE_ORDER[second.precedence] - PRECEDENCE_ORDER[first.precedence]
--- a/src/coordination/scheduling/spread-gangs.ts
+++ b/src/coordination/scheduling/spread-gangs.ts
@@ -6,7 +6,7 @@
 
 /**
  * The records of a gang that has parts in several partitions, all of which must start under one attempt. Each partition
- * writes that its part is ready once its tasks of the previous attempt are gone and the room is reserved. When all parts
+ * writes that its part is ready once its tasks of the previous attempt are gone and its slots are reserved. When all parts
  * are ready, the first partition by name announces the next attempt, and each partition starts its part under it, once.
  */
 export interface GangView {
@@ -37,7 +37,7 @@
   | { kind: "wait" };
 
 /**
- * What a partition does next whose part has room and no task left on any machine. `lastAttempt` is the attempt under which
+ * What a partition does next whose part has slots and no task left on any machine. `lastAttempt` is the attempt under which
  * its leader last started the part. Invariant (ran_twice): the records only say when to start and under which attempt; as
  * for every other job, each leader makes sure itself that no task of its part is on a machine.
  */
--- a/src/coordination/statistics.ts
+++ b/src/coordination/statistics.ts
@@ -18,7 +18,10 @@
   unreachableMachines: number;
   /** Heartbeats no newer than the last known status of their machine, since the partitions were acquired. */
   staleHeartbeats: number;
-  /** Times that a heartbeat lacked a task because it was older than the reply to the task's start command, and came after it. */
+  /**
+   * Times that a heartbeat lacked a task because it was made before the task's start command was answered, but arrived after that
+   * answer.
+   */
   overtakenHeartbeats: number;
   /** Jobs that fail on every machine. */
   quarantinedJobs: number;
@@ -44,11 +47,11 @@
   possibleUse: ResourceAmounts;
   /** Use according to the last heartbeats of the machines. */
   reportedUse: ResourceAmounts;
-  /** Needs of waiting tasks that fit on machines that are rented or could be. */
+  /** Needs of waiting tasks that have a slot, or can get one on a machine to be rented. */
   waiting: ResourceAmounts;
-  /** The part of `waiting` that the team is guaranteed and does not have. */
+  /** How much of `waiting` is guaranteed to the team but not available to it. */
   guaranteeDeficit: ResourceAmounts;
-  /** Part of the limit that is being transferred to other partitions. */
+  /** Quota that is being transferred to other partitions. */
   limitInTransfer: ResourceAmounts;
   /** Resources of other teams preempted for this team since this controller acquired the partition. */
   reclaimed: ResourceAmounts;
--- a/src/coordination/store/indeterminate-transactions.ts
+++ b/src/coordination/store/indeterminate-transactions.ts
@@ -21,7 +21,7 @@
 /** A transaction that was applied although the wait for its answer was given up. */
 export interface AppliedTransaction {
   key: string;
-  /** Time from then until its change was read, ms. */
+  /** Time from giving up the wait until its change was read, in ms. */
   afterMs: number;
 }
 
--- a/src/coordination/transactions.ts
+++ b/src/coordination/transactions.ts
@@ -1,6 +1,6 @@
 /**
- * Transactions at the store: maps replies to outcomes, tells the cache which revisions were written, and logs what operators should
- * know. Owns the transactions whose outcome is unknown.
+ * Transactions at the store: maps replies to outcomes, notes in the cache which revisions were written, and logs what operators
+ * should know. Owns the transactions whose outcome is unknown.
  */
 import {
   type Change,
--- a/src/storage/records/capacity.ts
+++ b/src/storage/records/capacity.ts
@@ -101,14 +101,17 @@
   possibleUse: [number, number];
   /** Demand beyond the partition's share of the quota, of tasks that could start at once or have waited for long. */
   startable: [number, number];
-  /** Time of day (ms) since which the oldest task that lacks CPUs, or accelerators, has waited; Infinity if there is none. */
+  /**
+   * Position in the queue order (time of day, ms) of the first task that lacks CPUs, and of the first that lacks accelerators;
+   * Infinity if none does.
+   */
   startableSinceMs: [number, number];
   /** The same demand of tasks whose machine has yet to be rented. */
   awaitingMachines: [number, number];
   awaitingMachinesSinceMs: [number, number];
   /** The partition's share on which the demand is based. */
   baseShare: [number, number];
-  /** Needs of all waiting tasks for which there is capacity now, after preemption, or on machines that could be rented. */
+  /** Needs of the waiting tasks that have a slot, or can get one on a machine to be rented. */
   waiting: [number, number];
   /** Part of the share that is unused and too small for any waiting task. Earlier versions' rows lack this and all below. */
   idle?: [number, number] | undefined;
@@ -124,9 +127,12 @@
   rows: CapacityRow[];
   /** Numbers of waiting tasks without and with accelerators, which compete for different machines. */
   queue: { plain: number; accelerated: number };
-  /** The same for tasks of each priority or higher, as [plain, accelerated]; absent if an earlier version wrote the record. */
+  /**
+   * The same for tasks of each priority or higher, as [plain, accelerated]; absent if none wait or an earlier version wrote the
+   * record.
+   */
   queueByMinPriority?: readonly (readonly [number, number])[];
-  /** Number of tasks on machines by job, for display only. */
+  /** Number of running tasks by job. Entries that do not fit into the record are omitted. */
   running: Map<string, number>;
   /** Offers of which the cloud has recently had no machine left. */
   soldOut: string[];
--- a/test/coordination/machines/delivery-tracker.test.ts
+++ b/test/coordination/machines/delivery-tracker.test.ts
@@ -58,7 +58,7 @@
       worker.sequence,
       worker.token,
       worker.lastAnsweredMs,
-      worker.lastHeardMs,
+      worker.lastStatusMs,
       worker.leaseExpired,
       worker.reclaimedAtMs,
       worker.idleSinceMs,
