--- a/src/coordination/jobs/job-completion.ts
+++ b/src/coordination/jobs/job-completion.ts
@@ -50,7 +50,7 @@
   };
 }
 
-/** Keys of a job's progress records that the transaction ending it deletes: as many as fit beside its other two writes. */
+/** Keys of a job's progress records that the transaction ending it deletes: as many as fit in addition to its other two writes. */
 export function progressKeysToDelete(ctx: Context, id: string): string[] {
   const remainingWrites = ctx.settings.state.txnOps - JOB_END_WRITES;
   return ctx.cache.progressKeys(id).slice(0, remainingWrites);
@@ -60,7 +60,7 @@
 export class JobCompletion {
   constructor(
     private readonly ctx: Context,
-    private readonly partitionState: PartitionState,
+    private readonly state: PartitionState,
   ) {}
 
   completeTask(job: JobRun, index: number): void {
@@ -88,7 +88,7 @@
     if (job.isFinalizing || job.pendingTransfer) return;
     job.isFinalizing = true;
     const id = job.id;
-    this.partitionState.commit(
+    this.state.commit(
       [{ key: jobKey(id), version: job.view.revision }],
       jobEndWrites(
         id,
@@ -116,10 +116,10 @@
     if (first === undefined) return;
     const block = completionBlockOf(first);
     const finishedInBlock = tasksInBlock(job.finished, block);
-    const key = completionKey(job.id, this.partitionState.partition, block);
+    const key = completionKey(job.id, this.state.partition, block);
     job.isWritingFinished = true;
     job.lastFinishedWriteMs = this.ctx.nowMs;
-    this.partitionState.commit(
+    this.state.commit(
       // The first condition keeps ranges from being written after the job has ended, which would leave them behind. Invariant
       // (a task that is done stays done): without the second, an indeterminate transaction that is carried out after a later
       // one would remove the tasks that the later one added to the record.
--- a/src/coordination/jobs/partition-capacity.ts
+++ b/src/coordination/jobs/partition-capacity.ts
@@ -73,11 +73,12 @@
 }
 
 /**
- * Slots beyond the free ones that preempting lower priorities would provide, within a few seconds of the request. Without
- * them, many small tasks of one team on all machines of a partition sent the high-priority work of other teams to other
- * partitions, where it waited for minutes (docs/incidents/claimdesk-ops-visitors.md).
+ * Slots on machines where preempting lower priorities would free some, within a few seconds of the request; they include
+ * the slots already free there. Without them, many small tasks of one team on all machines of a partition sent the
+ * high-priority work of other teams to other partitions, where it waited for minutes
+ * (docs/incidents/claimdesk-ops-visitors.md).
  */
-function reclaimableSlotsFor(
+function preemptibleSlotsFor(
   spec: JobSpec,
   rows: readonly CapacityRow[],
   catalog: readonly MachineType[],
@@ -85,7 +86,7 @@
   const priority = PRIORITIES.indexOf(spec.priority);
   let slots = 0;
   for (const row of rows) {
-    if (!row.reclaimable?.length || !mayUseRow(spec, row, catalog)) continue;
+    if (!row.preemptible?.length || !mayUseRow(spec, row, catalog)) continue;
     for (const [
       cpus,
       gpus,
@@ -93,7 +94,7 @@
       machines,
       minPriority,
       maxPriority,
-    ] of row.reclaimable)
+    ] of row.preemptible)
       if (priority >= minPriority && priority <= maxPriority)
         slots += machines * fitCount(spec, { cpus, gpus, memGb });
   }
@@ -195,7 +196,7 @@
   const free = capacity
     ? freeSlotsFor(spec, { ...capacity, rows }, catalog, usesReserved)
     : 0;
-  const afterPreemption = free + reclaimableSlotsFor(spec, rows, catalog);
+  const afterPreemption = free + preemptibleSlotsFor(spec, rows, catalog);
   const soldOut = new Set(capacity?.soldOut);
   let afterRental = afterPreemption;
   for (const { type, spot } of suitableOffers(spec, zone, catalog)) {
--- a/src/coordination/leadership/pending-transfer.ts
+++ b/src/coordination/leadership/pending-transfer.ts
@@ -1,11 +1,12 @@
-/** A change of a shared record that gives something away, until it is known whether the change was applied. */
+/** A change of a shared record that gives up tasks or quota, until it is known whether the change was applied. */
 import type { TransactionOutcome } from "../context.js";
 
 /**
- * A change of a shared record by which this partition gives something away: waiting tasks, or part of a team's limit. This partition
- * stops using it before it sends the transaction. Invariant (ran_twice, quota): the partition uses it again only if no transaction of
- * the transfer can have been applied. After a transaction of unknown outcome, even a conflict proves nothing. The outcome is then read
- * from the record itself, once the cache has it at another version than `baseRevision`; until then this partition does not use it.
+ * A change of a shared record by which this partition gives up waiting tasks or quota. It stops using them before it
+ * sends the transaction. Invariant (ran_twice, quota): the partition uses them again only if no transaction of the
+ * transfer can have been applied. After a transaction of unknown outcome, even a conflict proves nothing. The outcome is
+ * then read from the record itself, once the cache has it at another version than `baseRevision`; until then the
+ * partition does not use them.
  */
 export class PendingTransfer<Base = number, Value = object> {
   /** Outcome of the last transaction; null before the first reply. */
--- a/src/coordination/machines/autoscaler.ts
+++ b/src/coordination/machines/autoscaler.ts
@@ -36,15 +36,15 @@
   private readonly listPoller: MachineListPoller;
 
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly state: PartitionState,
     quota: QuotaAllocator,
   ) {
-    this.scaleOut = new ScaleOut(context, state, quota, () => this.zones());
-    this.returns = new MachineReturns(context, state, this.scaleOut.booting);
-    this.warmCapacity = new WarmCapacityTracker(context, state);
+    this.scaleOut = new ScaleOut(ctx, state, quota, () => this.zones());
+    this.returns = new MachineReturns(ctx, state, this.scaleOut.booting);
+    this.warmCapacity = new WarmCapacityTracker(ctx, state);
     this.listPoller = new MachineListPoller(
-      context,
+      ctx,
       state.partition,
       (list, startedMs) => this.onList(list, startedMs),
     );
@@ -52,7 +52,7 @@
 
   /** Does nothing until the catalog of machine types has been read. */
   tick(): void {
-    if (!this.context.catalog) return;
+    if (!this.ctx.catalog) return;
     this.listPoller.tick();
     this.warmCapacity.noteUse();
     this.returnUnneeded();
@@ -91,15 +91,15 @@
   /** Zones of this partition in which the catalog offers machines, sorted. */
   private zones(): string[] {
     const zones = new Set<string>();
-    for (const machineType of this.context.catalog ?? [])
+    for (const machineType of this.ctx.catalog ?? [])
       for (const zone of machineType.zones)
-        if (this.context.partitions.partitionOf(zone) === this.state.partition)
+        if (this.ctx.partitions.partitionOf(zone) === this.state.partition)
           zones.add(zone);
     return [...zones].sort();
   }
 
   private bootS(type: string): number {
-    return machineTypeOf(this.context, type)?.bootS ?? DEFAULT_BOOT_S;
+    return machineTypeOf(this.ctx, type)?.bootS ?? DEFAULT_BOOT_S;
   }
 
   // ---- machines that are not needed or do not work --------------------------------------------------------
@@ -141,7 +141,7 @@
 
   /** Machines that have been idle for about as long as booting another would take, the longest idle first. */
   private returnableIdleWorkers(): Worker[] {
-    const { nowMs, tuning } = this.context;
+    const { nowMs, tuning } = this.ctx;
     const maxIdleMs = memoizeByOffer(
       ({ typeName }) =>
         Math.max(tuning.idleReturnS, this.bootS(typeName) * tuning.idleBoots) *
@@ -169,7 +169,7 @@
         !job.waiting.isEmpty &&
         isAllowedOn(spec, typeName, zone, spot) &&
         fits(spec, type) &&
-        isSuitable(spec, type, spot, this.context.catalog)
+        isSuitable(spec, type, spot, this.ctx.catalog)
       )
         return true;
     }
@@ -198,12 +198,12 @@
   }
 
   private isSilentReturnDue(sinceMs: number): boolean {
-    const { nowMs, tuning } = this.context;
+    const { nowMs, tuning } = this.ctx;
     return nowMs - sinceMs > tuning.silentReturnS * 1000;
   }
 
   private returnNeverUp(): void {
-    const { nowMs, tuning } = this.context;
+    const { nowMs, tuning } = this.ctx;
     for (const [id, { type, rentedMs }] of this.scaleOut.booting) {
       const bootMs = this.bootS(type) * 1000;
       const maxBootMs = bootMs * tuning.bootPatience + FIRST_HEARTBEAT_GRACE_MS;
@@ -215,7 +215,7 @@
   // ---- the cloud's list ------------------------------------------------------------------------------------
 
   private onList(list: MachineList, startedMs: number): void {
-    const lagMs = this.context.settings.cloud.listLagS * 1000 * LIST_LAG_FACTOR;
+    const lagMs = this.ctx.settings.cloud.listLagS * 1000 * LIST_LAG_FACTOR;
     this.state.noteMachineList(list, startedMs - lagMs * CLOCK_DRIFT_FACTOR);
     for (const machine of list.values()) this.onListed(machine);
     this.returns.forgetOlderThan(2 * lagMs + RETURNED_RETENTION_MS);
@@ -225,7 +225,7 @@
 
   private onListed(machine: ListedMachine): void {
     const { id, type, zone, spot, state, ageS } = machine;
-    const { nowMs } = this.context;
+    const { nowMs } = this.ctx;
     if (this.returns.isReturningOrReturned(id)) return;
     if (state === "failed") {
       this.returnMachine(id, type, "failed");
@@ -243,7 +243,7 @@
     const { booting } = this.scaleOut;
     const maxUnlistedMs = lagMs + UNLISTED_BOOTING_GRACE_MS;
     for (const [id, { rentedMs }] of booting)
-      if (!list.has(id) && this.context.nowMs - rentedMs > maxUnlistedMs)
+      if (!list.has(id) && this.ctx.nowMs - rentedMs > maxUnlistedMs)
         booting.delete(id);
   }
 
@@ -255,7 +255,7 @@
         worker.leaseExpired &&
         !worker.isReturning &&
         !list.has(worker.id) &&
-        this.context.nowMs - worker.lastAnsweredMs > maxUnlistedMs
+        this.ctx.nowMs - worker.lastAnsweredMs > maxUnlistedMs
       )
         this.returnWorker(worker, "gone");
   }
--- a/src/coordination/machines/capacity-offers.ts
+++ b/src/coordination/machines/capacity-offers.ts
@@ -69,10 +69,10 @@
 
 /** The catalog's entry for this type name; undefined before the catalog was read or if it lacks the type. */
 export const machineTypeOf = (
-  context: Context,
+  ctx: Context,
   name: string,
 ): MachineType | undefined =>
-  context.catalog?.find((machineType) => machineType.name === name);
+  ctx.catalog?.find((machineType) => machineType.name === name);
 
 /** The offers in one partition's zones, and what refused rentals show about their remaining stock. */
 export class CapacityOffers {
@@ -80,7 +80,7 @@
   private readonly ceilings = new Map<string, OfferCeiling>();
 
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly state: PartitionState,
     private readonly booting: ReadonlyMap<string, BootingMachine>,
     private readonly zones: () => string[],
@@ -98,7 +98,7 @@
    */
   noteSoldOut({ type, zone, spot }: CapacityOffer): void {
     const key = offerKey(type, zone, spot);
-    const { nowMs, settings, partitions, catalog } = this.context;
+    const { nowMs, settings, partitions, catalog } = this.ctx;
     this.ceilings.set(key, {
       type,
       zone,
@@ -136,7 +136,7 @@
   remainingByOffer(): Map<string, number> {
     const remainingByKey = new Map<string, number>();
     for (const [key, ceiling] of this.ceilings) {
-      if (ceiling.untilMs < this.context.nowMs) this.ceilings.delete(key);
+      if (ceiling.untilMs < this.ctx.nowMs) this.ceilings.delete(key);
       else
         remainingByKey.set(
           key,
@@ -150,21 +150,21 @@
   recentlySoldOut(): string[] {
     const keys: string[] = [];
     for (const [key, untilMs] of this.soldOutUntilMs)
-      if (untilMs + SOLD_OUT_REPORT_MS > this.context.nowMs) keys.push(key);
+      if (untilMs + SOLD_OUT_REPORT_MS > this.ctx.nowMs) keys.push(key);
     return keys;
   }
 
   private isSoldOut(type: string, zone: string, spot: boolean): boolean {
     const untilMs = this.soldOutUntilMs.get(offerKey(type, zone, spot)) ?? 0;
-    return untilMs > this.context.nowMs;
+    return untilMs > this.ctx.nowMs;
   }
 
   /** Whether the job may run on machines of this offer and would not waste their accelerators. */
   serves(spec: JobSpec, { type, zone, spot }: CapacityOffer): boolean {
-    const machineType = machineTypeOf(this.context, type) ?? null;
+    const machineType = machineTypeOf(this.ctx, type) ?? null;
     return (
       isAllowedOn(spec, type, zone, spot) &&
-      isSuitable(spec, machineType, spot, this.context.catalog)
+      isSuitable(spec, machineType, spot, this.ctx.catalog)
     );
   }
 
@@ -178,7 +178,7 @@
     remainingByKey: ReadonlyMap<string, number>,
     planned: readonly PlannedRental[],
   ): Generator<RentableOffer> {
-    const { catalog } = this.context;
+    const { catalog } = this.ctx;
     for (const machineType of catalog ?? [])
       for (const zone of zones) {
         if (!canRunOn(spec, machineType, zone)) continue;
--- a/src/coordination/machines/machine-list-poller.ts
+++ b/src/coordination/machines/machine-list-poller.ts
@@ -29,20 +29,20 @@
 
   /** `onList`: receives each complete list, and when its first page was requested. */
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly partition: string,
     private readonly onList: (list: MachineList, startedMs: number) => void,
   ) {}
 
   /** Requests the next page if it is due. */
   tick(): void {
-    const { nowMs } = this.context;
+    const { nowMs } = this.ctx;
     if (nowMs < this.nextPageMs) return;
     this.nextPageMs = nowMs + PAGE_TIMEOUT_MS;
     if (!this.partialList) this.startedMs = nowMs;
     this.partialList ??= new Map();
     const list = this.partialList;
-    this.context.callCloud(
+    this.ctx.callCloud(
       { op: "list", after: this.lastReadId },
       CallPriority.Background,
       (reply) => this.onReply(list, reply),
@@ -51,24 +51,24 @@
 
   private onReply(list: Map<string, ListedMachine>, reply: CloudReply): void {
     if (reply.kind !== "list") {
-      this.nextPageMs = this.context.nowMs + PAGE_RETRY_MS;
+      this.nextPageMs = this.ctx.nowMs + PAGE_RETRY_MS;
       return;
     }
-    const { partitions } = this.context;
+    const { partitions } = this.ctx;
     for (const machine of reply.machines)
       if (partitions.partitionOf(machine.zone) === this.partition)
         list.set(machine.id, machine);
     const last = reply.machines.at(-1);
     if (reply.more && last) {
       this.lastReadId = last.id;
-      this.nextPageMs = this.context.nowMs + PAGE_INTERVAL_MS;
+      this.nextPageMs = this.ctx.nowMs + PAGE_INTERVAL_MS;
       return;
     }
     this.completeList(list);
   }
 
   private completeList(list: MachineList): void {
-    const { nowMs, settings } = this.context;
+    const { nowMs, settings } = this.ctx;
     this.lastReadId = "";
     this.partialList = null;
     this.nextPageMs =
--- a/src/coordination/machines/machine-returns.ts
+++ b/src/coordination/machines/machine-returns.ts
@@ -28,7 +28,7 @@
   private readonly returnedAtMs = new Map<string, number>();
 
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly state: PartitionState,
     private readonly booting: Map<string, BootingMachine>,
   ) {}
@@ -46,7 +46,7 @@
   /** Forgets returns that were confirmed longer ago than `ageMs`. */
   forgetOlderThan(ageMs: number): void {
     for (const [id, returnedMs] of this.returnedAtMs)
-      if (this.context.nowMs - returnedMs > ageMs) this.returnedAtMs.delete(id);
+      if (this.ctx.nowMs - returnedMs > ageMs) this.returnedAtMs.delete(id);
   }
 
   /** Returns a machine that has sent a heartbeat. */
@@ -58,7 +58,7 @@
   /** Returns a machine that may never have sent a heartbeat. Does nothing if it is already being returned. */
   returnMachine(id: string, type: string, reason: string): void {
     if (this.pending.has(id)) return;
-    this.context.log("scaling in", { worker: id, type, reason });
+    this.ctx.log("scaling in", { worker: id, type, reason });
     this.pending.set(id, { retryAtMs: 0, isSent: false });
     this.booting.delete(id);
     // Marked before the request is sent: if the return is carried out late, no leader may be using the machine.
@@ -75,7 +75,7 @@
       pendingReturn.isSent = true;
     }
     if (ids.length === 0) return;
-    this.context.callCloud(
+    this.ctx.callCloud(
       { op: "return", machines: ids },
       CallPriority.Background,
       (reply) => this.onReply(ids, reply),
@@ -85,7 +85,7 @@
   private isDue(id: string, { isSent, retryAtMs }: PendingReturn): boolean {
     return (
       !isSent &&
-      this.context.nowMs >= retryAtMs &&
+      this.ctx.nowMs >= retryAtMs &&
       this.state.registry.isReturnWritten(id)
     );
   }
@@ -107,7 +107,7 @@
   private noteReturned(ids: readonly string[]): void {
     for (const id of ids) {
       this.pending.delete(id);
-      this.returnedAtMs.set(id, this.context.nowMs);
+      this.returnedAtMs.set(id, this.ctx.nowMs);
     }
     this.state.removeMachines(ids);
   }
@@ -117,7 +117,7 @@
       const pendingReturn = this.pending.get(id);
       if (!pendingReturn) continue;
       pendingReturn.isSent = false;
-      pendingReturn.retryAtMs = this.context.nowMs + RETURN_RETRY_MS;
+      pendingReturn.retryAtMs = this.ctx.nowMs + RETURN_RETRY_MS;
     }
   }
 }
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -75,7 +75,7 @@
       evidence.isStartMissing,
       evidence.isStartCarriedOut,
     );
-    // An unconfirmed task that is gone has freed resources, or a waiting task that had to wait for it may start now.
+    // The end of an unconfirmed task frees resources, and a waiting task that had to wait for it may start now.
     for (const key of unconfirmed.keys())
       if (!worker.unconfirmedTasks.has(key)) this.state.needsScheduling = true;
   }
--- a/src/coordination/machines/rental-plan.ts
+++ b/src/coordination/machines/rental-plan.ts
@@ -54,7 +54,7 @@
 
   /** `machines`: running and booting machines. Planned machines are added to the list. */
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly offers: CapacityOffers,
     readonly machines: MachineCapacity[],
   ) {
@@ -84,7 +84,7 @@
     taskCount: number,
     zones: readonly string[],
   ): boolean {
-    const spotOnly = isOnlySpotWorthwhile(this.context, spec, priority);
+    const spotOnly = isOnlySpotWorthwhile(this.ctx, spec, priority);
     let unplaced = taskCount;
     while (unplaced > 0) {
       const offer = this.cheapestOffer(spec, unplaced, zones, spotOnly);
--- a/src/coordination/machines/rental-requests.ts
+++ b/src/coordination/machines/rental-requests.ts
@@ -29,7 +29,7 @@
   private requestCount = 0;
 
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly state: PartitionState,
     private readonly offers: CapacityOffers,
     private readonly booting: Map<string, BootingMachine>,
@@ -43,16 +43,16 @@
 
   /**
    * Sends the pending request if it is due, or takes the next one from `planned` if there is none. Rentals that are not sent yet
-   * are planned anew after each reply: with a low rate limit, queued requests would rent machines that are no longer needed.
+   * are planned again after each reply: with a low rate limit, queued requests would rent machines that are no longer needed.
    */
   sendDue(planned: PlannedRental[]): void {
     this.pending ??= this.nextRequest(planned);
     const request = this.pending;
-    if (!request || request.isSent || this.context.nowMs < request.retryAtMs)
+    if (!request || request.isSent || this.ctx.nowMs < request.retryAtMs)
       return;
     request.isSent = true;
     const { id, type, zone, spot, count } = request;
-    this.context.callCloud(
+    this.ctx.callCloud(
       { op: "rent", request: id, type, zone, spot, count },
       CallPriority.Leader,
       (reply) => this.onReply(request, reply),
@@ -67,8 +67,8 @@
       count: Math.min(rental.count, MAX_MACHINES_PER_REQUEST),
     };
     // Invariant: no request id is ever used twice. The token belongs to one leader of one partition.
-    const id = `${this.context.settings.label}-${this.state.token}-${++this.requestCount}`;
-    this.context.log("scaling out", { rentalRequestId: id, ...capped });
+    const id = `${this.ctx.settings.label}-${this.state.token}-${++this.requestCount}`;
+    this.ctx.log("scaling out", { rentalRequestId: id, ...capped });
     return { ...capped, id, isSent: false, retryAtMs: 0 };
   }
 
@@ -76,7 +76,7 @@
     if (reply.kind !== "rented" && reply.kind !== "noCapacity") {
       // Retried under the same id: whether or not the first request was carried out, the cloud rents only once.
       request.isSent = false;
-      request.retryAtMs = this.context.nowMs + RENTAL_RETRY_MS;
+      request.retryAtMs = this.ctx.nowMs + RENTAL_RETRY_MS;
       return;
     }
     this.pending = null;
@@ -93,7 +93,7 @@
     granted: readonly string[],
   ): void {
     const { type, zone, spot } = request;
-    const rentedMs = this.context.nowMs;
+    const rentedMs = this.ctx.nowMs;
     for (const id of granted)
       // A machine may send a heartbeat before the cloud's reply arrives.
       if (!this.state.workers.has(id))
@@ -103,7 +103,7 @@
   private noteSoldOut(request: RentalRequest, grantedCount: number): void {
     const { type, zone, spot, count } = request;
     this.offers.noteSoldOut(request);
-    this.context.log("cloud capacity exhausted", {
+    this.ctx.log("cloud capacity exhausted", {
       type,
       zone,
       spot,
--- a/src/coordination/machines/rental-timing.ts
+++ b/src/coordination/machines/rental-timing.ts
@@ -14,21 +14,21 @@
  * it never counts as too late to be worth an on-demand machine.
  */
 export function timeToDeadlineS(
-  context: Context,
+  ctx: Context,
   spec: JobSpec,
   priority: EffectivePriority | null,
 ): number {
   if (spec.deadlineS === null || !priority) return Infinity;
-  return (priority.dueAt - context.wallMs) / 1000;
+  return (priority.dueAt - ctx.wallMs) / 1000;
 }
 
 /**
  * Seconds until a machine requested now could run a task: a boot that is as slow as most are, and fetching the image. The fastest
  * suitable machine type counts; 0 if there is none.
  */
-export function timeToReadyS(context: Context, spec: JobSpec): number {
+export function timeToReadyS(ctx: Context, spec: JobSpec): number {
   let readyS = Infinity;
-  for (const machineType of context.catalog ?? [])
+  for (const machineType of ctx.catalog ?? [])
     if (machineType.zones.some((zone) => canRunOn(spec, machineType, zone))) {
       const fetchS =
         machineType.fetchGbPerS > 0
@@ -45,12 +45,12 @@
  * (docs/incidents/claimdesk-fleet-late-jobs.md).
  */
 function timeToLastObjectiveS(
-  context: Context,
+  ctx: Context,
   spec: JobSpec,
   priority: EffectivePriority | null,
 ): number {
-  let remainingS = timeToDeadlineS(context, spec, priority);
-  for (const objective of context.settings.objectives)
+  let remainingS = timeToDeadlineS(ctx, spec, priority);
+  for (const objective of ctx.settings.objectives)
     if (
       priority &&
       objective.kind === "finished" &&
@@ -59,7 +59,7 @@
     )
       remainingS = Math.max(
         remainingS,
-        (priority.readyAt - context.wallMs) / 1000 + objective.withinS,
+        (priority.readyAt - ctx.wallMs) / 1000 + objective.withinS,
       );
   return remainingS;
 }
@@ -69,20 +69,20 @@
  * on-demand machine, or it is too late for all its objectives, so that an on-demand machine would gain nothing.
  */
 export function isOnlySpotWorthwhile(
-  context: Context,
+  ctx: Context,
   spec: JobSpec,
   priority: EffectivePriority | null,
 ): boolean {
   if (!spec.spot) return false;
-  const readyS = timeToReadyS(context, spec);
+  const readyS = timeToReadyS(ctx, spec);
   const canWaitForSpot =
     priority !== null &&
     spec.deadlineS !== null &&
-    context.wallMs - priority.readyAt <
-      (priority.dueAt - priority.readyAt) * context.tuning.cheapPatience &&
-    timeToDeadlineS(context, spec, priority) >
+    ctx.wallMs - priority.readyAt <
+      (priority.dueAt - priority.readyAt) * ctx.tuning.cheapPatience &&
+    timeToDeadlineS(ctx, spec, priority) >
       readyS + spec.estimateS * ESTIMATE_FACTOR;
   const isTooLate =
-    timeToLastObjectiveS(context, spec, priority) < readyS + spec.estimateS / 2;
+    timeToLastObjectiveS(ctx, spec, priority) < readyS + spec.estimateS / 2;
   return canWaitForSpot || isTooLate;
 }
--- a/src/coordination/machines/scale-out-planner.ts
+++ b/src/coordination/machines/scale-out-planner.ts
@@ -61,13 +61,13 @@
   private readonly dueWorkS = { plain: 0, accelerated: 0 };
 
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly state: PartitionState,
     private readonly plan: RentalPlan,
     private readonly zones: readonly string[],
     offers: CapacityOffers,
   ) {
-    this.requestKinds = new RequestKinds(context.tuning, (spec, machine) =>
+    this.requestKinds = new RequestKinds(ctx.tuning, (spec, machine) =>
       offers.serves(spec, machine),
     );
   }
@@ -153,15 +153,15 @@
   private countSlotsToRent(job: JobRun, unplaced: number): number {
     const { spec } = job.view;
     const dueWorkS = this.addDueWork(job);
-    const timeLeftS = timeToDeadlineS(this.context, spec, job.view);
+    const timeLeftS = timeToDeadlineS(this.ctx, spec, job.view);
     let slots = 0;
     for (const machine of this.plan.machinesServing(spec)) {
-      const machineType = machineTypeOf(this.context, machine.type);
+      const machineType = machineTypeOf(this.ctx, machine.type);
       if (machineType) slots += fitCount(spec, machineType);
     }
     const lackingWorkS = dueWorkS - (slots * timeLeftS) / ESTIMATE_FACTOR;
     if (lackingWorkS <= 0) return 0;
-    const workTimeS = timeLeftS - timeToReadyS(this.context, spec);
+    const workTimeS = timeLeftS - timeToReadyS(this.ctx, spec);
     return Math.min(
       unplaced,
       Math.ceil(lackingWorkS / Math.max(spec.estimateS, workTimeS)),
--- a/src/coordination/machines/scale-out.ts
+++ b/src/coordination/machines/scale-out.ts
@@ -47,14 +47,14 @@
   };
 
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly state: PartitionState,
     private readonly quota: QuotaAllocator,
     private readonly zones: () => string[],
   ) {
-    this.offers = new CapacityOffers(context, state, this.booting, zones);
+    this.offers = new CapacityOffers(ctx, state, this.booting, zones);
     this.requests = new RentalRequests(
-      context,
+      ctx,
       state,
       this.offers,
       this.booting,
@@ -64,8 +64,8 @@
 
   /** `warmCapacity`: called only when a plan is made. */
   tick(warmCapacity: () => WarmCapacity[]): void {
-    if (this.context.nowMs - this.lastPlanMs >= PLAN_INTERVAL_MS) {
-      this.lastPlanMs = this.context.nowMs;
+    if (this.ctx.nowMs - this.lastPlanMs >= PLAN_INTERVAL_MS) {
+      this.lastPlanMs = this.ctx.nowMs;
       this.plannedRentals = this.makePlan(warmCapacity());
     }
     this.requests.sendDue(this.plannedRentals);
@@ -117,9 +117,9 @@
 
   private makePlan(warmCapacity: readonly WarmCapacity[]): PlannedRental[] {
     const machines = [...this.bootingCapacity(), ...this.usableCapacity()];
-    const plan = new RentalPlan(this.context, this.offers, machines);
+    const plan = new RentalPlan(this.ctx, this.offers, machines);
     const planner = new ScaleOutPlanner(
-      this.context,
+      this.ctx,
       this.state,
       plan,
       this.zones(),
@@ -141,7 +141,7 @@
 
   /** The booting capacity, computed once per step. Callers must not modify it. */
   private bootingCapacityOnce(): readonly MachineCapacity[] {
-    const { nowMs } = this.context;
+    const { nowMs } = this.ctx;
     if (this.cachedBootingCapacity.computedMs !== nowMs)
       this.cachedBootingCapacity = {
         computedMs: nowMs,
@@ -153,7 +153,7 @@
   private bootingCapacity(): MachineCapacity[] {
     const machines: MachineCapacity[] = [];
     for (const offer of this.upcomingMachines()) {
-      const machineType = machineTypeOf(this.context, offer.type);
+      const machineType = machineTypeOf(this.ctx, offer.type);
       if (!machineType) continue;
       const { type, zone, spot } = offer;
       const free = resourcesOf(machineType);
--- a/src/coordination/machines/warm-capacity.ts
+++ b/src/coordination/machines/warm-capacity.ts
@@ -23,12 +23,12 @@
   private readonly classNeeds = new Map<string, JobSpec>();
 
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly state: PartitionState,
   ) {
-    this.periodStartMs = context.nowMs;
+    this.periodStartMs = ctx.nowMs;
     this.objectiveClasses = new Set(
-      context.settings.objectives.flatMap((objective) => objective.class ?? []),
+      ctx.settings.objectives.flatMap((objective) => objective.class ?? []),
     );
   }
 
@@ -58,7 +58,7 @@
 
   /** Whether an objective expects a class that this machine serves to start in less than `bootS` seconds. */
   hasWaitObjectiveBelow(worker: Worker, bootS: number): boolean {
-    return this.context.settings.objectives.some(
+    return this.ctx.settings.objectives.some(
       (objective) =>
         objective.kind === "wait" &&
         (objective.withinS ?? Infinity) < bootS &&
@@ -78,7 +78,7 @@
   /** Slots to keep free, one entry per objective. */
   capacityToKeepFree(): WarmCapacity[] {
     const capacity: WarmCapacity[] = [];
-    for (const { kind, class: jobClass, withinS } of this.context.settings
+    for (const { kind, class: jobClass, withinS } of this.ctx.settings
       .objectives) {
       if (kind !== "wait" || jobClass === undefined) continue;
       const spec = this.classNeeds.get(jobClass);
@@ -134,7 +134,7 @@
 
   /** Number of machines of a type to keep free for the next job that is expected to start at once. */
   private countMachinesToKeepFree(type: string): number {
-    return Math.ceil(this.peakOf(type) * this.context.tuning.spareShare);
+    return Math.ceil(this.peakOf(type) * this.ctx.tuning.spareShare);
   }
 
   private countMachines(type: string): number {
@@ -163,7 +163,7 @@
   }
 
   private startPeriodIfDue(): void {
-    const { nowMs, tuning } = this.context;
+    const { nowMs, tuning } = this.ctx;
     const periodMs = (tuning.warmWindowS * 1000) / PEAK_PERIODS;
     if (nowMs - this.periodStartMs <= periodMs) return;
     this.periodStartMs = nowMs;
--- a/src/coordination/model.ts
+++ b/src/coordination/model.ts
@@ -151,7 +151,7 @@
   cheapPatience: number;
   /** Time without a heartbeat after which a machine is returned. */
   silentReturnS: number;
-  /** Multiple of the usual boot time of its type after which a machine that has not come up is returned. */
+  /** Multiple of the usual boot time of its type after which a machine that has not sent a heartbeat is returned. */
   bootPatience: number;
   /** Start commands are also sent directly to workers, in addition to the replies to heartbeats. */
   directOrders: boolean;
--- a/src/coordination/scheduling/attempt-sequence.ts
+++ b/src/coordination/scheduling/attempt-sequence.ts
@@ -9,10 +9,10 @@
 export class AttemptSequence {
   private issued = 0;
 
-  constructor(private readonly partition: Pick<PartitionState, "token">) {}
+  constructor(private readonly state: Pick<PartitionState, "token">) {}
 
   /** Returns a number higher than that of any attempt under this or an earlier fencing token. */
   next(): number {
-    return this.partition.token * ATTEMPTS_PER_TOKEN + ++this.issued;
+    return this.state.token * ATTEMPTS_PER_TOKEN + ++this.issued;
   }
 }
--- a/src/coordination/scheduling/capacity-report.ts
+++ b/src/coordination/scheduling/capacity-report.ts
@@ -5,7 +5,7 @@
 import {
   bytesOf,
   type FreeKind,
-  type ReclaimableKind,
+  type PreemptibleKind,
   capacityKey,
   type CapacityRecord,
   type CapacityRow,
@@ -33,16 +33,16 @@
 /** Jobs are assigned by a report no older than this. Computing a new one for each job of a burst took most of the time. */
 const REPORT_REUSE_MS = 200;
 
-/** Size of a row's list of reclaimable resources without its entries: `,"y":[]`. A row with an empty list omits the field. */
-const RECLAIMABLE_FIELD_BYTES = 7;
+/** Size of a row's list of preemptible resources without its entries: `,"y":[]`. A row with an empty list omits the field. */
+const PREEMPTIBLE_FIELD_BYTES = 7;
 
 /** What is free on a machine once tasks of lower priority are preempted, for each range of priorities with the same result. */
-function reclaimableOn(
+function preemptibleOn(
   worker: Worker,
   ranks: readonly number[],
-): ReclaimableKind[] {
+): PreemptibleKind[] {
   if (worker.tasks.size === 0) return [];
-  const kinds: ReclaimableKind[] = [];
+  const kinds: PreemptibleKind[] = [];
   const free = freeOn(worker);
   for (const rank of ranks) {
     let { cpus, gpus, memGb } = free;
@@ -61,7 +61,7 @@
       memGb += spec.memGb;
     }
     if (!freesMore) continue;
-    const kind: ReclaimableKind = [
+    const kind: PreemptibleKind = [
       tenth(cpus),
       tenth(gpus),
       tenth(memGb),
@@ -85,7 +85,7 @@
 
   constructor(
     private readonly ctx: Context,
-    private readonly partition: PartitionState,
+    private readonly state: PartitionState,
     private readonly quota: QuotaAllocator,
     private readonly scaleOut: ScaleOut,
   ) {}
@@ -94,8 +94,8 @@
   current(): CapacityRecord {
     const rows = new Map<string, CapacityRow>();
     const freeKinds = new Map<string, FreeKind>();
-    const reclaimableKinds = new Map<string, ReclaimableKind>();
-    const { usable, reserved } = this.partition.usableWorkers();
+    const preemptibleKinds = new Map<string, PreemptibleKind>();
+    const { usable, reserved } = this.state.usableWorkers();
     const ranks = this.priorityRanks();
     for (const worker of usable) {
       const key = worker.offerKey;
@@ -115,19 +115,19 @@
       row.machines++;
       const f = freeOn(worker);
       for (const entry of ranks.length > 1
-        ? reclaimableOn(worker, ranks)
+        ? preemptibleOn(worker, ranks)
         : []) {
         const kindKey = `${key}/${entry.join("/")}`;
-        const same = reclaimableKinds.get(kindKey);
+        const same = preemptibleKinds.get(kindKey);
         if (same) same[3]++;
         else {
-          reclaimableKinds.set(kindKey, entry);
-          (row.reclaimable ??= []).push(entry);
+          preemptibleKinds.set(kindKey, entry);
+          (row.preemptible ??= []).push(entry);
         }
       }
       if (
         (f.cpus <= EPSILON && f.gpus <= EPSILON) ||
-        this.partition.isReservedForOther(worker)
+        this.state.isReservedForOther(worker)
       )
         continue;
       const kind: FreeKind = [tenth(f.cpus), tenth(f.gpus), tenth(f.memGb), 1];
@@ -142,8 +142,8 @@
     }
     const queueByMinPriority = this.queueByMinPriority();
     const running = new Map<string, number>();
-    for (const job of this.partition.jobs.values()) {
-      const tasks = this.partition.runningTasksOf(job.id);
+    for (const job of this.state.jobs.values()) {
+      const tasks = this.state.runningTasksOf(job.id);
       if (tasks > 0) running.set(job.id, tasks);
     }
     const { scaleOut } = this;
@@ -156,7 +156,7 @@
     );
     return {
       rows: [...rows.values()],
-      queue: backlogOf(this.partition.jobs.values(), this.quota.headroom()),
+      queue: backlogOf(this.state.jobs.values(), this.quota.headroom()),
       queueByMinPriority,
       running,
       soldOut,
@@ -183,7 +183,7 @@
   /** Waiting tasks of each priority and all higher ones, by rank: [plain, accelerated]. */
   private queueByMinPriority(): [number, number][] {
     const counts = PRIORITIES.map((): [number, number] => [0, 0]);
-    for (const job of this.partition.jobs.values()) {
+    for (const job of this.state.jobs.values()) {
       if (job.waiting.isEmpty) continue;
       const kind = backlogKindOf(job.view.spec) === "plain" ? 0 : 1;
       for (let rank = PRIORITIES.indexOf(job.view.priority); rank >= 0; rank--)
@@ -219,7 +219,7 @@
 
   /**
    * The current report, shortened to what fits into one value of the store. The running counts are omitted first, then
-   * reclaimable resources, then the smallest amounts of free resources.
+   * preemptible resources, then the smallest amounts of free resources.
    */
   currentWithinSizeLimit(): CapacityRecord {
     const full = this.current();
@@ -276,14 +276,14 @@
     ))
       if (fits(kind)) target.push(kind);
     for (const [index, row] of rows.slice(0, record.rows.length).entries())
-      for (const reclaimable of row.reclaimable ?? [])
+      for (const preemptible of row.preemptible ?? [])
         if (
           fits(
-            reclaimable,
-            record.rows[index]!.reclaimable ? 0 : RECLAIMABLE_FIELD_BYTES,
+            preemptible,
+            record.rows[index]!.preemptible ? 0 : PREEMPTIBLE_FIELD_BYTES,
           )
         )
-          (record.rows[index]!.reclaimable ??= []).push(reclaimable);
+          (record.rows[index]!.preemptible ??= []).push(preemptible);
     for (const entry of full.running)
       if (fits(entry)) record.running.set(...entry);
     return record;
@@ -300,8 +300,8 @@
     if (text === this.lastWritten) return;
     this.lastWrittenMs = this.ctx.nowMs;
     this.isWriting = true;
-    const key = capacityKey(this.partition.partition);
-    this.partition.commit(
+    const key = capacityKey(this.state.partition);
+    this.state.commit(
       [{ key, version: this.ctx.cache.latestRevisionOf(key) }],
       [{ op: "put", key, value }],
       CallPriority.Background,
--- a/src/coordination/scheduling/gang-assembly.ts
+++ b/src/coordination/scheduling/gang-assembly.ts
@@ -67,7 +67,7 @@
 
   constructor(
     private readonly ctx: Context,
-    private readonly partition: PartitionState,
+    private readonly state: PartitionState,
     private readonly quota: QuotaAllocator,
   ) {}
 
@@ -111,7 +111,7 @@
       !job.view.spec.spread &&
       job.quarantinedSinceMs === null &&
       this.comesFirstWhenFitting(job) &&
-      this.partition.isWhollyWaiting(job) &&
+      this.state.isWhollyWaiting(job) &&
       this.isWithinQuota(job)
     );
   }
@@ -157,7 +157,7 @@
 
   /** Selects from `gangs`, oldest first, those that reserve from now on, with the seconds until each has all its slots. */
   private gangsToAssemble(gangs: readonly JobRun[]): Map<string, number> {
-    const { usable, reserved } = this.partition.usableWorkers();
+    const { usable, reserved } = this.state.usableWorkers();
     const unreserved = usable.filter((worker) => !reserved.has(worker.id));
     const slotsByRequest = new Map<string, Map<string, number[]>>();
     /** Slots of each zone that older gangs take first. */
--- a/src/coordination/scheduling/gang-reservations.ts
+++ b/src/coordination/scheduling/gang-reservations.ts
@@ -18,11 +18,11 @@
   /** Expected seconds until the first of the gangs with reservations is assembled. */
   private soonestAssemblyS = Infinity;
 
-  constructor(private readonly partition: PartitionState) {}
+  constructor(private readonly state: PartitionState) {}
 
   /** Drops all reservations at the beginning of a round. */
   clear(): void {
-    this.partition.workersReservedForGangs.clear();
+    this.state.workersReservedForGangs.clear();
     this.reservedByWorker.clear();
     this.soonestAssemblyS = Infinity;
   }
@@ -36,7 +36,7 @@
     for (const worker of chosen) {
       const freeHere = free.get(worker);
       if (freeHere) subtract(freeHere, spec);
-      this.partition.workersReservedForGangs.add(worker);
+      this.state.workersReservedForGangs.add(worker);
     }
   }
 
@@ -53,7 +53,7 @@
         gpus: (reserved?.gpus ?? 0) + spec.gpus,
         memGb: (reserved?.memGb ?? 0) + spec.memGb,
       });
-      this.partition.workersReservedForGangs.add(worker);
+      this.state.workersReservedForGangs.add(worker);
     }
     this.soonestAssemblyS = Math.min(this.soonestAssemblyS, assembledInS);
   }
--- a/src/coordination/scheduling/machine-selector.ts
+++ b/src/coordination/scheduling/machine-selector.ts
@@ -37,7 +37,7 @@
 export class MachineSelector {
   constructor(
     private readonly ctx: Context,
-    private readonly partition: PartitionState,
+    private readonly state: PartitionState,
     private readonly reservations: GangReservations,
   ) {}
 
@@ -75,8 +75,7 @@
       tasksByZone.set(worker.zone, (tasksByZone.get(worker.zone) ?? 0) + 1);
     };
     for (const task of job.active.values()) count(task);
-    for (const task of this.partition.ledger.unconfirmedOfJob(job.id))
-      count(task);
+    for (const task of this.state.ledger.unconfirmedOfJob(job.id)) count(task);
     return tasksByZone;
   }
 
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -139,9 +139,9 @@
 }
 
 /**
- * Requests for which there were not enough slots in a scheduling round. Free capacity only shrinks during a round, so a job that
- * has the same requirements and requests no less need not be tried. `machineClass` tells apart jobs that may use different
- * machines for reasons other than their specification.
+ * Requests for which there were not enough slots in a scheduling round. Free capacity only shrinks during a round, so a
+ * job that has the same requirements and requests no less need not be tried. `machineClass` distinguishes jobs that may
+ * use different machines for reasons other than their specification.
  */
 export class UnplaceableCache {
   private readonly requestsByKey = new Map<string, UnplaceableRequest[]>();
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -38,7 +38,7 @@
 export class Preemption {
   constructor(
     private readonly ctx: Context,
-    private readonly partition: PartitionState,
+    private readonly state: PartitionState,
     private readonly quota: QuotaAllocator,
     private readonly scaleOut: ScaleOut,
     private readonly reclaims: GuaranteeReclaims,
@@ -99,7 +99,7 @@
     job: JobRun,
     reclaimable: ReclaimableTeams,
   ): boolean {
-    for (const running of this.partition.jobs.values())
+    for (const running of this.state.jobs.values())
       if (
         running.active.size > 0 &&
         this.comesBefore(job, running, reclaimable)
@@ -205,7 +205,7 @@
     const { spec } = job.view;
     const isGangJob = spec.kind === "gang";
     if (spec.spread || (spec.samePlace && !isGangJob)) return false;
-    return !isGangJob || this.partition.isWhollyWaiting(job);
+    return !isGangJob || this.state.isWhollyWaiting(job);
   }
 
   private isWithinQuota(
@@ -342,7 +342,7 @@
   ): Candidate | null {
     const { spec } = job.view;
     let best: Candidate | null = null;
-    for (const gang of this.partition.jobs.values()) {
+    for (const gang of this.state.jobs.values()) {
       if (!this.mayPreemptGang(job, gang, reclaimable)) continue;
       const victims = [...gang.active.values()];
       const freedWorkers = [...freeWithout(victims, free)].filter(
@@ -428,7 +428,7 @@
     });
     for (const task of active) {
       const taskGraceS = isGang(task.job) ? graceS : saveTimeS(task);
-      this.partition.stop(task, taskGraceS, "preempted");
+      this.state.stop(task, taskGraceS, "preempted");
       // The victim is not started elsewhere a moment later, since the job that it was stopped for comes first there, too.
       task.job.backoffUntilMs = Math.max(task.job.backoffUntilMs, untilMs);
     }
--- a/src/coordination/scheduling/rebalancer.ts
+++ b/src/coordination/scheduling/rebalancer.ts
@@ -57,7 +57,7 @@
 
   constructor(
     private readonly ctx: Context,
-    private readonly partition: PartitionState,
+    private readonly state: PartitionState,
     private readonly scaleOut: ScaleOut,
     private readonly quota: QuotaAllocator,
   ) {}
@@ -69,17 +69,17 @@
    */
   tick(): void {
     if (
-      this.partition.isFenced ||
+      this.state.isFenced ||
       this.ctx.nowMs - this.lastRunMs < REBALANCE_INTERVAL_MS
     )
       return;
     this.lastRunMs = this.ctx.nowMs;
-    const waiting = [...this.partition.jobs.values()].filter(
+    const waiting = [...this.state.jobs.values()].filter(
       (job) => !job.waiting.isEmpty,
     );
     if (waiting.length === 0) return;
     const headroomByTeam = this.quota.headroom();
-    const backlog = backlogOf(this.partition.jobs.values(), headroomByTeam);
+    const backlog = backlogOf(this.state.jobs.values(), headroomByTeam);
     for (const job of waiting) {
       if (!this.mayMove(job, backlog)) continue;
       const headroom = headroomByTeam.get(job.view.spec.team);
@@ -102,11 +102,11 @@
       job.quarantinedSinceMs !== null
     )
       return false;
-    if (spec.spread || !this.partition.mayStart(job)) return false;
+    if (spec.spread || !this.state.mayStart(job)) return false;
     if (this.waitedMs(job) < REBALANCE_INTERVAL_MS) return false;
     // An undivided job moves to any partition that has slots for all of it. Tasks of an array move from the longest queue only,
     // unless they have waited for long: a longer queue may consist of tasks that no other partition can run.
-    if (staysUndivided(spec)) return this.partition.isWhollyWaiting(job);
+    if (staysUndivided(spec)) return this.state.isWhollyWaiting(job);
     return (
       this.waitedMs(job) >= LONG_WAIT_MS ||
       this.isLongestQueue(backlogKindOf(spec), backlog)
@@ -116,7 +116,7 @@
   private isLongestQueue(kind: keyof Backlog, backlog: Backlog): boolean {
     for (const [partition, capacity] of this.ctx.cache.capacities)
       if (
-        partition !== this.partition.partition &&
+        partition !== this.state.partition &&
         capacity.queue[kind] > backlog[kind]
       )
         return false;
@@ -135,7 +135,7 @@
     let best: TransferTarget | null = null;
     for (const [partition, capacity] of this.ctx.cache.capacities) {
       if (
-        partition === this.partition.partition ||
+        partition === this.state.partition ||
         !this.ctx.cache.partitions.has(partition)
       )
         continue;
@@ -174,7 +174,7 @@
     )) {
       const capacity = this.ctx.cache.capacities.get(partition);
       if (
-        partition === this.partition.partition ||
+        partition === this.state.partition ||
         !capacity ||
         this.ctx.pendingAssignments.has(partition)
       )
@@ -305,12 +305,12 @@
 
   private move(job: JobRun, tasks: RangeSet, target: string): void {
     for (const index of tasks)
-      if (this.partition.ledger.hasUnconfirmed(job.id, index)) return;
+      if (this.state.ledger.hasUnconfirmed(job.id, index)) return;
     const value = writeJob({
       ...job.view,
       assignment: reassignTasks(
         job.view.assignment,
-        this.partition.partition,
+        this.state.partition,
         tasks,
         target,
       ),
@@ -336,7 +336,7 @@
     const key = jobKey(job.id);
     transfer?.change.send(
       (version, value, done) =>
-        this.partition.commit(
+        this.state.commit(
           [{ key, version }],
           [{ op: "put", key, value }],
           CallPriority.Background,
@@ -345,7 +345,7 @@
       () => {
         if (job.pendingTransfer !== transfer) return;
         job.pendingTransfer = null;
-        if (!job.isOver) this.partition.recomputeWaiting(job);
+        if (!job.isOver) this.state.recomputeWaiting(job);
       },
     );
   }
--- a/src/coordination/scheduling/round-resources.ts
+++ b/src/coordination/scheduling/round-resources.ts
@@ -20,9 +20,9 @@
   readonly used: Map<string, ResourceUse>;
 }
 
-export function roundResourcesOf(partition: PartitionState): RoundResources {
-  const used = partition.usage();
-  const { usable, reserved } = partition.usableWorkers();
+export function roundResourcesOf(state: PartitionState): RoundResources {
+  const used = state.usage();
+  const { usable, reserved } = state.usableWorkers();
   return {
     workers: usable,
     unreserved: usable.filter((worker) => !reserved.has(worker.id)),
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -70,42 +70,38 @@
 
   constructor(
     private readonly ctx: Context,
-    private readonly partition: PartitionState,
+    private readonly state: PartitionState,
     private readonly quota: QuotaAllocator,
     private readonly guarantees: Guarantees,
     private readonly preemption: Preemption,
   ) {
-    this.attempts = new AttemptSequence(partition);
-    this.gangAssembly = new GangAssembly(ctx, partition, quota);
-    this.reservations = new GangReservations(partition);
-    this.machineSelector = new MachineSelector(
-      ctx,
-      partition,
-      this.reservations,
-    );
-    this.spreadGangs = new SpreadGangCoordinator(ctx, partition, this.attempts);
+    this.attempts = new AttemptSequence(state);
+    this.gangAssembly = new GangAssembly(ctx, state, quota);
+    this.reservations = new GangReservations(state);
+    this.machineSelector = new MachineSelector(ctx, state, this.reservations);
+    this.spreadGangs = new SpreadGangCoordinator(ctx, state, this.attempts);
   }
 
   /** Requests a round if the last one was long ago, and runs one if it is due. */
   tick(): void {
     if (this.ctx.nowMs - this.lastRoundMs >= IDLE_ROUND_INTERVAL_MS)
-      this.partition.needsScheduling = true;
+      this.state.needsScheduling = true;
     this.runRound();
   }
 
   /** Runs a scheduling round if one is needed and due. */
   runRound(): void {
     if (!this.isRoundDue()) return;
-    this.partition.needsScheduling = false;
+    this.state.needsScheduling = false;
     this.lastRoundMs = this.ctx.nowMs;
     this.rounds++;
     this.reservations.clear();
-    const ready = [...this.partition.jobs.values()].filter(
-      (job) => this.partition.mayStart(job) && !this.quota.isHeldBack(job),
+    const ready = [...this.state.jobs.values()].filter(
+      (job) => this.state.mayStart(job) && !this.quota.isHeldBack(job),
     );
     if (ready.length === 0) return;
     this.gangAssembly.update(ready);
-    const resources = roundResourcesOf(this.partition);
+    const resources = roundResourcesOf(this.state);
     const blocked = this.serveQueues(
       this.queuesOf(ready, resources),
       resources,
@@ -116,12 +112,12 @@
   private isRoundDue(): boolean {
     const intervalMs = Math.max(
       MIN_ROUND_INTERVAL_MS,
-      this.partition.jobs.size / JOBS_PER_MS_OF_INTERVAL,
+      this.state.jobs.size / JOBS_PER_MS_OF_INTERVAL,
     );
     return (
-      this.partition.needsScheduling &&
+      this.state.needsScheduling &&
       this.ctx.nowMs - this.lastRoundMs >= intervalMs &&
-      this.partition.mayAct()
+      this.state.mayAct()
     );
   }
 
@@ -147,7 +143,7 @@
     return {
       spec,
       effectivePriority: job.view,
-      remainingTasks: this.partition.unfinishedTasks(job),
+      remainingTasks: this.state.unfinishedTasks(job),
       late: isLate(spec, job.view, wallMs, settings.objectives),
       precedence: this.gangAssembly.precedenceOf(job),
       job,
@@ -266,7 +262,7 @@
     return (
       job.active.size === 0 &&
       job.waiting.size >= job.assigned.size &&
-      !this.partition.ledger.hasUnconfirmed(job.id)
+      !this.state.ledger.hasUnconfirmed(job.id)
     );
   }
 
@@ -289,7 +285,7 @@
 
   /** Selects up to `maxTasks` waiting tasks. Invariant (rule ran_twice): no task is started that may still be on some machine. */
   private startableTasks(job: JobRun, maxTasks: number): number[] {
-    const { ledger } = this.partition;
+    const { ledger } = this.state;
     const candidateCount =
       job.view.spec.kind === "gang"
         ? maxTasks
@@ -371,13 +367,13 @@
       stop: null,
     };
     job.active.set(index, task);
-    this.partition.ledger.addTask(task);
+    this.state.ledger.addTask(task);
     worker.idleSinceMs = null;
     this.ctx.log("starting task", {
       task: taskKey(job.id, index),
       attempt,
       worker: worker.id,
     });
-    this.partition.workersWithPendingCommands.add(worker);
+    this.state.workersWithPendingCommands.add(worker);
   }
 }
--- a/src/coordination/scheduling/spread-gang-coordinator.ts
+++ b/src/coordination/scheduling/spread-gang-coordinator.ts
@@ -14,7 +14,7 @@
 export class SpreadGangCoordinator {
   constructor(
     private readonly ctx: Context,
-    private readonly partition: PartitionState,
+    private readonly state: PartitionState,
     private readonly attempts: AttemptSequence,
   ) {}
 
@@ -23,7 +23,7 @@
     if (job.isWritingGangRecord) return null;
     const step = nextGangStep(
       [...job.view.assignment.keys()],
-      this.partition.partition,
+      this.state.partition,
       this.ctx.cache.gang(job.id),
       job.lastGangAttempt,
     );
@@ -43,7 +43,7 @@
 
   /** Writes that this part is ready for the attempt that follows `afterAttempt`. */
   private writeReady(job: JobRun, afterAttempt: number): void {
-    const key = readyKey(job.id, this.partition.partition);
+    const key = readyKey(job.id, this.state.partition);
     const version = this.ctx.cache.latestRevisionOf(key);
     this.commit(job, [{ key, version }], {
       op: "put",
@@ -69,7 +69,7 @@
       version: this.ctx.cache.gang(job.id).revision,
     };
     job.isWritingGangRecord = true;
-    this.partition.commit(
+    this.state.commit(
       [jobCondition, gangCondition, ...conditions],
       [write],
       CallPriority.Leader,
--- a/src/storage/records/capacity.ts
+++ b/src/storage/records/capacity.ts
@@ -61,7 +61,7 @@
   machines: number,
 ];
 /** Resources available to jobs within a range of priorities (indexes into `PRIORITIES`) if lower ones are preempted. */
-export type ReclaimableKind = [
+export type PreemptibleKind = [
   cpus: number,
   gpus: number,
   memGb: number,
@@ -82,7 +82,7 @@
   /** The same for machines that are reserved for short tasks. */
   reserved: FreeKind[];
   /** Resources that are free or would be after preemption, only of machines where preemption would free some. */
-  reclaimable?: ReclaimableKind[];
+  preemptible?: PreemptibleKind[];
 }
 
 /** Additional quota of a team that a partition could use, as earlier versions read it. */
@@ -213,7 +213,7 @@
   machines: row.n,
   free: readFreeKinds(row.f),
   reserved: readFreeKinds(row.r),
-  ...(row.y ? { reclaimable: row.y } : {}),
+  ...(row.y ? { preemptible: row.y } : {}),
 });
 
 const writeRow = (row: CapacityRow): object => ({
@@ -223,7 +223,7 @@
   n: row.machines,
   f: row.free,
   r: row.reserved,
-  ...(row.reclaimable?.length ? { y: row.reclaimable } : {}),
+  ...(row.preemptible?.length ? { y: row.preemptible } : {}),
 });
 
 const readFreeKinds = (
--- a/test/golden/records.ts
+++ b/test/golden/records.ts
@@ -171,7 +171,7 @@
       machines: 4,
       free: [[6, 0, 20.5, 2]],
       reserved: [[8, 0, 32, 1]],
-      reclaimable: [[8, 0, 32, 1, 1, 3]],
+      preemptible: [[8, 0, 32, 1, 1, 3]],
     },
     {
       type: "big",
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -179,7 +179,7 @@
   // Production reads a room without what teams use, and writes one that says nothing of it.
   const more: CapacityRecord = {
     ...room,
-    rows: [{ ...room.rows[0]!, reclaimable: [[8, 0, 16, 1, 2, 3]] }],
+    rows: [{ ...room.rows[0]!, preemptible: [[8, 0, 16, 1, 2, 3]] }],
     queueByMinPriority: [
       [3, 2],
       [1, 2],
@@ -474,7 +474,7 @@
       bytes <= limits.valueBytes && bytes > limits.valueBytes - 60,
       `${bytes} of ${limits.valueBytes}`,
     );
-    const n = record.rows.filter((r) => r.reclaimable !== undefined).length;
+    const n = record.rows.filter((r) => r.preemptible !== undefined).length;
     assert.ok(n > 0 && n < 24, `${n} rows say what gives way`);
   }
 });
