--- a/src/coordination/leadership/leadership.ts
+++ b/src/coordination/leadership/leadership.ts
@@ -294,7 +294,7 @@
     );
   }
 
-  /** Renews the store lease, answers bids, and acquires partitions when it is this controller's turn. */
+  /** Renews the store lease, releases partitions to their bidders, and acquires partitions when it is this controller's turn. */
   tick(): void {
     this.logLeadershipLease();
     this.maintainStoreLease();
--- a/src/coordination/quota/quota-report.ts
+++ b/src/coordination/quota/quota-report.ts
@@ -37,7 +37,7 @@
   if (hasNothingToReport) return null;
   return {
     use,
-    possibleUse: possibleUse,
+    possibleUse,
     startable: demand?.startable ?? [0, 0],
     startableSinceMs: demand?.startableSinceMs ?? [Infinity, Infinity],
     awaitingMachines: demand?.awaitingMachines ?? [0, 0],
@@ -46,7 +46,7 @@
       Infinity,
     ],
     baseShare: finiteOrZero(demand?.baseShare ?? [0, 0]),
-    waiting: waiting,
+    waiting,
     idle: isAnyPositive(idle) ? idle : undefined,
     backfill: demand?.backfill,
     reservation: demand?.reservation,
--- a/src/coordination/scheduling/gang-assembly.ts
+++ b/src/coordination/scheduling/gang-assembly.ts
@@ -212,7 +212,7 @@
     return slotsByZone;
   }
 
-  /** The same on one machine, as its running tasks end one by one. */
+  /** The same for the slots on one machine, as its running tasks end one by one. */
   private slotsBecomingFreeOn(worker: Worker, spec: JobSpec): number[] {
     const free = freeOn(worker);
     const slots = Array.from({ length: fitCount(spec, free) }, () => 0);
--- a/src/storage/records/capacity.ts
+++ b/src/storage/records/capacity.ts
@@ -138,11 +138,11 @@
   soldOut: string[];
   /** By offer, if known: how many more machines the cloud probably has for the partition. */
   left: Map<string, number>;
-  /** By team. */
+  /** Demand by team, in the format that earlier versions read. */
   wants: Map<string, QuotaWant>;
-  /** By team; null if an earlier version wrote the record. */
+  /** Use and demand by team; null if an earlier version wrote the record. */
   teams: Map<string, TeamRow> | null;
-  /** The record was too small for all teams. */
+  /** Some teams are omitted, because the record would have been too large. */
   isTruncated: boolean;
 }
 
