--- a/src/coordination/machines/capacity-offers.ts
+++ b/src/coordination/machines/capacity-offers.ts
@@ -1,6 +1,7 @@
 /**
- * Tracks what the cloud can still provide to this partition. An offer is a machine type in a zone, spot or on-demand ("ordinary").
- * Owns what refused rentals taught: which offers are sold out, and how many machines of an offer there can be at most.
+ * Tracks what the cloud can still provide to this partition. An offer is a machine type in a zone, spot or on-demand ("ordinary"
+ * in its key). Owns what was learned from refused rentals: which offers are sold out, and how many machines of an offer there can
+ * be at most.
  */
 import type { Context } from "../context.js";
 import type { PartitionState } from "../scheduling/partition-state.js";
@@ -13,7 +14,7 @@
   type Resources,
 } from "../scheduling/placement.js";
 
-/** Machines of one type in one zone, either spot or ordinary. */
+/** Machines of one type in one zone, either spot or on-demand. */
 export interface CapacityOffer {
   type: string;
   zone: string;
@@ -59,27 +60,27 @@
 const CEILING_LIFETIME_MS = 300_000;
 /** A sold-out offer is reported to other partitions until this long after its pause has ended. */
 const SOLD_OUT_REPORT_MS = 30_000;
-/** Each machine type is offered in each zone as spot and as ordinary machines. */
+/** Each machine type is offered in each zone as spot and as on-demand machines. */
 const OFFERS_PER_TYPE_AND_ZONE = 2;
 
-/** Whether both are the same type in the same zone, and both spot or both ordinary. */
+/** Whether both are the same type in the same zone, and both spot or both on-demand. */
 export const isSameOffer = (a: CapacityOffer, b: CapacityOffer): boolean =>
   a.type === b.type && a.zone === b.zone && a.spot === b.spot;
 
 /** The catalog's entry for this type name; undefined before the catalog was read or if it lacks the type. */
 export const machineTypeOf = (
-  context: Context,
+  ctx: Context,
   name: string,
 ): MachineType | undefined =>
-  context.catalog?.find((machineType) => machineType.name === name);
+  ctx.catalog?.find((machineType) => machineType.name === name);
 
-/** The offers in one partition's zones, and what refused rentals tell about their remaining stock. */
+/** The offers in one partition's zones, and what refused rentals show about their remaining stock. */
 export class CapacityOffers {
   private readonly soldOutUntilMs = new Map<string, number>();
   private readonly ceilings = new Map<string, OfferCeiling>();
 
   constructor(
-    private readonly context: Context,
+    private readonly ctx: Context,
     private readonly state: PartitionState,
     private readonly booting: ReadonlyMap<string, BootingMachine>,
     private readonly zones: () => string[],
@@ -97,7 +98,7 @@
    */
   noteSoldOut({ type, zone, spot }: CapacityOffer): void {
     const key = offerKey(type, zone, spot);
-    const { nowMs, settings, partitions, catalog } = this.context;
+    const { nowMs, settings, partitions, catalog } = this.ctx;
     this.ceilings.set(key, {
       type,
       zone,
@@ -135,7 +136,7 @@
   remainingByOffer(): Map<string, number> {
     const remainingByKey = new Map<string, number>();
     for (const [key, ceiling] of this.ceilings) {
-      if (ceiling.untilMs < this.context.nowMs) this.ceilings.delete(key);
+      if (ceiling.untilMs < this.ctx.nowMs) this.ceilings.delete(key);
       else
         remainingByKey.set(
           key,
@@ -149,27 +150,27 @@
   recentlySoldOut(): string[] {
     const keys: string[] = [];
     for (const [key, untilMs] of this.soldOutUntilMs)
-      if (untilMs + SOLD_OUT_REPORT_MS > this.context.nowMs) keys.push(key);
+      if (untilMs + SOLD_OUT_REPORT_MS > this.ctx.nowMs) keys.push(key);
     return keys;
   }
 
   private isSoldOut(type: string, zone: string, spot: boolean): boolean {
     const untilMs = this.soldOutUntilMs.get(offerKey(type, zone, spot)) ?? 0;
-    return untilMs > this.context.nowMs;
+    return untilMs > this.ctx.nowMs;
   }
 
   /** Whether the job may run on machines of this offer and would not waste their accelerators. */
   serves(spec: JobSpec, { type, zone, spot }: CapacityOffer): boolean {
-    const machineType = machineTypeOf(this.context, type) ?? null;
+    const machineType = machineTypeOf(this.ctx, type) ?? null;
     return (
       isAllowedOn(spec, type, zone, spot) &&
-      isSuitable(spec, machineType, spot, this.context.catalog)
+      isSuitable(spec, machineType, spot, this.ctx.catalog)
     );
   }
 
   /**
    * Offers in these zones that the job may use and that may have more machines than already planned. Ordered by the catalog,
-   * then by zone, spot before ordinary.
+   * then by zone, spot before on-demand.
    */
   *rentableOffers(
     spec: JobSpec,
@@ -177,7 +178,7 @@
     remainingByKey: ReadonlyMap<string, number>,
     planned: readonly PlannedRental[],
   ): Generator<RentableOffer> {
-    const { catalog } = this.context;
+    const { catalog } = this.ctx;
     for (const machineType of catalog ?? [])
       for (const zone of zones) {
         if (!canRunOn(spec, machineType, zone)) continue;
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -49,13 +49,13 @@
 /** The result of an attempt to place tasks of a job. */
 type PlacementResult =
   | { readonly kind: "placed"; readonly tasks: number }
-  /** No task of the job may start now, however much room there is. */
+  /** No task of the job may start now, however much capacity is free. */
   | { readonly kind: "notStartable" }
-  /** The machines have no room for it, or the room is reserved for it until it may start. */
-  | { readonly kind: "noRoom" };
+  /** There are not enough slots for it, or they are reserved for it until it may start. */
+  | { readonly kind: "noSlots" };
 
 const NOT_STARTABLE: PlacementResult = { kind: "notStartable" };
-const NO_ROOM: PlacementResult = { kind: "noRoom" };
+const NO_SLOTS: PlacementResult = { kind: "noSlots" };
 
 export class Scheduler {
   /** Number of rounds run so far, by which tests verify that heartbeats alone cause none. */
@@ -70,42 +70,38 @@
 
   constructor(
     private readonly ctx: Context,
-    private readonly partition: PartitionState,
+    private readonly state: PartitionState,
     private readonly quota: QuotaAllocator,
     private readonly guarantees: Guarantees,
     private readonly preemption: Preemption,
   ) {
-    this.attempts = new AttemptSequence(partition);
-    this.gangAssembly = new GangAssembly(ctx, partition, quota);
-    this.reservations = new GangReservations(partition);
-    this.machineSelector = new MachineSelector(
-      ctx,
-      partition,
-      this.reservations,
-    );
-    this.spreadGangs = new SpreadGangCoordinator(ctx, partition, this.attempts);
+    this.attempts = new AttemptSequence(state);
+    this.gangAssembly = new GangAssembly(ctx, state, quota);
+    this.reservations = new GangReservations(state);
+    this.machineSelector = new MachineSelector(ctx, state, this.reservations);
+    this.spreadGangs = new SpreadGangCoordinator(ctx, state, this.attempts);
   }
 
   /** Requests a round if the last one was long ago, and runs one if it is due. */
   tick(): void {
     if (this.ctx.nowMs - this.lastRoundMs >= IDLE_ROUND_INTERVAL_MS)
-      this.partition.needsScheduling = true;
+      this.state.needsScheduling = true;
     this.runRound();
   }
 
   /** Runs a scheduling round if one is needed and due. */
   runRound(): void {
     if (!this.isRoundDue()) return;
-    this.partition.needsScheduling = false;
+    this.state.needsScheduling = false;
     this.lastRoundMs = this.ctx.nowMs;
     this.rounds++;
     this.reservations.clear();
-    const ready = [...this.partition.jobs.values()].filter(
-      (job) => this.partition.mayStart(job) && !this.quota.isHeldBack(job),
+    const ready = [...this.state.jobs.values()].filter(
+      (job) => this.state.mayStart(job) && !this.quota.isHeldBack(job),
     );
     if (ready.length === 0) return;
     this.gangAssembly.update(ready);
-    const resources = roundResourcesOf(this.partition);
+    const resources = roundResourcesOf(this.state);
     const blocked = this.serveQueues(
       this.queuesOf(ready, resources),
       resources,
@@ -116,12 +112,12 @@
   private isRoundDue(): boolean {
     const intervalMs = Math.max(
       MIN_ROUND_INTERVAL_MS,
-      this.partition.jobs.size / JOBS_PER_MS_OF_INTERVAL,
+      this.state.jobs.size / JOBS_PER_MS_OF_INTERVAL,
     );
     return (
-      this.partition.needsScheduling &&
+      this.state.needsScheduling &&
       this.ctx.nowMs - this.lastRoundMs >= intervalMs &&
-      this.partition.mayAct()
+      this.state.mayAct()
     );
   }
 
@@ -147,14 +143,14 @@
     return {
       spec,
       effectivePriority: job.view,
-      remainingTasks: this.partition.unfinishedTasks(job),
+      remainingTasks: this.state.unfinishedTasks(job),
       late: isLate(spec, job.view, wallMs, settings.objectives),
       precedence: this.gangAssembly.precedenceOf(job),
       job,
     };
   }
 
-  /** Places tasks until no more can be placed; returns the first jobs without room, which may preempt others. */
+  /** Places tasks until no more can be placed; returns the first jobs that could not be placed, which may preempt others. */
   private serveQueues(
     round: SchedulingRound<ReadyJob>,
     resources: RoundResources,
@@ -167,7 +163,7 @@
     for (let head = round.head(); head; head = round.head()) {
       const { job, precedence } = head;
       const servesOneTask = precedence === "firstTask";
-      // A job for which preemption made room has capacity that others lack, so its result does not apply to them.
+      // A job for which preemption freed capacity has slots that others lack, so its result does not apply to them.
       const isComparable =
         precedence === "no" && !jobsWithReservation.has(job.id);
       const result = this.placeUnlessUnplaceable(
@@ -189,7 +185,7 @@
     return blocked;
   }
 
-  /** Places tasks of a job, unless it is comparable and this round had no room for a job that requests no more. */
+  /** Places tasks of a job, unless it is comparable and this round had not enough slots for a job that requests no more. */
   private placeUnlessUnplaceable(
     job: JobRun,
     maxTasks: number,
@@ -204,7 +200,7 @@
       return NOT_STARTABLE;
     const eligible = isShortJob ? resources.workers : resources.unreserved;
     const result = this.placeTasks(job, maxTasks, eligible, resources);
-    if (result.kind === "noRoom") unplaceable.add(spec, machineClass);
+    if (result.kind === "noSlots") unplaceable.add(spec, machineClass);
     return result;
   }
 
@@ -249,13 +245,13 @@
     );
     if (chosen.length === 0 || (isGang && chosen.length < taskCount)) {
       if (isGang && taskCount > 1) this.reserveForGang(job, chosen, resources);
-      return NO_ROOM;
+      return NO_SLOTS;
     }
     const attempt = this.nextAttempt(job);
     if (attempt === null) {
-      // The other parts of the gang are not ready yet, so the room for this one is reserved until they are.
+      // The other parts of the gang are not ready yet, so the slots for this one are reserved until they are.
       this.reservations.reserveFully(chosen, spec, resources.free);
-      return NO_ROOM;
+      return NO_SLOTS;
     }
     this.startTasks(job, indices, chosen, attempt, resources);
     return { kind: "placed", tasks: chosen.length };
@@ -266,7 +262,7 @@
     return (
       job.active.size === 0 &&
       job.waiting.size >= job.assigned.size &&
-      !this.partition.ledger.hasUnconfirmed(job.id)
+      !this.state.ledger.hasUnconfirmed(job.id)
     );
   }
 
@@ -289,7 +285,7 @@
 
   /** Selects up to `maxTasks` waiting tasks. Invariant (rule ran_twice): no task is started that may still be on some machine. */
   private startableTasks(job: JobRun, maxTasks: number): number[] {
-    const { ledger } = this.partition;
+    const { ledger } = this.state;
     const candidateCount =
       job.view.spec.kind === "gang"
         ? maxTasks
@@ -300,7 +296,7 @@
   }
 
   /**
-   * Reserves the room that a waiting gang could already use, so that jobs behind it do not get it. This does not begin at
+   * Reserves the slots that a waiting gang could already use, so that jobs behind it do not get them. This does not begin at
    * once, since a large gang that keeps machines idle delays many small ones, most of which would end before it starts.
    * `GangAssembly` determines when the gang must reserve in order to begin in time.
    */
@@ -371,13 +367,13 @@
       stop: null,
     };
     job.active.set(index, task);
-    this.partition.ledger.addTask(task);
+    this.state.ledger.addTask(task);
     worker.idleSinceMs = null;
     this.ctx.log("starting task", {
       task: taskKey(job.id, index),
       attempt,
       worker: worker.id,
     });
-    this.partition.workersWithPendingCommands.add(worker);
+    this.state.workersWithPendingCommands.add(worker);
   }
 }
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -181,7 +181,7 @@
   // Production ignores the teams' usage in a capacity record, and writes records without it.
   const extendedCapacity: CapacityRecord = {
     ...capacity,
-    rows: [{ ...capacity.rows[0]!, reclaimable: [[8, 0, 16, 1, 2, 3]] }],
+    rows: [{ ...capacity.rows[0]!, preemptible: [[8, 0, 16, 1, 2, 3]] }],
     queueByMinPriority: [
       [3, 2],
       [1, 2],
@@ -481,17 +481,17 @@
     );
     const record = capacityReport.currentWithinSizeLimit();
     const bytes = bytesOf(writeCapacity(record));
-    // Leaving the name of the field with reclaimable capacity out of the count made records up to 7 bytes too large for each row.
+    // Leaving the name of the field with preemptible capacity out of the count made records up to 7 bytes too large for each row.
     assert.ok(
       bytes <= limits.valueBytes && bytes > limits.valueBytes - 60,
       `${bytes} of ${limits.valueBytes}`,
     );
-    const rowsWithReclaimable = record.rows.filter(
-      (r) => r.reclaimable !== undefined,
+    const rowsWithPreemptible = record.rows.filter(
+      (r) => r.preemptible !== undefined,
     ).length;
     assert.ok(
-      rowsWithReclaimable > 0 && rowsWithReclaimable < 24,
-      `${rowsWithReclaimable} rows have reclaimable capacity`,
+      rowsWithPreemptible > 0 && rowsWithPreemptible < 24,
+      `${rowsWithPreemptible} rows have preemptible capacity`,
     );
   }
 });
