--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -425,7 +425,7 @@
   assert.deepEqual(old.readRoom(stored(writeCapacity(record))), oldRecord);
 });
 
-test("a capacity record uses the value size limit almost to the byte, with reclaimable capacity on as many rows as fit", () => {
+test("a capacity record uses the value size limit almost to the byte, with preemptible capacity on as many rows as fit", () => {
   for (let extraBytes = 0; extraBytes < 60; extraBytes++) {
     const limits = { valueBytes: 1_700 + extraBytes, txnOps: 4 };
     const task = {
