--- a/test/simulation/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -17,30 +17,30 @@
 import { World } from "./world.js";
 import { withoutCountCheck, withoutTakeoverFence } from "./guards.js";
 
-const DAY_MS = 240_000;
+const WORKLOAD_MS = 240_000;
 
-function day(seed: number, withFaults: boolean): World {
-  const w = new World(seed);
-  for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  submitWorkload(w, DAY_MS * 0.7);
-  if (withFaults) injectFaults(w, DAY_MS * 0.7);
-  w.run(DAY_MS);
-  return w;
+function runWorkload(seed: number, withFaults: boolean): World {
+  const world = new World(seed);
+  for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
+  submitWorkload(world, WORKLOAD_MS * 0.7);
+  if (withFaults) injectFaults(world, WORKLOAD_MS * 0.7);
+  world.run(WORKLOAD_MS);
+  return world;
 }
 
-const report = (w: World, seed: number): string =>
-  `seed ${seed}: ${w.checker.broken.join("; ")}\n${w.logs.slice(-30).join("\n")}`;
+const describeSeed = (world: World, seed: number): string =>
+  `seed ${seed}: ${world.checker.broken.join("; ")}\n${world.logs.slice(-30).join("\n")}`;
 
-test("a quiet day keeps the rules and finishes its work", () => {
+test("a workload without faults keeps the rules and finishes all jobs", () => {
   for (let seed = 1; seed <= 4; seed++) {
-    const w = day(seed, false);
-    assert.deepEqual(w.checker.broken, [], report(w, seed));
-    const open = w.checker.unfinished();
-    assert.ok(w.starts > 100, `only ${w.starts} starts`);
+    const world = runWorkload(seed, false);
+    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    const unfinished = world.checker.unfinished();
+    assert.ok(world.starts > 100, `only ${world.starts} starts`);
     assert.deepEqual(
-      open,
+      unfinished,
       [],
-      `unfinished: ${open.map((id) => JSON.stringify(w.specs.get(id))).join("\n")}\n${w.logs.slice(-20).join("\n")}`,
+      `unfinished: ${unfinished.map((id) => JSON.stringify(world.specs.get(id))).join("\n")}\n${world.logs.slice(-20).join("\n")}`,
     );
   }
 });
@@ -48,57 +48,58 @@
 test("workloads with many injected faults keep the rules", () => {
   let starts = 0;
   for (let seed = 100; seed < 125; seed++) {
-    const w = day(seed, true);
-    assert.deepEqual(w.checker.broken, [], report(w, seed));
-    starts += w.starts;
+    const world = runWorkload(seed, true);
+    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    starts += world.starts;
   }
   assert.ok(starts > 2_000, `only ${starts} starts`);
 });
 
 /** Hundreds of machines, and teams that may use most of them. */
 function largeWorld(seed: number, machines: number, controllers = 3): World {
-  const w = new World(seed, undefined, [], controllers);
-  w.capacity = machines;
-  w.settings.teams.set("red", {
+  const world = new World(seed, undefined, [], controllers);
+  world.capacity = machines;
+  world.settings.teams.set("red", {
     name: "red",
     cpus: machines * 8,
     gpus: 0,
     cpusMax: machines * 16,
     gpusMax: 6,
   });
-  w.settings.teams.set("blue", {
+  world.settings.teams.set("blue", {
     name: "blue",
     cpus: machines * 8,
     gpus: 0,
     cpusMax: machines * 20,
     gpusMax: Infinity,
   });
-  w.bootAll();
-  for (const z of w.zones)
-    for (let i = 0; i < machines; i++) w.cloud.add(w.types[0]!, z, false, 0);
-  return w;
+  world.bootAll();
+  for (const z of world.zones)
+    for (let i = 0; i < machines; i++)
+      world.cloud.add(world.types[0]!, z, false, 0);
+  return world;
 }
 
-test("large days with gangs of up to 16 and large arrays keep the rules", () => {
+test("large workloads with gangs of up to 16 and large arrays keep the rules", () => {
   for (let seed = 400; seed < 404; seed++) {
-    const w = largeWorld(seed, 50);
-    submitWorkload(w, 80_000, largeJob);
-    injectFaults(w, 90_000);
-    w.run(120_000);
-    assert.deepEqual(w.checker.broken, [], report(w, seed));
-    assert.ok(w.starts > 300, `only ${w.starts} starts`);
-    // Room leaves no machine out, however many there are: it once named forty at most. What is written of it fits: see the checker.
-    for (const n of w.nodes.values())
-      for (const m of n!.core.leaders.values()) {
-        const room = m.capacityReport.current();
-        for (const row of room.rows) {
-          const free = [...m.state.workers.values()].filter(
-            (x) =>
-              m.state.isUsable(x) &&
-              x.typeName === row.type &&
-              x.zone === row.zone &&
-              x.spot === row.spot &&
-              freeOn(x).cpus > 0,
+    const world = largeWorld(seed, 50);
+    submitWorkload(world, 80_000, largeJob);
+    injectFaults(world, 90_000);
+    world.run(120_000);
+    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    assert.ok(world.starts > 300, `only ${world.starts} starts`);
+    // The capacity report covers all machines, not only the first forty. The checker verifies that the stored report fits the limits.
+    for (const node of world.nodes.values())
+      for (const leader of node!.core.leaders.values()) {
+        const capacityReport = leader.capacityReport.current();
+        for (const row of capacityReport.rows) {
+          const free = [...leader.state.workers.values()].filter(
+            (worker) =>
+              leader.state.isUsable(worker) &&
+              worker.typeName === row.type &&
+              worker.zone === row.zone &&
+              worker.spot === row.spot &&
+              freeOn(worker).cpus > 0,
           );
           assert.equal(
             [...row.free, ...row.reserved].reduce((a, f) => a + f[3], 0),
@@ -109,32 +110,34 @@
   }
 });
 
-/** Controllers that stand still and zones that are cut off, among all the other injected faults. */
-function standingStill(seed: number): World {
-  const w = new World(seed, undefined, [], [1, 2, 3, 5][seed % 4]);
-  for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  // In a zone that no setting names.
-  w.cloud.add(w.types[0]!, "cellar", false, 0);
-  submitWorkload(w, 150_000);
-  injectFaults(w, 150_000);
-  injectLargeFaults(w, 160_000);
-  w.run(220_000);
-  return w;
+/** Pauses of controllers and cut-off zones, together with all other injected faults. */
+function withPausesAndZoneCuts(seed: number): World {
+  const world = new World(seed, undefined, [], [1, 2, 3, 5][seed % 4]);
+  for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
+  // A machine in a zone that the settings don't name.
+  world.cloud.add(world.types[0]!, "cellar", false, 0);
+  submitWorkload(world, 150_000);
+  injectFaults(world, 150_000);
+  injectLargeFaults(world, 160_000);
+  world.run(220_000);
+  return world;
 }
 
-test("controllers that stand still, zones cut off, machines dying together: the rules hold with 1, 2, 3 and 5 controllers", () => {
+test("paused controllers, zones cut off, machines failing together: the rules hold with 1, 2, 3 and 5 controllers", () => {
   let starts = 0;
-  let ended = 0;
+  let expiredLeases = 0;
   for (let seed = 520; seed < 544; seed++) {
-    const w = standingStill(seed);
-    assert.deepEqual(w.checker.broken, [], report(w, seed));
-    starts += w.starts;
-    ended += w.logs.filter((l) => l.includes("store lease expired")).length;
+    const world = withPausesAndZoneCuts(seed);
+    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    starts += world.starts;
+    expiredLeases += world.logs.filter((l) =>
+      l.includes("store lease expired"),
+    ).length;
   }
   assert.ok(starts > 1_500, `only ${starts} starts`);
   assert.ok(
-    ended > 20,
-    `only ${ended} holds ended: nobody stood still for long enough`,
+    expiredLeases > 20,
+    `only ${expiredLeases} store leases expired: no controller paused for long enough`,
   );
 });
 
@@ -145,117 +148,123 @@
     [531, 2],
     [532, 5],
   ] as const) {
-    const w = largeWorld(seed, 75, controllers);
-    submitWorkload(w, 60_000, largeJob);
-    injectFaults(w, 70_000);
-    injectLargeFaults(w, 80_000);
-    w.run(110_000);
-    assert.deepEqual(w.checker.broken, [], report(w, seed));
-    starts += w.starts;
+    const world = largeWorld(seed, 75, controllers);
+    submitWorkload(world, 60_000, largeJob);
+    injectFaults(world, 70_000);
+    injectLargeFaults(world, 80_000);
+    world.run(110_000);
+    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    starts += world.starts;
   }
   assert.ok(starts > 500, `only ${starts} starts`);
 });
 
-test("what is kept up to date as tasks come and go equals a fresh count after every step", () => {
+test("incrementally updated counts equal a fresh count after every step", () => {
   for (let seed = 300; seed < 304; seed++) {
-    const w = new World(seed);
-    w.afterStep = (core) => {
-      for (const m of core.leaders.values()) {
-        const teams = new Map<string, number>();
-        const unconfirmed = new Map<string, number>();
-        for (const x of m.state.workers.values()) {
-          for (const t of x.tasks.values())
-            teams.set(
-              t.job.view.spec.team,
-              (teams.get(t.job.view.spec.team) ?? 0) + t.job.view.spec.cpus,
+    const world = new World(seed);
+    world.afterStep = (core) => {
+      for (const leader of core.leaders.values()) {
+        const cpusByTeam = new Map<string, number>();
+        const unconfirmedByJob = new Map<string, number>();
+        for (const worker of leader.state.workers.values()) {
+          for (const task of worker.tasks.values())
+            cpusByTeam.set(
+              task.job.view.spec.team,
+              (cpusByTeam.get(task.job.view.spec.team) ?? 0) +
+                task.job.view.spec.cpus,
             );
-          for (const s of x.unconfirmedTasks.values()) {
-            unconfirmed.set(s.job, (unconfirmed.get(s.job) ?? 0) + 1);
-            if (s.need)
-              teams.set(
-                s.need.team,
-                (teams.get(s.need.team) ?? 0) + s.need.cpus,
+          for (const unconfirmedTask of worker.unconfirmedTasks.values()) {
+            unconfirmedByJob.set(
+              unconfirmedTask.job,
+              (unconfirmedByJob.get(unconfirmedTask.job) ?? 0) + 1,
+            );
+            if (unconfirmedTask.need)
+              cpusByTeam.set(
+                unconfirmedTask.need.team,
+                (cpusByTeam.get(unconfirmedTask.need.team) ?? 0) +
+                  unconfirmedTask.need.cpus,
               );
           }
-          assert.ok(freeOn(x).cpus <= (x.type?.cpus ?? 0));
-          const kept = freeOn(x);
-          x.free = null;
-          assert.deepEqual(freeOn(x), kept);
+          assert.ok(freeOn(worker).cpus <= (worker.type?.cpus ?? 0));
+          const cachedFree = freeOn(worker);
+          worker.free = null;
+          assert.deepEqual(freeOn(worker), cachedFree);
         }
-        for (const [team, u] of m.state.ledger.useByTeam())
+        for (const [team, use] of leader.state.ledger.useByTeam())
           assert.ok(
-            Math.abs(u.cpus - (teams.get(team) ?? 0)) < 1e-6,
-            `${team}: ${u.cpus}`,
+            Math.abs(use.cpus - (cpusByTeam.get(team) ?? 0)) < 1e-6,
+            `${team}: ${use.cpus}`,
           );
-        for (const [team, cpus] of teams)
+        for (const [team, cpus] of cpusByTeam)
           assert.ok(
-            Math.abs((m.state.ledger.useByTeam().get(team)?.cpus ?? 0) - cpus) <
-              1e-6,
+            Math.abs(
+              (leader.state.ledger.useByTeam().get(team)?.cpus ?? 0) - cpus,
+            ) < 1e-6,
             `${team}: ${cpus}`,
           );
-        for (const [job, n] of unconfirmed)
-          assert.equal(m.state.ledger.unconfirmedOfJob(job).size, n);
+        for (const [job, n] of unconfirmedByJob)
+          assert.equal(leader.state.ledger.unconfirmedOfJob(job).size, n);
         for (const id of core.cache.jobs.keys())
           assert.equal(
-            m.state.ledger.unconfirmedOfJob(id).size,
-            unconfirmed.get(id) ?? 0,
+            leader.state.ledger.unconfirmedOfJob(id).size,
+            unconfirmedByJob.get(id) ?? 0,
           );
       }
     };
-    for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-    submitWorkload(w, 60_000);
-    injectFaults(w, 70_000);
-    w.run(90_000);
-    assert.ok(w.starts > 30);
+    for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
+    submitWorkload(world, 60_000);
+    injectFaults(world, 70_000);
+    world.run(90_000);
+    assert.ok(world.starts > 30);
   }
 });
 
-test("reports make no placing passes of their own, however many machines and waiting jobs there are", () => {
-  const passes = (machines: number, jobs: number): number => {
-    const w = largeWorld(5, machines);
-    w.loss = 0;
-    for (let n = 1; n <= jobs; n++) {
-      // More than any team may ever use here at once, so that they wait all the time.
+test("heartbeats cause no scheduling rounds of their own, however many machines and waiting jobs there are", () => {
+  const schedulingRounds = (machines: number, jobs: number): number => {
+    const world = largeWorld(5, machines);
+    world.loss = 0;
+    for (let jobNumber = 1; jobNumber <= jobs; jobNumber++) {
+      // Too many tasks for any team's limit, so that the jobs wait all the time.
       const spec = {
-        ...largeJob(w, n),
+        ...largeJob(world, jobNumber),
         kind: "service" as const,
         tasks: 90,
         cpus: 6,
         samePlace: false,
         spot: false,
       };
-      w.specs.set(spec.id, spec);
-      w.at(2_000 + n * 20, () =>
-        w.ask(
+      world.specs.set(spec.id, spec);
+      world.at(2_000 + jobNumber * 20, () =>
+        world.ask(
           "node-a",
           (reqId) => ({ type: "submit", reqId, spec }),
           () => {},
         ),
       );
     }
-    w.run(60_000);
-    const before = [...w.nodes.values()].map((n) =>
+    world.run(60_000);
+    const before = [...world.nodes.values()].map((n) =>
       [...n!.core.leaders.values()].reduce((a, m) => a + m.schedulingRounds, 0),
     );
-    w.run(80_000);
-    const after = [...w.nodes.values()].map((n) =>
+    world.run(80_000);
+    const after = [...world.nodes.values()].map((n) =>
       [...n!.core.leaders.values()].reduce((a, m) => a + m.schedulingRounds, 0),
     );
     return Math.max(...after.map((a, i) => a - before[i]!));
   };
-  const small = passes(4, 10);
-  const large = passes(40, 60);
-  assert.ok(small > 5, `${small} passes: nothing waits`);
-  assert.ok(large <= small + 10, `${large} passes against ${small}`);
+  const small = schedulingRounds(4, 10);
+  const large = schedulingRounds(40, 60);
+  assert.ok(small > 5, `${small} scheduling rounds: nothing waits`);
+  assert.ok(large <= small + 10, `${large} scheduling rounds against ${small}`);
 });
 
-test("what is finished of an array is written in batches, and its end at once", () => {
-  const w = new World(13);
-  w.loss = 0;
-  w.capacity = 4;
-  for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
+test("completed tasks of an array are written in batches, and its end at once", () => {
+  const world = new World(13);
+  world.loss = 0;
+  world.capacity = 4;
+  for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
   const spec = {
-    ...randomJob(w, 1),
+    ...randomJob(world, 1),
     kind: "array" as const,
     tasks: 200,
     cpus: 1,
@@ -266,56 +275,58 @@
     spread: false,
     team: "blue",
   };
-  w.specs.set(spec.id, spec);
-  let toldMs = 0;
+  world.specs.set(spec.id, spec);
+  let reportedDoneMs = 0;
   const poll = (): void => {
-    const askedMs = w.now;
-    w.ask(
+    const askedMs = world.now;
+    world.ask(
       "node-c",
       (reqId) => ({ type: "status", reqId, id: spec.id }),
-      (a) => {
-        if (a?.kind === "job") w.checker.answered(spec.id, a.state, askedMs);
-        if (a?.kind === "job" && a.state === "done") toldMs ||= w.now;
+      (answer) => {
+        if (answer?.kind === "job")
+          world.checker.answered(spec.id, answer.state, askedMs);
+        if (answer?.kind === "job" && answer.state === "done")
+          reportedDoneMs ||= world.now;
       },
     );
-    if (toldMs === 0) w.at(200, poll);
+    if (reportedDoneMs === 0) world.at(200, poll);
   };
   let endedMs = 0;
-  w.afterStep = () =>
-    void (endedMs ||= w.results.size === spec.tasks ? w.now : 0);
-  w.at(3_000, () =>
-    w.ask(
+  world.afterStep = () =>
+    void (endedMs ||= world.results.size === spec.tasks ? world.now : 0);
+  world.at(3_000, () =>
+    world.ask(
       "node-b",
       (reqId) => ({ type: "submit", reqId, spec }),
       () => poll(),
     ),
   );
-  w.run(200_000);
-  assert.deepEqual(w.checker.broken, [], report(w, 13));
+  world.run(200_000);
+  assert.deepEqual(world.checker.broken, [], describeSeed(world, 13));
   assert.ok(
-    endedMs > 20_000 && toldMs > 0 && toldMs < endedMs + 3_000,
-    `ended ${endedMs}, told ${toldMs}`,
+    endedMs > 20_000 && reportedDoneMs > 0 && reportedDoneMs < endedMs + 3_000,
+    `ended ${endedMs}, reported ${reportedDoneMs}`,
   );
-  const fins = w.checker.writes.get("fin") ?? 0;
-  // Three groups, two blocks each, once in 1.5 s; a write a report made some 150.
+  const completionWrites = world.checker.writesByKind.get("fin") ?? 0;
+  // Three partitions write once per 1.5 s, of two blocks each. One write per heartbeat would make about 150.
   assert.ok(
-    fins < 3 * (endedMs / 1_500 + 2) && fins < 100,
-    `${fins} writes of finished ranges`,
+    completionWrites < 3 * (endedMs / 1_500 + 2) && completionWrites < 100,
+    `${completionWrites} writes of completion records`,
   );
 });
 
-test("a gang with spread whose groups have one zone each runs in parts, also over crashes", () => {
+test("a gang with spread runs in parts in two partitions with one zone each, also across crashes", () => {
   for (let seed = 500; seed < 506; seed++) {
-    const w = new World(seed);
-    w.capacity = 4;
+    const world = new World(seed);
+    world.capacity = 4;
     for (const z of ["east", "mid"])
-      for (let i = 0; i < 2; i++) w.cloud.add(w.types[1]!, z, false, 0);
-    for (let n = 1; n <= 5; n++) {
-      // Only the big type has accelerators, in one zone of node-a and one of node-b.
+      for (let i = 0; i < 2; i++) world.cloud.add(world.types[1]!, z, false, 0);
+    for (let jobNumber = 1; jobNumber <= 5; jobNumber++) {
+      // Only the big type has GPUs, in one zone of node-a and one of node-b.
       const spec = {
-        ...randomJob(w, n),
+        ...randomJob(world, jobNumber),
         kind: "gang" as const,
-        tasks: 2 + (n % 3),
+        tasks: 2 + (jobNumber % 3),
         cpus: 2,
         gpus: 1,
         machineTypes: null,
@@ -324,65 +335,68 @@
         spread: true,
         team: "blue",
       };
-      w.specs.set(spec.id, spec);
-      w.at(3_000 + n * 500, () =>
-        w.ask(
+      world.specs.set(spec.id, spec);
+      world.at(3_000 + jobNumber * 500, () =>
+        world.ask(
           "node-c",
           (reqId) => ({ type: "submit", reqId, spec }),
           (a) =>
-            a?.kind === "job" && w.checker.answered(spec.id, a.state, w.now),
+            a?.kind === "job" &&
+            world.checker.answered(spec.id, a.state, world.now),
         ),
       );
     }
     if (seed >= 502) {
-      const at = w.rng.real(4_000, 12_000);
-      const node = w.rng.pick(["node-a", "node-b"]);
-      w.at(at, () => w.crash(node));
-      w.at(at + 6_000, () => w.nodes.get(node) ?? w.boot(node));
+      const at = world.rng.real(4_000, 12_000);
+      const node = world.rng.pick(["node-a", "node-b"]);
+      world.at(at, () => world.crash(node));
+      world.at(at + 6_000, () => world.nodes.get(node) ?? world.boot(node));
     }
-    w.run(150_000);
-    assert.deepEqual(w.checker.broken, [], report(w, seed));
-    for (const [id, spec] of w.specs)
+    world.run(150_000);
+    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    for (const [id, spec] of world.specs)
       for (let i = 0; i < spec.tasks; i++)
         assert.ok(
-          w.results.has(`${id}/${i}`),
-          `seed ${seed}: ${id}/${i} of ${spec.tasks} never ran\n${w.logs.slice(-20).join("\n")}`,
+          world.results.has(`${id}/${i}`),
+          `seed ${seed}: ${id}/${i} of ${spec.tasks} never ran\n${world.logs.slice(-20).join("\n")}`,
         );
   }
 });
 
-test("more unfinished jobs than memory allows are refused at once, known ones are still answered", () => {
-  const w = new World(6);
-  w.settings.memMb = 0.1;
-  w.bootAll();
-  const got: string[] = [];
-  for (let n = 1; n <= 9; n++) {
+test("more unfinished jobs than memory allows are rejected at once, accepted ones are still answered", () => {
+  const world = new World(6);
+  world.settings.memMb = 0.1;
+  world.bootAll();
+  const outcomes: string[] = [];
+  for (let jobNumber = 1; jobNumber <= 9; jobNumber++) {
     const spec = {
-      ...randomJob(w, n),
+      ...randomJob(world, jobNumber),
       kind: "service" as const,
       tasks: 1,
       cpus: 1,
       gpus: 0,
       machineTypes: null,
     };
-    w.specs.set(spec.id, spec);
-    const ask = (): void => {
-      const askedMs = w.now;
-      w.ask(
+    world.specs.set(spec.id, spec);
+    const submitOnce = (): void => {
+      const askedMs = world.now;
+      world.ask(
         "node-a",
         (reqId) => ({ type: "submit", reqId, spec }),
-        (a) => {
-          got.push(`${n}: ${a?.kind === "job" ? a.status : a?.kind}`);
-          assert.ok(w.now - askedMs < 1_000, "at once");
-          if (a?.kind === "retryLater") assert.ok(a.afterS >= 1);
+        (answer) => {
+          outcomes.push(
+            `${jobNumber}: ${answer?.kind === "job" ? answer.status : answer?.kind}`,
+          );
+          assert.ok(world.now - askedMs < 1_000, "at once");
+          if (answer?.kind === "retryLater") assert.ok(answer.afterS >= 1);
         },
       );
     };
-    w.at(5_000 + n * 500, ask);
-    if (n === 1) w.at(12_000, ask);
+    world.at(5_000 + jobNumber * 500, submitOnce);
+    if (jobNumber === 1) world.at(12_000, submitOnce);
   }
-  w.run(15_000);
-  assert.deepEqual(got, [
+  world.run(15_000);
+  assert.deepEqual(outcomes, [
     "1: 201",
     "2: 201",
     "3: 201",
@@ -396,34 +410,36 @@
   ]);
 });
 
-/** Breaks something on purpose and expects the checker to notice within some seeds. */
-function expectDetected(rule: string, breakIt: () => () => void): void {
-  const mend = breakIt();
+/** Switches a guard off and expects the checker to detect the broken rule for one of 40 seeds. */
+function expectDetected(rule: string, switchOff: () => () => void): void {
+  const restore = switchOff();
   try {
     for (let seed = 200; seed < 240; seed++)
-      if (day(seed, true).checker.broken.some((b) => b.startsWith(rule)))
+      if (
+        runWorkload(seed, true).checker.broken.some((b) => b.startsWith(rule))
+      )
         return;
   } finally {
-    mend();
+    restore();
   }
   assert.fail(`${rule} was not detected`);
 }
 
-test("a team's limit is not handed to and fro between groups whose jobs wait for machines, and both run once there are some", () => {
-  const w = new World(21);
-  w.loss = 0;
-  w.capacity = 0;
-  w.settings.teams.set("red", {
+test("a team's limit is not passed back and forth between partitions whose jobs wait for machines, and both run once there are some", () => {
+  const world = new World(21);
+  world.loss = 0;
+  world.capacity = 0;
+  world.settings.teams.set("red", {
     name: "red",
     cpus: 0,
     gpus: 0,
     cpusMax: 40,
     gpusMax: Infinity,
   });
-  w.bootAll();
-  // Each fits into the whole limit, and both together don't.
-  const gang = (n: number, zone: string): JobSpec => ({
-    ...randomJob(w, n),
+  world.bootAll();
+  // Each gang alone fits into the limit, but not both together.
+  const gang = (jobNumber: number, zone: string): JobSpec => ({
+    ...randomJob(world, jobNumber),
     team: "red",
     kind: "gang",
     tasks: 3,
@@ -437,42 +453,42 @@
     estimateS: 10,
     checkpointS: 0,
   });
-  for (const [n, zone] of [
+  for (const [jobNumber, zone] of [
     [1, "east"],
     [2, "mid"],
   ] as const) {
-    const spec = gang(n, zone);
-    w.specs.set(spec.id, spec);
-    w.at(5_000 + n * 1_000, () =>
-      w.ask(
+    const spec = gang(jobNumber, zone);
+    world.specs.set(spec.id, spec);
+    world.at(5_000 + jobNumber * 1_000, () =>
+      world.ask(
         "node-c",
         (reqId) => ({ type: "submit", reqId, spec }),
         (a) => assert.equal(a?.kind, "job"),
       ),
     );
   }
-  w.run(65_000);
-  const given = (): number =>
-    w.logs.filter((l) => l.includes("transferring quota")).length;
-  assert.ok(given() <= 40, `handed over ${given()} times`);
-  w.capacity = 3;
-  w.run(140_000);
-  assert.deepEqual(w.checker.broken, [], report(w, 21));
+  world.run(65_000);
+  const transfers = (): number =>
+    world.logs.filter((l) => l.includes("transferring quota")).length;
+  assert.ok(transfers() <= 40, `transferred ${transfers()} times`);
+  world.capacity = 3;
+  world.run(140_000);
+  assert.deepEqual(world.checker.broken, [], describeSeed(world, 21));
   for (const id of ["req-000001", "req-000002"])
     for (let i = 0; i < 3; i++)
       assert.ok(
-        w.results.has(`${id}/${i}`),
-        `${id}\n${w.logs.slice(-20).join("\n")}`,
+        world.results.has(`${id}/${i}`),
+        `${id}\n${world.logs.slice(-20).join("\n")}`,
       );
 });
 
-test("while memory is short new jobs are refused, known ones answered, cancelled and finished", () => {
-  const w = new World(8);
-  w.loss = 0;
-  for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  const got: string[] = [];
-  const spec = (n: number): JobSpec => ({
-    ...randomJob(w, n),
+test("while memory is low new jobs are rejected, accepted ones are answered, cancelled and finished", () => {
+  const world = new World(8);
+  world.loss = 0;
+  for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
+  const outcomes: string[] = [];
+  const spec = (jobNumber: number): JobSpec => ({
+    ...randomJob(world, jobNumber),
     kind: "array",
     tasks: 1,
     cpus: 1,
@@ -481,38 +497,45 @@
     zone: null,
     spread: false,
   });
-  const ask = (atMs: number, n: number, what: "submit" | "cancel"): void =>
-    w.at(atMs, () => {
-      const s = spec(n);
-      w.specs.set(s.id, w.specs.get(s.id) ?? s);
-      w.ask(
+  const ask = (
+    atMs: number,
+    jobNumber: number,
+    request: "submit" | "cancel",
+  ): void =>
+    world.at(atMs, () => {
+      const job = spec(jobNumber);
+      world.specs.set(job.id, world.specs.get(job.id) ?? job);
+      world.ask(
         "node-a",
         (reqId) =>
-          what === "submit"
-            ? { type: "submit", reqId, spec: w.specs.get(s.id)! }
-            : { type: "cancel", reqId, id: s.id },
-        (a) =>
-          got.push(
-            `${n}: ${a?.kind === "job" ? `${a.status} ${a.state}` : a?.kind}`,
+          request === "submit"
+            ? { type: "submit", reqId, spec: world.specs.get(job.id)! }
+            : { type: "cancel", reqId, id: job.id },
+        (answer) =>
+          outcomes.push(
+            `${jobNumber}: ${answer?.kind === "job" ? `${answer.status} ${answer.state}` : answer?.kind}`,
           ),
       );
     });
-  const memory = (atMs: number, short: boolean): void =>
-    w.at(atMs, () =>
-      w.feed("node-a", w.nodes.get("node-a")!.life, { type: "memory", short }),
+  const reportMemory = (atMs: number, short: boolean): void =>
+    world.at(atMs, () =>
+      world.feed("node-a", world.nodes.get("node-a")!.life, {
+        type: "memory",
+        short,
+      }),
     );
   ask(5_000, 1, "submit");
   ask(5_100, 2, "submit");
-  memory(6_000, true);
+  reportMemory(6_000, true);
   ask(6_500, 3, "submit");
   ask(6_600, 2, "submit");
   ask(6_700, 2, "cancel");
   ask(30_000, 1, "submit");
-  memory(31_000, false);
+  reportMemory(31_000, false);
   ask(31_500, 3, "submit");
-  w.run(33_000);
+  world.run(33_000);
   assert.deepEqual(
-    got.map((x) => x.replace("running", "queued")),
+    outcomes.map((x) => x.replace("running", "queued")),
     [
       "1: 201 queued",
       "2: 201 queued",
@@ -525,29 +548,29 @@
   );
 });
 
-test("the checker detects a leader without a takeover fence", () => {
+test("the checker detects a leader without a failover fence", () => {
   expectDetected("ran_twice", withoutTakeoverFence);
 });
 
 test("the checker detects quota shares that ignore the other partitions", () => {
   expectDetected("quota", () => {
-    const before = QuotaAllocator.prototype.share;
+    const original = QuotaAllocator.prototype.share;
     QuotaAllocator.prototype.share = function (team) {
-      const [c, g] = before.call(this, team);
-      return [c * 3, g * 3];
+      const [cpus, gpus] = original.call(this, team);
+      return [cpus * 3, gpus * 3];
     };
-    return () => (QuotaAllocator.prototype.share = before);
+    return () => (QuotaAllocator.prototype.share = original);
   });
 });
 
-/** A master that the state service refuses for a minute, while a job on its machines is cancelled elsewhere. */
-function cancelBehindBack(invariants = true): World {
-  const w = new World(7);
-  w.checker.invariants = invariants;
-  w.loss = 0;
-  for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
+/** A leader that the state service refuses for a minute, while a job on its machines is cancelled at another controller. */
+function cancelWhileLeaderRefused(invariants = true): World {
+  const world = new World(7);
+  world.checker.invariants = invariants;
+  world.loss = 0;
+  for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
   const spec = {
-    ...randomJob(w, 1),
+    ...randomJob(world, 1),
     kind: "service" as const,
     tasks: 1,
     cpus: 2,
@@ -557,81 +580,83 @@
     samePlace: false,
     spread: false,
   };
-  w.specs.set(spec.id, spec);
-  w.at(3_000, () =>
-    w.ask(
+  world.specs.set(spec.id, spec);
+  world.at(3_000, () =>
+    world.ask(
       "node-b",
       (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job"),
     ),
   );
-  w.at(15_000, () => w.stateCut.set("node-a", "refused"));
-  w.at(16_000, () => {
-    assert.ok(w.starts > 0, "the job runs");
-    w.checker.asked.add(spec.id);
-    w.ask(
+  world.at(15_000, () => world.stateCut.set("node-a", "refused"));
+  world.at(16_000, () => {
+    assert.ok(world.starts > 0, "the job runs");
+    world.checker.asked.add(spec.id);
+    world.ask(
       "node-b",
       (reqId) => ({ type: "cancel", reqId, id: spec.id }),
-      (a) => a?.kind === "job" && w.checker.answered(spec.id, a.state, w.now),
+      (a) =>
+        a?.kind === "job" &&
+        world.checker.answered(spec.id, a.state, world.now),
     );
   });
-  w.at(75_000, () => w.stateCut.delete("node-a"));
-  w.run(90_000);
-  assert.equal(w.checker.told.get(spec.id), "cancelled");
-  return w;
+  world.at(75_000, () => world.stateCut.delete("node-a"));
+  world.run(90_000);
+  assert.equal(world.checker.told.get(spec.id), "cancelled");
+  return world;
 }
 
-test("a master that can't read cancellations lets its leases run out in time", () => {
-  const w = cancelBehindBack();
-  assert.deepEqual(w.checker.broken, [], report(w, 7));
+test("a leader that can't read cancellations lets its leases expire in time", () => {
+  const world = cancelWhileLeaderRefused();
+  assert.deepEqual(world.checker.broken, [], describeSeed(world, 7));
 });
 
 test("the checker detects commands without a leadership lease", () => {
-  const before = Leadership.prototype.mayAct;
-  const leave = Controller.prototype.maySend;
+  const mayAct = Leadership.prototype.mayAct;
+  const maySend = Controller.prototype.maySend;
   Leadership.prototype.mayAct = () => true;
   Controller.prototype.maySend = () => true;
   try {
     assert.match(
-      cancelBehindBack(false).checker.broken.join(),
+      cancelWhileLeaderRefused(false).checker.broken.join(),
       /ran_cancelled/,
     );
   } finally {
-    Leadership.prototype.mayAct = before;
-    Controller.prototype.maySend = leave;
+    Leadership.prototype.mayAct = mayAct;
+    Controller.prototype.maySend = maySend;
   }
 });
 
-/** One controller after the other can't reach the state service for longer than a cancellation may take; some stand still meanwhile. */
-function outOfTouch(seed: number, invariants: boolean): World {
-  const w = new World(seed);
-  w.checker.invariants = invariants;
-  for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  submitWorkload(w, 150_000);
-  for (let at = 15_000; at < 150_000; at += 45_000) {
-    const node = w.rng.pick(w.names);
-    w.at(at, () =>
-      w.stateCut.set(node, w.rng.pick(["refused", "held"] as const)),
+/** One controller after the other can't reach the state service for 40 s, longer than a cancellation may take, and pauses meanwhile. */
+function withUnreachableStore(seed: number, invariants: boolean): World {
+  const world = new World(seed);
+  world.checker.invariants = invariants;
+  for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
+  submitWorkload(world, 150_000);
+  for (let atMs = 15_000; atMs < 150_000; atMs += 45_000) {
+    const node = world.rng.pick(world.names);
+    world.at(atMs, () =>
+      world.stateCut.set(node, world.rng.pick(["refused", "held"] as const)),
     );
-    w.at(at + w.rng.real(0, 20_000), () =>
-      w.freeze(node, w.rng.real(1_000, 15_000)),
+    world.at(atMs + world.rng.real(0, 20_000), () =>
+      world.freeze(node, world.rng.real(1_000, 15_000)),
     );
-    w.at(at + 40_000, () => w.stateCut.delete(node));
+    world.at(atMs + 40_000, () => world.stateCut.delete(node));
   }
-  w.run(180_000);
-  return w;
+  world.run(180_000);
+  return world;
 }
 
-test("the checker detects a leadership lease whose age nobody checks", () => {
-  const age = Object.getOwnPropertyDescriptor(
+test("the checker detects a leadership lease whose age is not checked", () => {
+  const descriptor = Object.getOwnPropertyDescriptor(
     Leadership.prototype,
     "leadershipLeaseUntilMs",
   )!;
-  const broken = (invariants: boolean): string[] =>
+  const brokenRules = (invariants: boolean): string[] =>
     Array.from({ length: 12 }, (_, k) =>
-      outOfTouch(600 + k, invariants).checker.broken.join(),
+      withUnreachableStore(600 + k, invariants).checker.broken.join(),
     ).filter((x) => x !== "");
-  assert.deepEqual(broken(true), []);
+  assert.deepEqual(brokenRules(true), []);
   Object.defineProperty(Leadership.prototype, "leadershipLeaseUntilMs", {
     configurable: true,
     get(this: { storeLease: number | null }) {
@@ -639,27 +664,32 @@
     },
   });
   try {
-    const without = broken(false);
+    const brokenWithoutCheck = brokenRules(false);
     assert.ok(
-      without.length >= 3 && without.join().includes("ran_cancelled"),
-      without.join("\n"),
+      brokenWithoutCheck.length >= 3 &&
+        brokenWithoutCheck.join().includes("ran_cancelled"),
+      brokenWithoutCheck.join("\n"),
     );
   } finally {
-    Object.defineProperty(Leadership.prototype, "leadershipLeaseUntilMs", age);
+    Object.defineProperty(
+      Leadership.prototype,
+      "leadershipLeaseUntilMs",
+      descriptor,
+    );
   }
 });
 
-test("a put attached to a hold that ended is told from a mistake, and the next hold is asked for at once", () => {
-  const w = new World(17);
-  w.loss = 0;
-  w.run(5_000);
-  const node = w.nodes.get("node-a")!;
+test("a put attached to an expired store lease is recognized as such, and a new lease is requested at once", () => {
+  const world = new World(17);
+  world.loss = 0;
+  world.run(5_000);
+  const node = world.nodes.get("node-a")!;
   const { leadership } = node.core;
-  // Back from standing still, it writes before it touches its hold.
+  // After a pause it writes before it renews its store lease.
   const { storeLease } = leadership as unknown as { storeLease: number };
-  w.state.holds.get(storeLease)!.endsMs = w.now;
-  w.state.tick();
-  w.at(0, () =>
+  world.state.storeLeases.get(storeLease)!.endsMs = world.now;
+  world.state.tick();
+  world.at(0, () =>
     node.core.commit(
       [],
       [
@@ -674,36 +704,40 @@
       () => {},
     ),
   );
-  w.at(1, () =>
-    w.ask(
+  world.at(1, () =>
+    world.ask(
       "node-a",
       (reqId) => ({ type: "status", reqId, id: "req-1" }),
       () => {},
     ),
   );
-  w.run(5_200);
+  world.run(5_200);
   assert.ok(
-    w.logs.some((l) => l.includes("store lease expired")),
-    w.logs.join("\n"),
+    world.logs.some((l) => l.includes("store lease expired")),
+    world.logs.join("\n"),
   );
   assert.ok(
-    !w.logs.some((l) => l.includes("transaction rejected by the store")),
+    !world.logs.some((l) => l.includes("transaction rejected by the store")),
   );
-  w.run(7_000);
+  world.run(7_000);
   assert.notEqual(
     (leadership as unknown as { storeLease: number | null }).storeLease,
     storeLease,
   );
-  assert.ok(leadership.tokenOf("node-a") !== null, "it has its group again");
+  assert.ok(
+    leadership.tokenOf("node-a") !== null,
+    "it leads its partition again",
+  );
 });
 
-test("a gang of higher urgency gets its room where nothing more can be rented, single tasks being stopped for it", () => {
-  const w = new World(9);
-  w.loss = 0;
-  w.capacity = 2;
-  for (let i = 0; i < 2; i++) w.cloud.add(w.types[0]!, "west", false, 0);
-  const spec = (n: number, over: object) => ({
-    ...randomJob(w, n),
+test("a gang of higher priority preempts other tasks where no more machines can be rented", () => {
+  const world = new World(9);
+  world.loss = 0;
+  world.capacity = 2;
+  for (let i = 0; i < 2; i++)
+    world.cloud.add(world.types[0]!, "west", false, 0);
+  const spec = (jobNumber: number, overrides: object) => ({
+    ...randomJob(world, jobNumber),
     cpus: 6,
     gpus: 0,
     machineTypes: ["small"],
@@ -713,41 +747,45 @@
     spot: false,
     team: "blue",
     checkpointS: 0,
-    ...over,
+    ...overrides,
+  });
+  const lowPriority = spec(1, {
+    kind: "service",
+    tasks: 2,
+    priority: "best_effort",
   });
-  const low = spec(1, { kind: "service", tasks: 2, priority: "best_effort" });
   const gang = spec(2, { kind: "gang", tasks: 2, priority: "high" });
-  for (const [s, at] of [
-    [low, 3_000],
+  for (const [job, at] of [
+    [lowPriority, 3_000],
     [gang, 20_000],
   ] as const) {
-    w.specs.set(s.id, s);
-    w.at(at, () =>
-      w.ask(
+    world.specs.set(job.id, job);
+    world.at(at, () =>
+      world.ask(
         "node-b",
-        (reqId) => ({ type: "submit", reqId, spec: s }),
+        (reqId) => ({ type: "submit", reqId, spec: job }),
         (a) => assert.equal(a?.kind, "job"),
       ),
     );
   }
-  w.run(19_000);
-  assert.equal(w.starts, 2, "both replicas run");
-  w.run(70_000);
-  assert.deepEqual(w.checker.broken, [], report(w, 9));
+  world.run(19_000);
+  assert.equal(world.starts, 2, "both replicas run");
+  world.run(70_000);
+  assert.deepEqual(world.checker.broken, [], describeSeed(world, 9));
   assert.ok(
-    w.results.has(`${gang.id}/0`) && w.results.has(`${gang.id}/1`),
-    w.logs.slice(-15).join("\n"),
+    world.results.has(`${gang.id}/0`) && world.results.has(`${gang.id}/1`),
+    world.logs.slice(-15).join("\n"),
   );
 });
 
 test("a takeover does not wait for machines that were gone before it", () => {
-  const w = new World(11);
-  w.loss = 0;
-  const [dead] = [0, 1, 2].map(() =>
-    w.cloud.add(w.types[0]!, "east", false, 0),
+  const world = new World(11);
+  world.loss = 0;
+  const [deadMachine] = [0, 1, 2].map(() =>
+    world.cloud.add(world.types[0]!, "east", false, 0),
   );
   const spec = {
-    ...randomJob(w, 1),
+    ...randomJob(world, 1),
     kind: "service" as const,
     tasks: 3,
     cpus: 5,
@@ -759,39 +797,39 @@
     spot: false,
     team: "blue",
   };
-  w.specs.set(spec.id, spec);
-  w.at(3_000, () =>
-    w.ask(
+  world.specs.set(spec.id, spec);
+  world.at(3_000, () =>
+    world.ask(
       "node-b",
       (reqId) => ({ type: "submit", reqId, spec }),
       () => {},
     ),
   );
-  w.at(8_000, () => dead!.vanish());
+  world.at(8_000, () => deadMachine!.vanish());
   for (const at of [30_000, 50_000]) {
-    w.at(at, () => w.crash("node-a"));
-    w.at(at + 1_000, () => w.boot("node-a"));
+    world.at(at, () => world.crash("node-a"));
+    world.at(at + 1_000, () => world.boot("node-a"));
   }
-  w.run(70_000);
-  assert.deepEqual(w.checker.broken, [], report(w, 11));
-  const taken = w.logs.filter(
+  world.run(70_000);
+  assert.deepEqual(world.checker.broken, [], describeSeed(world, 11));
+  const failovers = world.logs.filter(
     (l) => l.includes("failover complete") && l.includes("node-a"),
   );
-  assert.equal(taken.length, 2, taken.join("\n"));
-  for (const l of taken) assert.match(l, /every machine has reported/);
+  assert.equal(failovers.length, 2, failovers.join("\n"));
+  for (const l of failovers) assert.match(l, /every machine has reported/);
 });
 
-/** Three machines at work; node-a ends at 25 s, when one of them is gone or can't be reached, and is back at 26 s. */
-function takeover(
+/** Three busy machines; at 25 s one is removed or cut off and node-a crashes; node-a restarts at 26 s. */
+function runFailover(
   seed: number,
   third: "taken" | "cut off, up for a second",
-  list: boolean,
-): { w: World; afterMs: number } | null {
-  const w = new World(seed);
-  w.loss = 0;
-  w.capacity = 0;
+  isListAvailable: boolean,
+): { world: World; afterMs: number } | null {
+  const world = new World(seed);
+  world.loss = 0;
+  world.capacity = 0;
   const spec = {
-    ...randomJob(w, 1),
+    ...randomJob(world, 1),
     kind: "service" as const,
     tasks: 3,
     cpus: 6,
@@ -802,113 +840,114 @@
     spread: false,
     spot: false,
   };
-  w.specs.set(spec.id, spec);
-  w.at(2_000, () =>
-    w.ask(
+  world.specs.set(spec.id, spec);
+  world.at(2_000, () =>
+    world.ask(
       "node-b",
       (reqId) => ({ type: "submit", reqId, spec }),
       (a) => assert.equal(a?.kind, "job"),
     ),
   );
-  const add = (): SimWorker => w.cloud.add(w.types[0]!, "east", false, 0);
-  add();
-  add();
-  const late = third === "taken" ? add() : null;
-  if (!list) w.at(25_000, () => (w.cloudDown = true));
-  w.run(23_500);
-  const m = late ?? add();
-  w.run(25_000);
-  // It never came up, or fetches its image for longer.
-  if (m.tasks.size === 0 || w.starts < 3) return null;
-  if (third === "taken") m.taken();
-  else for (const n of w.names) m.cut.add(n);
-  w.crash("node-a");
-  // Room for the third elsewhere, should anybody take it for lost.
-  add();
-  w.at(1_000, () => w.boot("node-a"));
-  w.run(60_000);
+  const addMachine = (): SimWorker =>
+    world.cloud.add(world.types[0]!, "east", false, 0);
+  addMachine();
+  addMachine();
+  const removedMachine = third === "taken" ? addMachine() : null;
+  if (!isListAvailable) world.at(25_000, () => (world.cloudDown = true));
+  world.run(23_500);
+  const machine = removedMachine ?? addMachine();
+  world.run(25_000);
+  // The machine never came up, or a task is still fetching its image.
+  if (machine.tasks.size === 0 || world.starts < 3) return null;
+  if (third === "taken") machine.taken();
+  else for (const n of world.names) machine.cut.add(n);
+  world.crash("node-a");
+  // A free machine, on which the third task would start if its machine were wrongly taken for lost.
+  addMachine();
+  world.at(1_000, () => world.boot("node-a"));
+  world.run(60_000);
   const line =
-    w.logs.find(
+    world.logs.find(
       (l) => l.includes("failover complete") && Number(l.split(" ")[0]) > 26,
-    ) ?? assert.fail("no takeover");
-  return { w, afterMs: Number(/"afterMs":(\d+)/.exec(line)![1]) };
+    ) ?? assert.fail("no failover");
+  return { world, afterMs: Number(/"afterMs":(\d+)/.exec(line)![1]) };
 }
 
-test("a takeover waits no lease for a machine that was taken, but for one that the list can't name yet", () => {
+test("a failover does not wait a lease for a machine that the cloud removed, but for one that the cloud's list does not contain yet", () => {
   const seeds = Array.from({ length: 30 }, (_, k) => 31 + k);
-  const all = (
+  const runFailovers = (
     third: "taken" | "cut off, up for a second",
     list: boolean,
-  ): { w: World; afterMs: number }[] =>
-    seeds.flatMap((seed) => takeover(seed, third, list) ?? []);
-  for (const { afterMs } of all("taken", false))
-    assert.ok(afterMs > 10_000, "without the list, the lease");
-  const quick = all("taken", true);
-  assert.ok(quick.length > 15);
-  for (const { w, afterMs } of quick) {
+  ): { world: World; afterMs: number }[] =>
+    seeds.flatMap((seed) => runFailover(seed, third, list) ?? []);
+  for (const { afterMs } of runFailovers("taken", false))
+    assert.ok(afterMs > 10_000, "without the list it waits a lease");
+  const withList = runFailovers("taken", true);
+  assert.ok(withList.length > 15);
+  for (const { world, afterMs } of withList) {
     assert.ok(afterMs < 9_700, `${afterMs}`);
-    assert.deepEqual(w.checker.broken, []);
+    assert.deepEqual(world.checker.broken, []);
   }
-  const late = all("cut off, up for a second", true);
-  assert.ok(late.length > 5);
-  for (const { w } of late) assert.deepEqual(w.checker.broken, []);
-  // A list that does not know the machine yet, taken for the truth, starts its task twice.
-  const proto = PartitionState.prototype as unknown as {
+  const notListed = runFailovers("cut off, up for a second", true);
+  assert.ok(notListed.length > 5);
+  for (const { world } of notListed) assert.deepEqual(world.checker.broken, []);
+  // Trusting a list that does not contain the machine yet starts its task twice.
+  const prototype = PartitionState.prototype as unknown as {
     noteMachineList: (m: Map<string, unknown>, asOfMs: number) => void;
   };
-  const before = proto.noteMachineList;
-  proto.noteMachineList = function (m) {
-    before.call(this, m, Infinity);
+  const original = prototype.noteMachineList;
+  prototype.noteMachineList = function (m) {
+    original.call(this, m, Infinity);
   };
   const restoreCount = withoutCountCheck();
   try {
     assert.match(
-      all("cut off, up for a second", true)
-        .map((x) => x.w.checker.broken.join())
+      runFailovers("cut off, up for a second", true)
+        .map((x) => x.world.checker.broken.join())
         .join(),
       /ran_twice/,
     );
   } finally {
     restoreCount();
-    proto.noteMachineList = before;
+    prototype.noteMachineList = original;
   }
 });
 
-test("a machine that reports before the fence is lifted stays in the roster, whatever token it has seen", () => {
-  const w = new World(12);
-  w.loss = 0;
-  const m = w.cloud.add(w.types[0]!, "east", false, 0);
+test("a machine that sends heartbeats before the fence is lifted stays in the registry, whatever token it has seen", () => {
+  const world = new World(12);
+  world.loss = 0;
+  const machine = world.cloud.add(world.types[0]!, "east", false, 0);
   let checked = 0;
-  w.at(10_000, () => {
-    m.hung = true;
-    w.crash("node-a");
+  world.at(10_000, () => {
+    machine.hung = true;
+    world.crash("node-a");
   });
-  w.at(11_000, () => w.boot("node-a"));
-  // It comes back shortly before its lease would be over, and is not told of the new token.
+  world.at(11_000, () => world.boot("node-a"));
+  // It comes back shortly before its lease would expire, and does not learn the new token.
   const sendHeartbeat = (): void => {
-    w.ask(
+    world.ask(
       "node-a",
       (reqId) => ({
         type: "heartbeat",
         reqId,
-        heartbeat: { ...m.snapshot(), token: 0 },
+        heartbeat: { ...machine.snapshot(), token: 0 },
         relayed: false,
       }),
       () => {},
     );
-    if (w.now < 28_000) w.at(700, sendHeartbeat);
+    if (world.now < 28_000) world.at(700, sendHeartbeat);
   };
-  w.at(20_000, sendHeartbeat);
-  w.afterStep = (core) => {
-    const own = core.leaders.get("node-a")?.state;
-    if (w.now < 21_000 || !own?.workers.has(m.id)) return;
+  world.at(20_000, sendHeartbeat);
+  world.afterStep = (core) => {
+    const state = core.leaders.get("node-a")?.state;
+    if (world.now < 21_000 || !state?.workers.has(machine.id)) return;
     checked++;
-    assert.ok(own.registry.has(m.id), `at ${w.now}`);
+    assert.ok(state.registry.has(machine.id), `at ${world.now}`);
   };
-  w.run(28_000);
+  world.run(28_000);
   assert.ok(checked > 20);
   assert.ok(
-    w.logs.some((l) => l.includes("leases of silent machines have ended")),
+    world.logs.some((l) => l.includes("leases of silent machines have ended")),
     "the fence was lifted by time",
   );
 });
--- a/test/simulation/state-service.ts
+++ b/test/simulation/state-service.ts
@@ -8,52 +8,53 @@
 } from "../../src/protocol/state.js";
 import type { Rng } from "./rng.js";
 
-/** What the state service's stand-in needs of the world around it. */
+/** The part of the world that the state service stand-in uses. */
 export interface StateServiceWorld {
   readonly now: number;
   readonly rng: Rng;
   readonly settings: Settings;
   readonly stateDown: boolean;
-  /** The limits that count once `limitsFell`. */
+  /** The limits that apply once `limitsFell`. */
   readonly nextLimits: { readonly valueBytes: number; readonly txnOps: number };
   readonly limitsFell: boolean;
   at(delayMs: number, fn: () => void): void;
 }
 
-/** A stand-in for the state service: records, conditional transactions, holds and watches. */
+/** A stand-in for the state service: records, conditional transactions, store leases (`hold` on the wire) and watches. */
 export class StateService {
   epoch = 0;
   readonly data = new Map<
     string,
-    { value: unknown; version: number; hold?: number | undefined }
+    { value: unknown; version: number; storeLeaseId?: number | undefined }
   >();
-  readonly holds = new Map<number, { ttlMs: number; endsMs: number }>();
-  private readonly log: Change[] = [];
+  readonly storeLeases = new Map<number, { ttlMs: number; endsMs: number }>();
+  private readonly changeLog: Change[] = [];
   private readonly watchers = new Set<{
     prefix: string;
     since: number;
     done: (r: StateReply) => void;
   }>();
-  private holdIds = 0;
+  private lastStoreLeaseId = 0;
 
   constructor(private readonly world: StateServiceWorld) {}
 
-  /** After an outage every hold has its full time again. */
+  /** Ends an outage: every store lease gets its full TTL again. */
   restart(): void {
-    for (const h of this.holds.values()) h.endsMs = this.world.now + h.ttlMs;
+    for (const lease of this.storeLeases.values())
+      lease.endsMs = this.world.now + lease.ttlMs;
   }
   private expire(): void {
-    for (const [id, h] of this.holds) {
-      if (this.world.now < h.endsMs) continue;
-      this.holds.delete(id);
+    for (const [id, lease] of this.storeLeases) {
+      if (this.world.now < lease.endsMs) continue;
+      this.storeLeases.delete(id);
       const keys = [...this.data]
-        .filter(([, d]) => d.hold === id)
+        .filter(([, d]) => d.storeLeaseId === id)
         .map(([k]) => k);
       if (keys.length === 0) continue;
       this.epoch++;
-      for (const k of keys) {
-        this.data.delete(k);
-        this.log.push({ op: "delete", key: k, version: this.epoch });
+      for (const key of keys) {
+        this.data.delete(key);
+        this.changeLog.push({ op: "delete", key, version: this.epoch });
       }
     }
     this.wake();
@@ -61,17 +62,17 @@
   tick(): void {
     if (!this.world.stateDown) this.expire();
   }
-  private since(prefix: string, since: number): Change[] {
-    return this.log.filter(
-      (c) => c.version > since && c.key.startsWith(prefix),
+  private changesSince(prefix: string, sinceVersion: number): Change[] {
+    return this.changeLog.filter(
+      (c) => c.version > sinceVersion && c.key.startsWith(prefix),
     );
   }
   private wake(): void {
-    for (const w of [...this.watchers]) {
-      const changes = this.since(w.prefix, w.since);
+    for (const watcher of [...this.watchers]) {
+      const changes = this.changesSince(watcher.prefix, watcher.since);
       if (changes.length === 0) continue;
-      this.watchers.delete(w);
-      w.done({
+      this.watchers.delete(watcher);
+      watcher.done({
         is: "changes",
         epoch: this.epoch,
         changes: structuredClone(changes),
@@ -83,14 +84,14 @@
     this.expire();
     switch (call.op) {
       case "get": {
-        const d = this.data.get(call.key);
+        const record = this.data.get(call.key);
         return done({
           is: "item",
-          item: d
+          item: record
             ? {
                 key: call.key,
-                value: structuredClone(d.value),
-                version: d.version,
+                value: structuredClone(record.value),
+                version: record.version,
               }
             : null,
         });
@@ -112,7 +113,7 @@
         });
       }
       case "commit": {
-        // Values and transactions over the limit of the day are refused.
+        // Values and transactions over the current limits are refused.
         const limits = this.world.limitsFell
           ? this.world.nextLimits
           : this.world.settings.state;
@@ -128,8 +129,12 @@
           call.conditions.length > 4 * limits.txnOps
         )
           return done({ is: "refused", why: "400" });
-        for (const w of call.writes)
-          if (w.op === "put" && w.hold !== undefined && !this.holds.has(w.hold))
+        for (const write of call.writes)
+          if (
+            write.op === "put" &&
+            write.hold !== undefined &&
+            !this.storeLeases.has(write.hold)
+          )
             return done({ is: "refused", why: STORE_LEASE_ENDED });
         if (
           call.conditions.some(
@@ -138,52 +143,56 @@
         )
           return done({ is: "conflict" });
         this.epoch++;
-        for (const w of call.writes) {
-          if (w.op === "put") {
-            this.data.set(w.key, {
-              value: structuredClone(w.value),
+        for (const write of call.writes) {
+          if (write.op === "put") {
+            this.data.set(write.key, {
+              value: structuredClone(write.value),
               version: this.epoch,
-              hold: w.hold,
+              storeLeaseId: write.hold,
             });
-            this.log.push({
+            this.changeLog.push({
               op: "put",
-              key: w.key,
-              value: structuredClone(w.value),
+              key: write.key,
+              value: structuredClone(write.value),
+              version: this.epoch,
+            });
+          } else if (this.data.delete(write.key))
+            this.changeLog.push({
+              op: "delete",
+              key: write.key,
               version: this.epoch,
             });
-          } else if (this.data.delete(w.key))
-            this.log.push({ op: "delete", key: w.key, version: this.epoch });
         }
         done({ is: "committed", epoch: this.epoch });
         return this.wake();
       }
       case "newHold": {
-        const id = ++this.holdIds;
-        this.holds.set(id, {
+        const id = ++this.lastStoreLeaseId;
+        this.storeLeases.set(id, {
           ttlMs: call.ttlMs,
           endsMs: this.world.now + call.ttlMs,
         });
         return done({ is: "hold", hold: id });
       }
       case "touch": {
-        const h = this.holds.get(call.hold);
-        if (!h) return done({ is: "gone" });
-        h.endsMs = this.world.now + h.ttlMs;
+        const lease = this.storeLeases.get(call.hold);
+        if (!lease) return done({ is: "gone" });
+        lease.endsMs = this.world.now + lease.ttlMs;
         return done({ is: "touched" });
       }
       case "changes": {
         if (this.world.rng.chance(0.002)) return done({ is: "gone" });
-        const changes = this.since(call.prefix, call.since);
+        const changes = this.changesSince(call.prefix, call.since);
         if (changes.length > 0 || call.waitMs === 0)
           return done({
             is: "changes",
             epoch: this.epoch,
             changes: structuredClone(changes),
           });
-        const w = { prefix: call.prefix, since: call.since, done };
-        this.watchers.add(w);
+        const watcher = { prefix: call.prefix, since: call.since, done };
+        this.watchers.add(watcher);
         this.world.at(call.waitMs, () => {
-          if (!this.watchers.delete(w)) return;
+          if (!this.watchers.delete(watcher)) return;
           if (this.world.stateDown) return;
           done({ is: "changes", epoch: this.epoch, changes: [] });
         });
--- a/test/simulation/workloads.ts
+++ b/test/simulation/workloads.ts
@@ -2,130 +2,137 @@
 import type { JobSpec, Priority } from "../../src/coordination/model.js";
 import { World } from "./world.js";
 
-/** Users and injected faults of a seeded day. */
+/** Simulated users and injected faults, drawn from the world's seeded generator. */
 
-export function randomJob(w: World, n: number): JobSpec {
-  const r = w.rng;
-  const shape = r.pick(["array", "array", "gang", "gang", "service"] as const);
-  const gpu = r.chance(0.25);
-  const tasks = shape === "array" ? r.int(1, 14) : r.int(1, 3);
-  const samePlace = r.chance(0.3);
+export function randomJob(world: World, jobNumber: number): JobSpec {
+  const rng = world.rng;
+  const kind = rng.pick(["array", "array", "gang", "gang", "service"] as const);
+  const needsGpu = rng.chance(0.25);
+  const tasks = kind === "array" ? rng.int(1, 14) : rng.int(1, 3);
+  const samePlace = rng.chance(0.3);
   return {
-    id: `req-${String(n).padStart(6, "0")}`,
-    jobClass: shape === "gang" ? "gangs" : "arrays",
-    team: r.pick(["red", "blue"]),
-    kind: shape,
-    priority: r.pick<Priority>(["prod", "high", "normal", "best_effort"]),
+    id: `req-${String(jobNumber).padStart(6, "0")}`,
+    jobClass: kind === "gang" ? "gangs" : "arrays",
+    team: rng.pick(["red", "blue"]),
+    kind,
+    priority: rng.pick<Priority>(["prod", "high", "normal", "best_effort"]),
     tasks,
-    cpus: r.pick([1, 2, 4, 5]),
-    gpus: gpu ? 1 : 0,
+    cpus: rng.pick([1, 2, 4, 5]),
+    gpus: needsGpu ? 1 : 0,
     memGb: 4,
-    image: `img-${r.int(1, 4)}`,
+    image: `img-${rng.int(1, 4)}`,
     imageGb: 3,
-    machineTypes: r.chance(0.2)
-      ? [gpu ? "big" : r.pick(["small", "big"])]
+    machineTypes: rng.chance(0.2)
+      ? [needsGpu ? "big" : rng.pick(["small", "big"])]
       : null,
-    zone: r.chance(0.1) ? r.pick(["east", "mid"]) : null,
+    zone: rng.chance(0.1) ? rng.pick(["east", "mid"]) : null,
     samePlace,
-    spread: !samePlace && r.chance(0.25),
-    spot: r.chance(0.5),
-    estimateS: shape === "service" ? 0 : r.real(2, 90),
-    checkpointS: r.chance(0.5) ? 2 : 0,
+    spread: !samePlace && rng.chance(0.25),
+    spot: rng.chance(0.5),
+    estimateS: kind === "service" ? 0 : rng.real(2, 90),
+    checkpointS: rng.chance(0.5) ? 2 : 0,
     saveS: 1,
     deadlineS: null,
   };
 }
 
-/** A gang of up to 16 tasks that each fill a machine, or an array of up to 100: what large deployments run. */
-export function largeJob(w: World, n: number): JobSpec {
-  const r = w.rng;
-  const gang = r.chance(0.6);
+/** A job as large deployments run it: a gang of up to 16 tasks that each fill a small machine, or an array of up to 100 tasks. */
+export function largeJob(world: World, jobNumber: number): JobSpec {
+  const rng = world.rng;
+  const isGang = rng.chance(0.6);
   return {
-    ...randomJob(w, n),
-    kind: gang ? "gang" : "array",
-    jobClass: gang ? "gangs" : "arrays",
-    tasks: gang ? r.pick([1, 3, 8, 16]) : r.int(5, 100),
-    cpus: gang ? 8 : 2,
+    ...randomJob(world, jobNumber),
+    kind: isGang ? "gang" : "array",
+    jobClass: isGang ? "gangs" : "arrays",
+    tasks: isGang ? rng.pick([1, 3, 8, 16]) : rng.int(5, 100),
+    cpus: isGang ? 8 : 2,
     gpus: 0,
     machineTypes: null,
     zone: null,
-    samePlace: gang,
+    samePlace: isGang,
     spread: false,
-    estimateS: r.real(2, 60),
+    estimateS: rng.real(2, 60),
   };
 }
 
 export function submitWorkload(
-  w: World,
+  world: World,
   untilMs: number,
-  draw = randomJob,
+  makeJob = randomJob,
 ): void {
-  let n = 0;
+  let lastJobNumber = 0;
   const submitOne = (): void => {
-    if (w.now > untilMs) return;
-    const spec = draw(w, ++n);
-    // A spread job that names its zone can't be placed as it asks; users don't submit it.
+    if (world.now > untilMs) return;
+    const spec = makeJob(world, ++lastJobNumber);
+    // A job with several tasks can't be spread within a single named zone; users don't submit such jobs.
     if (spec.zone !== null && spec.tasks > 1) spec.spread = false;
-    w.specs.set(spec.id, spec);
-    submit(w, spec, w.now);
-    w.at(w.rng.real(300, 2_500), submitOne);
+    world.specs.set(spec.id, spec);
+    submit(world, spec, world.now);
+    world.at(world.rng.real(300, 2_500), submitOne);
   };
-  w.at(500, submitOne);
+  world.at(500, submitOne);
   const askUnknown = (): void => {
-    w.ask(
-      w.rng.pick(w.names),
+    world.ask(
+      world.rng.pick(world.names),
       (reqId) => ({ type: "status", reqId, id: "req-999999" }),
       (a) =>
-        a?.kind === "job" && w.checker.answered("req-999999", a.state, w.now),
+        a?.kind === "job" &&
+        world.checker.answered("req-999999", a.state, world.now),
     );
-    w.at(5_000, askUnknown);
+    world.at(5_000, askUnknown);
   };
   askUnknown();
 }
 
-/** A user's request at some controller; what comes later than it waits for is not heard. */
+/** Sends a user's request to a random controller; `done` gets null if no answer arrives within `waitMs`. */
 function request(
-  w: World,
+  world: World,
   waitMs: number,
-  input: (req: number) => Input,
+  input: (reqId: number) => Input,
   done: (a: Answer | null) => void,
 ): void {
-  const name = w.rng.pick(w.names);
-  let over = false;
-  const end = (a: Answer | null): void => {
-    if (over) return;
-    over = true;
-    done(a);
+  const name = world.rng.pick(world.names);
+  let finished = false;
+  const finish = (answer: Answer | null): void => {
+    if (finished) return;
+    finished = true;
+    done(answer);
   };
-  w.at(waitMs, () => end(null));
-  if (w.apart(w.zoneOf(name), null)) return;
-  w.ask(name, input, end);
+  world.at(waitMs, () => finish(null));
+  if (world.apart(world.zoneOf(name), null)) return;
+  world.ask(name, input, finish);
 }
 
-const hear = (w: World, id: string, a: Answer, askedMs: number): void => {
-  if (a.kind === "job") w.checker.answered(id, a.state, askedMs);
-  else if (a.kind === "unknownJob") w.checker.refused(id, 404, askedMs);
-  else if (a.kind === "cannotRun") w.checker.refused(id, 422, askedMs);
+const checkAnswer = (
+  world: World,
+  id: string,
+  answer: Answer,
+  askedMs: number,
+): void => {
+  if (answer.kind === "job") world.checker.answered(id, answer.state, askedMs);
+  else if (answer.kind === "unknownJob")
+    world.checker.refused(id, 404, askedMs);
+  else if (answer.kind === "cannotRun") world.checker.refused(id, 422, askedMs);
 };
 
 /**
- * Lines of four stages, each submitted as soon as what it needs is accepted, some of the last ones late; some are
- * cancelled, at any stage and any time. Jobs that ended long ago are needed again.
+ * Submits pipelines of four stages. A stage is submitted as soon as its dependencies are accepted; 15% of the last stages are
+ * 10 to 60 s late. In 30% of the pipelines one job is cancelled, and 30% depend on a job of an earlier pipeline.
  */
-export function pipelines(w: World, fromMs: number, untilMs: number): void {
-  const r = w.rng;
-  let n = 500_000;
-  const ended: string[] = [];
-  const stage = (
-    awaits: string[],
-    over: Partial<JobSpec>,
+export function pipelines(world: World, fromMs: number, untilMs: number): void {
+  const rng = world.rng;
+  let lastJobNumber = 500_000;
+  const earlierJobs: string[] = [];
+  const submitStage = (
+    dependencies: string[],
+    overrides: Partial<JobSpec>,
     delayMs = 0,
   ): JobSpec => {
     const spec = {
-      ...randomJob(w, ++n),
+      ...randomJob(world, ++lastJobNumber),
       team: "blue",
       kind: "array" as const,
-      tasks: r.int(1, 4),
+      tasks: rng.int(1, 4),
       cpus: 1,
       gpus: 0,
       machineTypes: null,
@@ -133,110 +140,131 @@
       samePlace: false,
       spread: false,
       priority: "best_effort" as const,
-      ...over,
+      ...overrides,
     };
-    w.specs.set(spec.id, spec);
-    w.dependsOn.set(spec.id, awaits);
-    const whenAccepted = (): void => {
-      if (awaits.some((x) => !w.checker.told.has(x)))
-        return w.at(300, whenAccepted);
-      submit(w, spec, w.now);
+    world.specs.set(spec.id, spec);
+    world.dependsOn.set(spec.id, dependencies);
+    const submitWhenAccepted = (): void => {
+      if (dependencies.some((x) => !world.checker.told.has(x)))
+        return world.at(300, submitWhenAccepted);
+      submit(world, spec, world.now);
     };
-    w.at(delayMs, whenAccepted);
+    world.at(delayMs, submitWhenAccepted);
     return spec;
   };
-  const one = (): void => {
-    if (w.now > untilMs) return;
-    const first = stage(
-      ended.length > 0 && r.chance(0.3) ? [r.pick(ended)] : [],
+  const submitPipeline = (): void => {
+    if (world.now > untilMs) return;
+    const first = submitStage(
+      earlierJobs.length > 0 && rng.chance(0.3) ? [rng.pick(earlierJobs)] : [],
       {},
     );
     const middle = Array.from(
-      { length: r.int(1, 4) },
-      () => stage([first.id], {}).id,
+      { length: rng.int(1, 4) },
+      () => submitStage([first.id], {}).id,
     );
-    const third = stage(middle, {
+    const third = submitStage(middle, {
       kind: "gang",
-      tasks: r.int(2, 4),
+      tasks: rng.int(2, 4),
       samePlace: true,
       priority: "normal",
     });
-    const last = stage(
+    const last = submitStage(
       [first.id, third.id],
       { priority: "high", deadlineS: 60 },
-      r.chance(0.15) ? r.real(10_000, 60_000) : 0,
+      rng.chance(0.15) ? rng.real(10_000, 60_000) : 0,
     );
-    const all = [first.id, ...middle, third.id, last.id];
-    ended.push(...all);
-    if (r.chance(0.3))
-      w.at(r.real(100, 40_000), () =>
+    const jobIds = [first.id, ...middle, third.id, last.id];
+    earlierJobs.push(...jobIds);
+    if (rng.chance(0.3))
+      world.at(rng.real(100, 40_000), () =>
         cancel(
-          w,
-          r.pick(all.filter((x) => w.checker.told.has(x)).concat(first.id)),
+          world,
+          rng.pick(
+            jobIds.filter((x) => world.checker.told.has(x)).concat(first.id),
+          ),
         ),
       );
-    w.at(r.real(1_000, 8_000), one);
+    world.at(rng.real(1_000, 8_000), submitPipeline);
   };
-  w.at(fromMs, one);
+  world.at(fromMs, submitPipeline);
 }
 
-export function submit(w: World, spec: JobSpec, sinceMs: number): void {
-  const askedMs = w.now;
+export function submit(
+  world: World,
+  spec: JobSpec,
+  retrySinceMs: number,
+): void {
+  const askedMs = world.now;
   request(
-    w,
+    world,
     5_000,
     (reqId) => ({
       type: "submit",
       reqId,
       spec,
-      dependsOn: w.dependsOn.get(spec.id),
+      dependsOn: world.dependsOn.get(spec.id),
     }),
-    (a) => {
-      if (a) hear(w, spec.id, a, askedMs);
-      if (a?.kind === "job") {
-        if (!w.polled.has(spec.id)) {
-          w.polled.add(spec.id);
-          poll(w, spec.id);
-          if (spec.kind === "service" || w.rng.chance(0.2))
-            w.at(w.rng.real(500, 25_000), () => cancel(w, spec.id));
+    (answer) => {
+      if (answer) checkAnswer(world, spec.id, answer, askedMs);
+      if (answer?.kind === "job") {
+        if (!world.polled.has(spec.id)) {
+          world.polled.add(spec.id);
+          poll(world, spec.id);
+          if (spec.kind === "service" || world.rng.chance(0.2))
+            world.at(world.rng.real(500, 25_000), () => cancel(world, spec.id));
         }
-        // A repeated submission, at any later time.
-        if (w.rng.chance(0.15))
-          w.at(w.rng.real(100, 60_000), () => submit(w, spec, -1e9));
+        // A repeated submission, up to a minute later.
+        if (world.rng.chance(0.15))
+          world.at(world.rng.real(100, 60_000), () =>
+            submit(world, spec, -1e9),
+          );
         return;
       }
-      if (w.now - sinceMs < 60_000) w.at(1_000, () => submit(w, spec, sinceMs));
+      if (world.now - retrySinceMs < 60_000)
+        world.at(1_000, () => submit(world, spec, retrySinceMs));
     },
   );
 }
-/** Questions at all controllers within milliseconds, and the submission once more. */
-export function askAllControllers(w: World, id: string): void {
-  const spec = w.specs.get(id)!;
-  for (const name of w.names)
-    for (const again of [false, true])
-      w.at(w.rng.real(0, 20), () => {
-        const askedMs = w.now;
-        if (w.apart(w.zoneOf(name), null)) return;
-        w.ask(
+/** Queries a job's state at all controllers within 20 ms, and submits the job to each of them again. */
+export function askAllControllers(world: World, id: string): void {
+  const spec = world.specs.get(id)!;
+  for (const name of world.names)
+    for (const isSubmission of [false, true])
+      world.at(world.rng.real(0, 20), () => {
+        const askedMs = world.now;
+        if (world.apart(world.zoneOf(name), null)) return;
+        world.ask(
           name,
           (reqId) =>
-            again
-              ? { type: "submit", reqId, spec, dependsOn: w.dependsOn.get(id) }
+            isSubmission
+              ? {
+                  type: "submit",
+                  reqId,
+                  spec,
+                  dependsOn: world.dependsOn.get(id),
+                }
               : { type: "status", reqId, id },
-          (a) => a && w.now - askedMs < 2_000 && hear(w, id, a, askedMs),
+          (a) =>
+            a &&
+            world.now - askedMs < 2_000 &&
+            checkAnswer(world, id, a, askedMs),
         );
       });
 }
-/** Submissions that are never accepted, and cancellations of what is done. */
-export function malformedRequest(w: World, n: number): void {
-  const r = w.rng;
-  const done = [...w.checker.told].filter(([, s]) => s === "done");
-  if (done.length > 0 && r.chance(0.5)) cancel(w, r.pick(done)[0]);
-  const accepted = [...w.checker.told].filter(([, s]) => s === "accepted");
-  if (accepted.length > 0) submit(w, w.specs.get(r.pick(accepted)[0])!, -1e9);
+/** Cancels a job that is done, submits an accepted job again, and submits a job that must be rejected. */
+export function malformedRequest(world: World, requestNumber: number): void {
+  const rng = world.rng;
+  const doneJobs = [...world.checker.told].filter(([, s]) => s === "done");
+  if (doneJobs.length > 0 && rng.chance(0.5))
+    cancel(world, rng.pick(doneJobs)[0]);
+  const acceptedJobs = [...world.checker.told].filter(
+    ([, s]) => s === "accepted",
+  );
+  if (acceptedJobs.length > 0)
+    submit(world, world.specs.get(rng.pick(acceptedJobs)[0])!, -1e9);
   const spec = {
-    ...randomJob(w, 900_000 + n),
-    ...r.pick<Partial<JobSpec>>([
+    ...randomJob(world, 900_000 + requestNumber),
+    ...rng.pick<Partial<JobSpec>>([
       { cpus: 500 },
       { team: "nobody" },
       { kind: "gang", tasks: 90, cpus: 8 },
@@ -245,263 +273,288 @@
     ]),
   };
   request(
-    w,
+    world,
     5_000,
     (reqId) => ({ type: "submit", reqId, spec }),
-    (a) => a?.kind === "job" && w.checker.fail("accepted_unfit", spec.id),
+    (a) => a?.kind === "job" && world.checker.fail("accepted_unfit", spec.id),
   );
 }
-export function cancel(w: World, id: string): void {
-  w.checker.asked.add(id);
-  const askedMs = w.now;
+export function cancel(world: World, id: string): void {
+  world.checker.asked.add(id);
+  const askedMs = world.now;
   request(
-    w,
+    world,
     5_000,
     (reqId) => ({ type: "cancel", reqId, id }),
-    (a) => {
-      if (a) hear(w, id, a, askedMs);
-      if (a?.kind !== "job") w.at(1_000, () => cancel(w, id));
+    (answer) => {
+      if (answer) checkAnswer(world, id, answer, askedMs);
+      if (answer?.kind !== "job") world.at(1_000, () => cancel(world, id));
     },
   );
 }
-function poll(w: World, id: string): void {
-  w.at(w.rng.real(1_000, 5_000) / w.queryRate, () => {
-    const askedMs = w.now;
+function poll(world: World, id: string): void {
+  world.at(world.rng.real(1_000, 5_000) / world.queryRate, () => {
+    const askedMs = world.now;
     request(
-      w,
+      world,
       2_000,
       (reqId) => ({ type: "status", reqId, id }),
-      (a) => {
-        if (a) hear(w, id, a, askedMs);
-        if (a?.kind === "job") w.checker.heardOf.set(id, w.now);
+      (answer) => {
+        if (answer) checkAnswer(world, id, answer, askedMs);
+        if (answer?.kind === "job")
+          world.checker.lastAnsweredMs.set(id, world.now);
         if (
-          a?.kind !== "job" ||
-          (a.state !== "done" && a.state !== "cancelled") ||
-          w.rng.chance(0.3)
+          answer?.kind !== "job" ||
+          (answer.state !== "done" && answer.state !== "cancelled") ||
+          world.rng.chance(0.3)
         )
-          poll(w, id);
+          poll(world, id);
       },
     );
   });
 }
 
 /**
- * What large deployments met: controllers that stand still, one after the other or during a takeover, zones cut off with
- * packets held, a part of the machines dying at once. Beside the other injected faults, so that two and three meet.
+ * Injects faults seen in large deployments: controllers that pause, one after the other or during a failover, zones cut off while
+ * their packets are delayed, 15% of the machines failing at once. Runs beside `injectFaults`, so that two or three faults coincide.
  */
-export function injectLargeFaults(w: World, untilMs: number): void {
-  const r = w.rng;
-  const one = (): void => {
-    if (w.now > untilMs - 30_000) return;
-    const node = r.pick(w.names);
-    switch (r.int(0, 4)) {
+export function injectLargeFaults(world: World, untilMs: number): void {
+  const rng = world.rng;
+  const injectOne = (): void => {
+    if (world.now > untilMs - 30_000) return;
+    const node = rng.pick(world.names);
+    switch (rng.int(0, 4)) {
       case 0:
-        w.freeze(node, r.real(1_000, 30_000));
+        world.freeze(node, rng.real(1_000, 30_000));
         break;
       case 1:
-        // The one that is to take over stands still when it does.
-        w.crash(node);
-        w.at(r.real(1_000, 8_000), () => w.nodes.get(node) ?? w.boot(node));
-        w.at(r.real(0, 16_000), () =>
-          w.freeze(r.pick(w.names), r.real(1_000, 20_000)),
+        // Pauses a controller, possibly the one that takes over.
+        world.crash(node);
+        world.at(
+          rng.real(1_000, 8_000),
+          () => world.nodes.get(node) ?? world.boot(node),
+        );
+        world.at(rng.real(0, 16_000), () =>
+          world.freeze(rng.pick(world.names), rng.real(1_000, 20_000)),
         );
         break;
       case 2:
-        w.cutZone(r.pick(w.zones), r.real(2_000, 25_000));
+        world.cutZone(rng.pick(world.zones), rng.real(2_000, 25_000));
         break;
       case 3:
-        // Some die, some are taken without notice, and now and then just before their master ends.
-        for (const m of w.workers)
-          if (m.up && !m.gone && r.chance(0.15)) {
-            if (r.chance(0.5)) m.taken();
-            else m.vanish();
+        // Half of these machines fail and half are reclaimed without notice; in half of the cases a controller crashes right after.
+        for (const machine of world.workers)
+          if (machine.up && !machine.gone && rng.chance(0.15)) {
+            if (rng.chance(0.5)) machine.taken();
+            else machine.vanish();
           }
-        if (r.chance(0.5)) {
-          w.crash(node);
-          w.at(r.real(1_000, 8_000), () => w.nodes.get(node) ?? w.boot(node));
+        if (rng.chance(0.5)) {
+          world.crash(node);
+          world.at(
+            rng.real(1_000, 8_000),
+            () => world.nodes.get(node) ?? world.boot(node),
+          );
         }
         break;
       case 4:
-        for (const n of w.names)
-          w.at(r.real(0, 6_000), () => w.freeze(n, r.real(1_000, 12_000)));
+        for (const n of world.names)
+          world.at(rng.real(0, 6_000), () =>
+            world.freeze(n, rng.real(1_000, 12_000)),
+          );
         break;
     }
-    w.at(r.real(2_000, 15_000), one);
+    world.at(rng.real(2_000, 15_000), injectOne);
   };
-  w.at(10_000, one);
+  world.at(10_000, injectOne);
 }
 
-/** One injected fault after another, some at once; all are over by `untilMs`. */
-export function injectFaults(w: World, untilMs: number): void {
-  const r = w.rng;
-  const one = (): void => {
-    if (w.now > untilMs - 30_000) return;
-    const forMs = r.real(2_000, 25_000);
-    const node = r.pick(w.names);
-    switch (r.int(0, 13)) {
+/** Injects one fault after another, some of them overlapping; all are over by `untilMs`. */
+export function injectFaults(world: World, untilMs: number): void {
+  const rng = world.rng;
+  const injectOne = (): void => {
+    if (world.now > untilMs - 30_000) return;
+    const forMs = rng.real(2_000, 25_000);
+    const node = rng.pick(world.names);
+    switch (rng.int(0, 13)) {
       case 0:
-        w.crash(node);
-        w.at(r.real(1_000, 8_000), () => w.nodes.get(node) ?? w.boot(node));
+        world.crash(node);
+        world.at(
+          rng.real(1_000, 8_000),
+          () => world.nodes.get(node) ?? world.boot(node),
+        );
         break;
       case 1:
-        for (const n of w.names) w.crash(n);
-        for (const n of w.names)
-          w.at(r.real(1_000, 6_000), () => w.nodes.get(n) ?? w.boot(n));
+        for (const n of world.names) world.crash(n);
+        for (const n of world.names)
+          world.at(
+            rng.real(1_000, 6_000),
+            () => world.nodes.get(n) ?? world.boot(n),
+          );
         break;
       case 2:
-        if (w.stateDown) break;
-        w.stateDown = true;
-        w.at(forMs, () => {
-          w.stateDown = false;
-          w.state.restart();
+        if (world.stateDown) break;
+        world.stateDown = true;
+        world.at(forMs, () => {
+          world.stateDown = false;
+          world.state.restart();
         });
         break;
       case 3:
-        w.stateCut.set(node, r.pick(["refused", "held"] as const));
-        w.at(forMs, () => w.stateCut.delete(node));
+        world.stateCut.set(node, rng.pick(["refused", "held"] as const));
+        world.at(forMs, () => world.stateCut.delete(node));
         break;
       case 4: {
-        const zone = r.pick(w.zones);
-        for (const m of w.workers) if (m.zone === zone) m.cut.add(node);
-        w.at(forMs, () => w.workers.forEach((m) => m.cut.delete(node)));
+        const zone = rng.pick(world.zones);
+        for (const m of world.workers) if (m.zone === zone) m.cut.add(node);
+        world.at(forMs, () => world.workers.forEach((m) => m.cut.delete(node)));
         break;
       }
       case 5:
       case 6: {
-        const m = w.workers.length > 0 ? r.pick(w.workers) : null;
-        for (const n of w.names) m?.cut.add(n);
-        w.at(forMs, () => m?.cut.clear());
+        const machine =
+          world.workers.length > 0 ? rng.pick(world.workers) : null;
+        for (const n of world.names) machine?.cut.add(n);
+        world.at(forMs, () => machine?.cut.clear());
         break;
       }
       case 7: {
-        const m = w.workers.length > 0 ? r.pick(w.workers) : null;
-        if (m) m.hung = true;
-        w.at(forMs, () => {
-          if (m) {
-            m.hung = false;
-            m.expire();
+        const machine =
+          world.workers.length > 0 ? rng.pick(world.workers) : null;
+        if (machine) machine.hung = true;
+        world.at(forMs, () => {
+          if (machine) {
+            machine.hung = false;
+            machine.expire();
           }
         });
         break;
       }
       case 8:
-        w.cloudDown = true;
-        w.at(forMs, () => (w.cloudDown = false));
+        world.cloudDown = true;
+        world.at(forMs, () => (world.cloudDown = false));
         break;
       case 9:
-        for (const m of w.workers)
-          if (m.spot && r.chance(0.5)) {
-            m.noticeMs = w.now + 4_000;
-            w.at(4_000, () => (r.chance(0.5) ? m.taken() : m.vanish()));
+        for (const machine of world.workers)
+          if (machine.spot && rng.chance(0.5)) {
+            machine.noticeMs = world.now + 4_000;
+            world.at(4_000, () =>
+              rng.chance(0.5) ? machine.taken() : machine.vanish(),
+            );
           }
         break;
       case 10: {
-        const m = w.workers.length > 0 ? r.pick(w.workers) : null;
-        if (m) m.faulty = true;
-        w.at(forMs, () => m && (m.faulty = false));
+        const machine =
+          world.workers.length > 0 ? rng.pick(world.workers) : null;
+        if (machine) machine.faulty = true;
+        world.at(forMs, () => machine && (machine.faulty = false));
         break;
       }
       case 12:
-        // A node cut from workers and peers, but not from the state service.
-        for (const m of w.workers) m.cut.add(node);
-        w.meshCuts.add(node);
-        w.at(forMs, () => {
-          w.workers.forEach((m) => m.cut.delete(node));
-          w.meshCuts.delete(node);
+        // A controller that reaches the state service, but neither workers nor peers.
+        for (const m of world.workers) m.cut.add(node);
+        world.meshCuts.add(node);
+        world.at(forMs, () => {
+          world.workers.forEach((m) => m.cut.delete(node));
+          world.meshCuts.delete(node);
         });
         break;
       case 13:
-        w.meshCuts.add(node);
-        w.at(forMs, () => w.meshCuts.delete(node));
+        world.meshCuts.add(node);
+        world.at(forMs, () => world.meshCuts.delete(node));
         break;
       case 11:
-        w.loss = 0.15;
-        w.at(forMs, () => (w.loss = 0.01));
+        world.loss = 0.15;
+        world.at(forMs, () => (world.loss = 0.01));
         break;
     }
-    w.at(r.real(1_000, 12_000), one);
+    world.at(rng.real(1_000, 12_000), injectOne);
   };
-  w.at(8_000, one);
+  world.at(8_000, injectOne);
 }
 
 /**
- * Failure scenarios: controllers that are silent or stand still for long, or are back at once; machines that hear nothing; copies of reports that
- * come late; a controller cut from the state service and its peers, but not from its workers; questions many times as often; jobs
- * submitted with a mistake. All are over by `untilMs`.
+ * Injects the faults of the failure scenarios: controllers that are down or paused for long, or that restart at once; machines that
+ * receive nothing; duplicated heartbeats that arrive late; a controller that reaches its workers, but neither the state service nor
+ * its peers; 8 or 20 times as many queries; restarted machines; machines that boot fast or slowly. All are over by `untilMs`.
  */
-function largeFaults(w: World, untilMs: number): void {
-  const r = w.rng;
-  w.duplicatedHeartbeats = r.pick([0, 0.05, 0.3]);
-  w.at(untilMs, () => (w.duplicatedHeartbeats = 0));
-  const one = (): void => {
-    const most = untilMs - w.now;
-    if (most < 20_000) return;
-    const forMs = Math.min(most - 5_000, r.real(2_000, 45_000));
-    const node = r.pick(w.names);
-    switch (r.int(0, 8)) {
+function injectScenarioFaults(world: World, untilMs: number): void {
+  const rng = world.rng;
+  world.duplicatedHeartbeatRate = rng.pick([0, 0.05, 0.3]);
+  world.at(untilMs, () => (world.duplicatedHeartbeatRate = 0));
+  const injectOne = (): void => {
+    const remainingMs = untilMs - world.now;
+    if (remainingMs < 20_000) return;
+    const forMs = Math.min(remainingMs - 5_000, rng.real(2_000, 45_000));
+    const node = rng.pick(world.names);
+    switch (rng.int(0, 8)) {
       case 0:
-        // Silent for long.
-        w.crash(node);
-        w.at(forMs, () => w.nodes.get(node) ?? w.boot(node));
+        // Down for up to 45 s.
+        world.crash(node);
+        world.at(forMs, () => world.nodes.get(node) ?? world.boot(node));
         break;
       case 1:
-        w.freeze(node, Math.min(forMs, r.pick([14_000, 40_000])));
+        world.freeze(node, Math.min(forMs, rng.pick([14_000, 40_000])));
         break;
       case 2: {
-        // Back at once, and now and then in the middle of the takeover that its end began.
-        const again = (): void => {
-          w.crash(node);
-          w.at(r.real(50, 500), () => w.nodes.get(node) ?? w.boot(node));
+        // Restarts at once, and up to three more times within 15 s, possibly during the failover that a crash has caused.
+        const restartController = (): void => {
+          world.crash(node);
+          world.at(
+            rng.real(50, 500),
+            () => world.nodes.get(node) ?? world.boot(node),
+          );
         };
-        again();
-        for (let n = r.int(0, 3); n > 0; n--) w.at(r.real(500, 15_000), again);
+        restartController();
+        for (let n = rng.int(0, 3); n > 0; n--)
+          world.at(rng.real(500, 15_000), restartController);
         break;
       }
       case 3:
       case 4: {
-        const part = r.pick([0.1, 0.5]);
-        const zone = r.chance(0.3) ? r.pick(w.zones) : null;
-        const some = w.workers.filter(
-          (m) => !m.gone && (zone === null ? r.chance(part) : m.zone === zone),
+        const fraction = rng.pick([0.1, 0.5]);
+        const zone = rng.chance(0.3) ? rng.pick(world.zones) : null;
+        const affected = world.workers.filter(
+          (m) =>
+            !m.gone && (zone === null ? rng.chance(fraction) : m.zone === zone),
         );
-        for (const m of some) m.oneWay = true;
-        w.at(forMs, () => some.forEach((m) => (m.oneWay = false)));
+        for (const m of affected) m.oneWay = true;
+        world.at(forMs, () => affected.forEach((m) => (m.oneWay = false)));
         break;
       }
       case 5:
-        w.stateCut.set(node, r.pick(["refused", "held"] as const));
-        w.meshCuts.add(node);
-        w.at(forMs, () => {
-          w.stateCut.delete(node);
-          w.meshCuts.delete(node);
+        world.stateCut.set(node, rng.pick(["refused", "held"] as const));
+        world.meshCuts.add(node);
+        world.at(forMs, () => {
+          world.stateCut.delete(node);
+          world.meshCuts.delete(node);
         });
         break;
       case 6:
-        w.queryRate = r.pick([8, 20]);
-        w.at(forMs, () => (w.queryRate = 1));
+        world.queryRate = rng.pick([8, 20]);
+        world.at(forMs, () => (world.queryRate = 1));
         break;
       case 7:
-        for (const m of w.workers)
-          if (m.up && !m.gone && r.chance(0.2)) m.restart(r.real(50, 800));
+        for (const m of world.workers)
+          if (m.up && !m.gone && rng.chance(0.2)) m.restart(rng.real(50, 800));
         break;
       case 8:
-        w.bootFactor = r.pick([0.05, 4]);
-        w.at(forMs, () => (w.bootFactor = 1));
+        world.bootFactor = rng.pick([0.05, 4]);
+        world.at(forMs, () => (world.bootFactor = 1));
         break;
     }
-    w.at(r.real(1_000, 12_000), one);
+    world.at(rng.real(1_000, 12_000), injectOne);
   };
-  w.at(8_000, one);
+  world.at(8_000, injectOne);
 }
 
-/** A failure scenario of 1 to 7 controllers, over after 190 s; what is not remembered 75 s after 200 s counts as forgotten. */
-export function failureScenario(seed: number): World {
-  const w = new World(seed, undefined, [], (seed % 7) + 1);
-  for (const z of w.zones) w.cloud.add(w.types[0]!, z, false, 0);
-  submitWorkload(w, 150_000);
-  largeFaults(w, 190_000);
-  if (seed % 2 === 0) injectFaults(w, 190_000);
-  w.at(275_000, () => w.checker.remembers(200_000));
-  w.run(330_000);
-  return w;
+/** A failure scenario with 1 to 7 controllers. All faults end within 190 s; 75 s after 200 s each job must have had an answered query. */
+export function playFailureScenario(seed: number): World {
+  const world = new World(seed, undefined, [], (seed % 7) + 1);
+  for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
+  submitWorkload(world, 150_000);
+  injectScenarioFaults(world, 190_000);
+  if (seed % 2 === 0) injectFaults(world, 190_000);
+  world.at(275_000, () => world.checker.remembers(200_000));
+  world.run(330_000);
+  return world;
 }
--- a/test/simulation/world.ts
+++ b/test/simulation/world.ts
@@ -29,112 +29,125 @@
 import { Rng } from "./rng.js";
 import { StateService, type StateServiceWorld } from "./state-service.js";
 
-/** When a packet arrives that was lost and sent again, once or several times. */
+/** Range of the extra delay of a packet that was lost and retransmitted, once or several times. */
 export const RETRANSMISSION_MS = [200, 1_500] as const;
 const RETRANSMISSION_SEED = 0x7cb;
 
 export type CommitCall = Extract<StateCall, { op: "commit" }>;
-/** How a transaction fares: when it is carried out after its sending, and whether and when its answer comes. */
+/** What happens to a transaction: how long until the store applies it, whether it is answered, and how long the reply takes. */
 export interface CommitFate {
   beforeMs: number;
   answered: boolean;
   afterMs?: number;
 }
-/** Orders ride in the answer to a report, or are sent straight to the machine. */
+/** Commands travel in the answer to a heartbeat, or in a direct command to the worker. */
 type CommandChannel = "answer" | "command";
 
-/** A controller's process. */
+/** A running controller process. */
 interface SimController {
   core: Controller;
   startedMs: number;
+  /** Number of the process, which tells it from its predecessors under the same name. */
   life: number;
+  /** Rate of its monotonic clock relative to simulated time. */
   drift: number;
-  /** It stands still while its clocks run on: what comes waits, and so does what its last step returned. */
+  /** While the process is paused (its clocks keep running): its queued inputs and the effects of its last step; otherwise null. */
   still: (() => void)[] | null;
-  /** It will do so between the next input and the carrying out of its effects. */
-  stillFor: number;
-  /** Since when the state service has refused its own calls or not answered them; and when it last tried itself while a peer carries them. */
-  failingMs: number | null;
-  probeMs: number;
+  /** If not 0, the process pauses for this long after its next step, before or after the lease check on that step's effects. */
+  pauseNextMs: number;
+  /** Since when its own calls to the state service have been refused or unanswered; null while they succeed. */
+  failingSinceMs: number | null;
+  /** When it last called the state service itself while a peer relays its calls. */
+  lastProbeMs: number;
 }
 
-/** A small world for the core: seeded, in simulated time, with a stand-in for everything around a controller. */
+/** Deterministic simulation of a cluster around the real controllers: seeded, in simulated time, with stand-ins for all other parts. */
 export class World implements CheckedWorld, CloudWorld, StateServiceWorld {
   now = 0;
+  /** Fraction of the packets that are lost. */
   loss = 0.01;
-  /** Part of the reports that are copied on their way. */
-  duplicatedHeartbeats = 0;
-  /** Users ask so many times as often. */
+  /** Fraction of the heartbeats that the network duplicates. */
+  duplicatedHeartbeatRate = 0;
+  /** Multiplies how often users query job states. */
   queryRate = 1;
-  /** Machines boot so many times as slowly. */
+  /** Multiplies the boot time of machines. */
   bootFactor = 1;
-  /** Part of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
+  /** Fraction of the transactions that get no reply and are applied 2 to 12 s later, after newer ones. */
   lateWrites = 0;
-  /** The state service takes up to so long for a request, in ms, half of it before it is carried out. */
-  stateSlow = 0;
-  /** Tasks run so many times as long. */
+  /** Longest extra latency of a request to the state service; up to half of it passes before the request is applied. */
+  stateLatencyMs = 0;
+  /** Multiplies the run time of tasks. */
   runFactor = 1;
-  /** A peer carries the calls of a controller that the state service refuses alone. */
+  /** Whether a peer relays the calls of a controller that alone can't reach the state service. */
   carries = false;
-  /** Calls to the state service that a peer carried, and transactions that were carried out late. */
-  carried = 0;
-  lateWritten = 0;
-  /** Part of the transactions that are carried out at once and of which only the answer is lost; how many were. */
+  /** Calls to the state service that a peer relayed. */
+  relayedCalls = 0;
+  /** Transactions that were applied late (see `lateWrites`). */
+  lateCommits = 0;
+  /** Fraction of the transactions that are applied at once but whose reply is lost. */
   lostAnswers = 0;
-  answersLost = 0;
-  /** Part of the reports of which a copy is kept for whoever takes the group next; the copies. */
-  forNext = 0;
-  kept: Heartbeat[] = [];
-  /** Called the moment that the last task of a job completes. */
+  /** Transactions whose reply was lost (see `lostAnswers`). */
+  lostCommitReplies = 0;
+  /** Fraction of the heartbeats of which a copy is kept for replay to the partition's next leader. */
+  keptHeartbeatRate = 0;
+  /** The kept copies. */
+  keptHeartbeats: Heartbeat[] = [];
+  /** Called when the last task of a job completes. */
   jobEnded: ((id: string) => void) | null = null;
-  /** Commands with orders that reached a machine which could not report. */
-  muteCommands = 0;
-  /** Copies of reports that came late, and commands that were carried out more than a second after they were sent. */
+  /** Direct commands applied by machines that could not connect to any controller. */
+  commandsToMuteMachines = 0;
+  /** Duplicated heartbeats that arrived late. */
   lateHeartbeats = 0;
+  /** Commands that were applied more than a second after they were sent. */
   lateCommands = 0;
-  /** Jobs submitted with a mistake: they fail on every machine. */
+  /** Jobs whose tasks fail on every machine. */
   readonly faultyJobs = new Set<string>();
   stateDown = false;
   cloudDown = false;
+  /** Most machines of one type, zone and kind (spot or not) that can be rented. */
   capacity = 3;
   readonly rng: Rng;
-  /** Apart from the day's own chance, which takes the same course with and without retransmissions. */
+  /** A generator of its own, so that the draws of `rng` are the same with and without retransmissions. */
   private readonly retransmissions: Rng;
   readonly state: StateService;
   readonly cloud: Cloud;
   readonly checker: Checker;
   readonly workers: SimWorker[] = [];
   readonly specs = new Map<string, JobSpec>();
-  /** Jobs that a job needs, as its user named them. */
+  /** The direct dependencies of each job, as its user named them. */
   readonly dependsOn = new Map<string, readonly string[]>();
+  /** Completed tasks, as `job/index`. */
   readonly results = new Set<string>();
+  /** Jobs whose state some user polls. */
   readonly polled = new Set<string>();
+  /** Names of the configured controllers. */
   names: string[];
-  /** Zones of the controllers, in the order of their names. */
-  private readonly areas: string[];
+  /** The zone of each controller, in the order of `names`. */
+  private readonly controllerZones: string[];
   readonly zones = ["east", "mid", "west", "attic"];
   readonly settings: Settings;
+  /** Controllers by name; null while a controller is down. */
   readonly nodes = new Map<string, SimController | null>();
-  /** Zones that reach nobody outside and are not reached; packets into and out of them are held. */
-  private readonly zoneCuts = new Set<string>();
-  /** Nodes that the state service refuses, whose messages to it are held, or of whose messages only those are that change something, or that don't. */
+  /** Zones cut off from everything outside; packets into and out of them are delayed. */
+  private readonly cutZones = new Set<string>();
+  /** Controllers that the state service refuses, or whose calls to it are delayed: all calls, only writes, or only reads. */
   readonly stateCut = new Map<
     string,
     "refused" | "held" | "writes" | "reads"
   >();
   readonly logs: string[] = [];
-  /** The limits that the state service will have once they fell; the present version keeps within them all the time. */
+  /** Limits of the state service once `limitsFell`; the present version keeps within them at all times. */
   readonly nextLimits = { valueBytes: 2048, txnOps: 4 };
   limitsFell = false;
-  /** The teams' limits that the rule goes by: those of the settings, but while operators change them. */
+  /** Team limits that the quota rule checks while operators change them; null: those of the settings. */
   teamLimits: Settings["teams"] | null = null;
-  /** Controllers that still run the version in production. */
+  /** Controllers that still run the production version. */
   readonly production = new Set<string>();
-  /** What befalls a transaction on its way, where a scenario wants something else than the day brings. */
+  /** Lets a scenario decide what happens to a transaction; undefined leaves it to the simulated network. */
   commitFate:
     ((name: string, commit: CommitCall) => CommitFate | undefined) | null =
     null;
-  /** Holds a direct command up on its way, unanswered; undefined: it goes as the day brings. */
+  /** Lets a scenario delay a direct command, which then gets no reply; undefined leaves it to the simulated network. */
   commandHold:
     | ((
         name: string,
@@ -143,38 +156,42 @@
         commands: readonly Command[],
       ) => CommandHold | undefined)
     | null = null;
-  /** Part of the messages between controllers and machines, in each direction, whose packet is lost and sent again. */
-  retransmitted = 0;
-  /** Keeps a heartbeat longer on its way: its packet was lost and sent again; undefined: it goes as the day brings. */
+  /** Fraction of the messages between controllers and machines, in each direction, whose packet is lost and retransmitted. */
+  retransmissionRate = 0;
+  /** Lets a scenario delay a heartbeat as if its packet was retransmitted; undefined leaves it to the simulated network. */
   heartbeatHold:
     | ((machine: SimWorker, heartbeat: Heartbeat) => HeartbeatHold | undefined)
     | null = null;
-  /** Called when a transaction was carried out. */
+  /** Called when the store has applied a transaction. */
   readonly onCommitted: ((
     name: string,
     commit: CommitCall,
     revision: number,
   ) => void)[] = [];
-  /** Called when orders for a machine leave a controller. */
+  /** Called when a controller sends commands for a machine. */
   readonly onCommands: ((
     name: string,
     machine: string,
     commands: readonly Command[],
     channel: CommandChannel,
   ) => void)[] = [];
-  /** Called with each report that a machine makes. */
-  readonly onHeartbeat: ((report: Heartbeat) => void)[] = [];
-  /** Called with each step of a controller: what it was told and what it returned. */
+  /** Called with each heartbeat that a machine sends. */
+  readonly onHeartbeat: ((heartbeat: Heartbeat) => void)[] = [];
+  /** Called with the input and the effects of each step of a controller. */
   onStep:
     ((name: string, input: Input, effects: readonly Effect[]) => void) | null =
     null;
-  /** Looks at a controller after each of its steps. */
+  /** Called with a controller after each of its steps. */
   afterStep: ((core: Controller) => void) | null = null;
+  /** Tasks that have started on a machine. */
   starts = 0;
   private readonly events = new EventQueue();
-  private lives = 0;
-  private reqs = 0;
-  private readonly answers = new Map<number, (a: Answer | null) => void>();
+  private processCount = 0;
+  private lastReqId = 0;
+  private readonly pendingRequests = new Map<
+    number,
+    (a: Answer | null) => void
+  >();
   readonly types: MachineType[] = [
     {
       name: "small",
@@ -205,7 +222,7 @@
   constructor(
     seed: number,
     readonly tuning: Tuning = { ...DEFAULTS, silentReturnS: 20 },
-    old: readonly string[] = [],
+    productionNames: readonly string[] = [],
     controllers = 3,
   ) {
     this.names = [
@@ -217,11 +234,16 @@
       "node-f",
       "node-g",
     ].slice(0, controllers);
-    this.areas = ["east", "mid", "west", "east", "attic", "mid", "west"].slice(
-      0,
-      controllers,
-    );
-    for (const name of old) this.production.add(name);
+    this.controllerZones = [
+      "east",
+      "mid",
+      "west",
+      "east",
+      "attic",
+      "mid",
+      "west",
+    ].slice(0, controllers);
+    for (const name of productionNames) this.production.add(name);
     this.rng = new Rng(seed);
     this.retransmissions = new Rng(seed ^ RETRANSMISSION_SEED);
     this.settings = {
@@ -267,10 +289,10 @@
     });
   }
 
-  /** How much longer a message between a controller and a machine takes, drawn for each. */
+  /** Draws the extra delay of one message between a controller and a machine; 0 if its packet is not retransmitted. */
   retransmissionMs(): number {
-    if (this.retransmitted === 0) return 0;
-    return this.retransmissions.chance(this.retransmitted)
+    if (this.retransmissionRate === 0) return 0;
+    return this.retransmissions.chance(this.retransmissionRate)
       ? this.retransmissions.real(...RETRANSMISSION_MS)
       : 0;
   }
@@ -295,18 +317,18 @@
   }
 
   boot(name: string): void {
-    const i = this.names.indexOf(name);
-    // Taken away for good meanwhile.
-    if (i < 0) return;
-    const { areas } = this;
+    const index = this.names.indexOf(name);
+    // It was removed from the settings in the meantime.
+    if (index < 0) return;
+    const { controllerZones } = this;
     const settings: Settings = {
       ...this.settings,
       label: name,
-      area: areas[i]!,
+      area: controllerZones[index]!,
       peers: this.names
-        .map((label, k) => ({
+        .map((label, peerIndex) => ({
           label,
-          area: areas[k]!,
+          area: controllerZones[peerIndex]!,
           host: "0.0.0.0",
           port: 9,
         }))
@@ -329,12 +351,12 @@
     const node: SimController = {
       core,
       startedMs: this.now,
-      life: ++this.lives,
+      life: ++this.processCount,
       drift,
       still: null,
-      stillFor: 0,
-      failingMs: null,
-      probeMs: 0,
+      pauseNextMs: 0,
+      failingSinceMs: null,
+      lastProbeMs: 0,
     };
     this.nodes.set(name, node);
     const tick = (): void => {
@@ -343,24 +365,24 @@
       this.at(200, tick);
     };
     tick();
-    const peers = (): void => {
+    const sendPeers = (): void => {
       if (this.nodes.get(name) !== node) return;
       this.feed(name, node.life, {
         type: "peers",
         up: this.names.filter(
-          (n) => n !== name && this.nodes.get(n) && !this.meshCut(n, name),
+          (n) => n !== name && this.nodes.get(n) && !this.isMeshCut(n, name),
         ),
       });
-      this.at(1_000, peers);
+      this.at(1_000, sendPeers);
     };
-    peers();
+    sendPeers();
   }
-  /** From here on controllers that start are told of these controllers and teams. */
+  /** Controllers that start from now on get these controllers and teams in their settings. */
   reconfigure(names: string[], teams: Settings["teams"]): void {
     this.names = names;
     this.settings.teams = teams;
   }
-  /** All controllers start anew, with the settings as they are now. */
+  /** Restarts all controllers with the current settings. */
   bootAll(): void {
     for (const name of this.names) {
       this.crash(name);
@@ -370,43 +392,43 @@
   crash(name: string): void {
     this.nodes.set(name, null);
   }
-  /** From its next input on a controller stands still for so long. */
+  /** Pauses a controller's process for this long after its next step. */
   freeze(name: string, forMs: number): void {
     const node = this.nodes.get(name);
-    if (node && !node.still) node.stillFor = forMs;
+    if (node && !node.still) node.pauseNextMs = forMs;
   }
   private thaw(node: SimController): void {
-    // What queued up is worked off in order, at once: only then does the process wait for anything new.
+    // Queued work is handled in order and at once, before the process accepts new input.
     for (let next = node.still?.shift(); next; next = node.still?.shift())
       next();
     node.still = null;
   }
 
-  /** A controller's steady time, in ms. */
+  /** A controller's monotonic clock, in ms. */
   clockOf(name: string): number {
     return this.now * (this.nodes.get(name)?.drift ?? 1);
   }
   zoneOf(name: string): string {
-    return this.areas[this.names.indexOf(name)]!;
+    return this.controllerZones[this.names.indexOf(name)]!;
   }
-  /** A zone is cut off from everything; packets are held until it is over, some delivered then. */
+  /** Cuts a zone off from everything for a while; its packets are lost or delayed. */
   cutZone(zone: string, forMs: number): void {
-    if (this.zoneCuts.has(zone)) return;
-    this.zoneCuts.add(zone);
-    this.at(forMs, () => this.zoneCuts.delete(zone));
+    if (this.cutZones.has(zone)) return;
+    this.cutZones.add(zone);
+    this.at(forMs, () => this.cutZones.delete(zone));
   }
-  /** No packet passes between these two zones; `null`: users, cloud and state service, which belong to none. */
-  apart(a: string | null, b: string | null): boolean {
+  /** Whether no packet passes between these two zones; null stands for users, cloud and state service, which are in no zone. */
+  apart(fromZone: string | null, toZone: string | null): boolean {
     return (
-      a !== b &&
-      ((a !== null && this.zoneCuts.has(a)) ||
-        (b !== null && this.zoneCuts.has(b)))
+      fromZone !== toZone &&
+      ((fromZone !== null && this.cutZones.has(fromZone)) ||
+        (toZone !== null && this.cutZones.has(toZone)))
     );
   }
-  /** Controllers are killed one after the other and come back with the present version. */
+  /** Rolling upgrade: kills the controllers one after the other and restarts them with the present version. */
   rollout(atMs: number, everyMs: number): void {
-    this.names.forEach((name, i) =>
-      this.at(atMs + i * everyMs, () => {
+    this.names.forEach((name, index) =>
+      this.at(atMs + index * everyMs, () => {
         this.production.delete(name);
         this.crash(name);
         this.at(
@@ -417,46 +439,51 @@
     );
   }
 
-  /** Messages between these two nodes don't arrive. */
-  meshCut(a: string, b: string): boolean {
+  /** Whether messages between these two controllers are lost. */
+  isMeshCut(from: string, to: string): boolean {
     return (
-      this.meshCuts.has(a) ||
-      this.meshCuts.has(b) ||
-      this.apart(this.zoneOf(a), this.zoneOf(b))
+      this.meshCuts.has(from) ||
+      this.meshCuts.has(to) ||
+      this.apart(this.zoneOf(from), this.zoneOf(to))
     );
   }
+  /** Controllers cut off from all their peers. */
   readonly meshCuts = new Set<string>();
 
-  /** A worker's report at a node, passed on over the mesh where the node says so. */
+  /** Delivers a worker's heartbeat to a controller, and relays it to the leader over the mesh if the controller asks for that. */
   heartbeat(
     name: string,
-    r: Heartbeat,
+    heartbeat: Heartbeat,
     done: (a: Answer | null) => void,
   ): void {
     this.ask(
       name,
-      (reqId) => ({ type: "heartbeat", reqId, heartbeat: r, relayed: false }),
-      (a) => {
-        this.noteCommands(name, r, a);
-        if (a?.kind !== "relay") return done(a);
-        const life = this.nodes.get(name)?.life ?? 0;
+      (reqId) => ({ type: "heartbeat", reqId, heartbeat, relayed: false }),
+      (answer) => {
+        this.notifyOnCommands(name, heartbeat, answer);
+        if (answer?.kind !== "relay") return done(answer);
+        const processNumber = this.nodes.get(name)?.life ?? 0;
         const fail = (): void => {
-          this.feed(name, life, { type: "leaderUnreachable", zone: r.zone });
+          this.feed(name, processNumber, {
+            type: "leaderUnreachable",
+            zone: heartbeat.zone,
+          });
           done({ kind: "redirect", leader: null });
         };
-        if (this.meshCut(name, a.leader)) return this.at(2_000, fail);
+        if (this.isMeshCut(name, answer.leader)) return this.at(2_000, fail);
         this.at(this.rng.real(1, 5) + this.retransmissionMs(), () =>
           this.ask(
-            a.leader,
+            answer.leader,
             (reqId) => ({
               type: "heartbeat",
               reqId,
-              heartbeat: r,
+              heartbeat,
               relayed: true,
             }),
-            (b) => {
-              this.noteCommands(a.leader, r, b);
-              if (b?.kind === "commands") this.at(2, () => done(b));
+            (relayedAnswer) => {
+              this.notifyOnCommands(answer.leader, heartbeat, relayedAnswer);
+              if (relayedAnswer?.kind === "commands")
+                this.at(2, () => done(relayedAnswer));
               else fail();
             },
           ),
@@ -465,35 +492,39 @@
     );
   }
 
-  private noteCommands(name: string, r: Heartbeat, a: Answer | null): void {
-    if (a?.kind !== "commands") return;
+  private notifyOnCommands(
+    name: string,
+    heartbeat: Heartbeat,
+    answer: Answer | null,
+  ): void {
+    if (answer?.kind !== "commands") return;
     for (const notify of this.onCommands)
-      notify(name, r.worker, a.commands, "answer");
+      notify(name, heartbeat.worker, answer.commands, "answer");
   }
 
-  /** A line of the world's own in the log. */
-  note(what: string, fields: Record<string, unknown> = {}): void {
+  /** Writes a log line of the simulation itself. */
+  note(event: string, fields: Record<string, unknown> = {}): void {
     if (this.logs.length < 50_000)
       this.logs.push(
-        `${(this.now / 1000).toFixed(3)} world ${what} ${JSON.stringify(fields)}`,
+        `${(this.now / 1000).toFixed(3)} world ${event} ${JSON.stringify(fields)}`,
       );
   }
-  /** A request at a node; null: no answer or no connection. */
+  /** Sends a request to a controller; `done` gets null if the controller is down. */
   ask(
     name: string,
-    input: (req: number) => Input,
+    input: (reqId: number) => Input,
     done: (a: Answer | null) => void,
   ): void {
     const node = this.nodes.get(name);
     if (!node) return done(null);
-    const req = ++this.reqs;
-    this.answers.set(req, done);
-    this.feed(name, node.life, input(req));
+    const reqId = ++this.lastReqId;
+    this.pendingRequests.set(reqId, done);
+    this.feed(name, node.life, input(reqId));
   }
 
-  feed(name: string, life: number, input: Input): void {
+  feed(name: string, processNumber: number, input: Input): void {
     const node = this.nodes.get(name);
-    if (!node || node.life !== life) return;
+    if (!node || node.life !== processNumber) return;
     if (node.still)
       return void node.still.push(() => this.step(name, node, input));
     this.step(name, node, input);
@@ -503,165 +534,182 @@
     const effects = node.core.step(input, this.now * node.drift, this.now);
     this.onStep?.(name, input, effects);
     this.afterStep?.(node.core);
-    // A controller checks its permit once more before anything leaves: it may stand still before that, or after it.
-    const looksFirst = node.stillFor > 0 && this.rng.chance(0.5);
-    const carryOut = (): void => {
-      for (const e of effects) {
-        if (looksFirst || this.production.has(name))
-          this.carryOut(name, node, e);
-        else if (node.core.maySend(e, this.now * node.drift)) {
+    // A controller checks its leadership lease again before it sends an effect; the pause may come before or after that check.
+    const checkedBeforePause = node.pauseNextMs > 0 && this.rng.chance(0.5);
+    const sendEffects = (): void => {
+      for (const effect of effects) {
+        if (checkedBeforePause || this.production.has(name))
+          this.carryOut(name, node, effect);
+        else if (node.core.maySend(effect, this.now * node.drift)) {
           if (this.nodes.get(name) === node)
-            this.checker.leaves(name, node.core, e);
-          this.carryOut(name, node, e);
-        } else if (e.type === "workerCommand")
+            this.checker.checkLeaseOnSend(name, node.core, effect);
+          this.carryOut(name, node, effect);
+        } else if (effect.type === "workerCommand")
           this.feed(name, node.life, {
             type: "commandReply",
-            callId: e.callId,
+            callId: effect.callId,
             reply: { kind: "refused" },
           });
-        else if (e.type === "answer")
+        else if (effect.type === "answer")
           this.carryOut(name, node, {
-            ...e,
+            ...effect,
             answer: { kind: "retryLater", afterS: 1, reason: "no permit" },
           });
       }
     };
-    if (node.stillFor === 0) return carryOut();
-    node.still = [carryOut];
-    this.at(node.stillFor, () => this.thaw(node));
-    node.stillFor = 0;
+    if (node.pauseNextMs === 0) return sendEffects();
+    node.still = [sendEffects];
+    this.at(node.pauseNextMs, () => this.thaw(node));
+    node.pauseNextMs = 0;
   }
 
-  /** The peer that carries a controller's calls to the state service at this moment, as `StateClient` chooses it; null: none. */
-  private carrier(name: string, node: SimController): string | null {
+  /** The peer that relays a controller's calls to the state service, chosen as `StoreClient` does; null if it calls by itself. */
+  private relayPeer(name: string, node: SimController): string | null {
     if (
       !this.carries ||
-      node.failingMs === null ||
-      this.now - node.failingMs < 1_200 ||
+      node.failingSinceMs === null ||
+      this.now - node.failingSinceMs < 1_200 ||
       this.production.has(name)
     )
       return null;
     const peer = this.names.find(
       (n) =>
         n !== name &&
-        this.nodes.get(n)?.failingMs === null &&
+        this.nodes.get(n)?.failingSinceMs === null &&
         !this.nodes.get(n)!.still &&
-        !this.meshCut(name, n),
+        !this.isMeshCut(name, n),
     );
     if (peer === undefined) return null;
-    if (this.now - node.probeMs <= 1_000) return peer;
-    node.probeMs = this.now;
+    if (this.now - node.lastProbeMs <= 1_000) return peer;
+    node.lastProbeMs = this.now;
     return null;
   }
 
-  /** A controller's own request to the state service. */
-  private direct(
+  /** Sends a call from this controller to the state service. */
+  private sendToStore(
     name: string,
     node: SimController,
     call: StateCall,
     done: (r: StateReply) => void,
   ): void {
-    let over = false;
-    const end = (r: StateReply | null): void => {
-      if (over) return;
-      over = true;
-      if (r === null || (r.is === "refused" && r.why === "503"))
-        node.failingMs ??= this.now;
-      else node.failingMs = null;
-      if (r) done(r);
+    let finished = false;
+    const finish = (reply: StateReply | null): void => {
+      if (finished) return;
+      finished = true;
+      if (reply === null || (reply.is === "refused" && reply.why === "503"))
+        node.failingSinceMs ??= this.now;
+      else node.failingSinceMs = null;
+      if (reply) done(reply);
     };
     this.at(call.op === "changes" ? call.waitMs + 1_500 : 1_500, () =>
-      end(null),
+      finish(null),
     );
     const cut = this.stateCut.get(name);
-    if (cut === "refused") return end({ is: "refused", why: "503" });
-    const changes =
+    if (cut === "refused") return finish({ is: "refused", why: "503" });
+    const isWrite =
       call.op === "commit" || call.op === "touch" || call.op === "newHold";
-    const held =
+    const isHeld =
       cut === "held" ||
-      (cut === "writes" && changes) ||
-      (cut === "reads" && !changes) ||
+      (cut === "writes" && isWrite) ||
+      (cut === "reads" && !isWrite) ||
       this.apart(this.zoneOf(name), null) ||
       this.rng.chance(this.loss / 4);
-    const late =
+    const isLate =
       call.op === "commit" &&
       this.lateWrites > 0 &&
       this.rng.chance(this.lateWrites);
-    const lost =
+    const isReplyLost =
       call.op === "commit" &&
       this.lostAnswers > 0 &&
       this.rng.chance(this.lostAnswers);
     const fate =
       call.op === "commit" ? this.commitFate?.(name, call) : undefined;
-    const delay = fate
+    const delayMs = fate
       ? fate.beforeMs
-      : held
+      : isHeld
         ? this.rng.real(1_600, 60_000)
-        : late
+        : isLate
           ? this.rng.real(2_000, 12_000)
           : this.rng.real(1, 10) +
-            (this.stateSlow > 0 ? this.rng.real(0, this.stateSlow / 2) : 0);
-    // Open watches wait, as in an outage.
-    const waits = (): boolean =>
+            (this.stateLatencyMs > 0
+              ? this.rng.real(0, this.stateLatencyMs / 2)
+              : 0);
+    // Open watches get no reply while the controller is cut off, as in an outage.
+    const isHeldWatch = (): boolean =>
       call.op === "changes" &&
       this.stateCut.has(name) &&
       this.stateCut.get(name) !== "writes";
-    this.at(delay, () =>
-      this.state.handle(call, (r) => {
-        if (call.op === "commit" && r.is === "committed")
-          for (const notify of this.onCommitted) notify(name, call, r.epoch);
+    this.at(delayMs, () =>
+      this.state.handle(call, (reply) => {
+        if (call.op === "commit" && reply.is === "committed")
+          for (const notify of this.onCommitted)
+            notify(name, call, reply.epoch);
         if (fate)
           return fate.answered
-            ? this.at(fate.afterMs ?? 1, () => end(r))
+            ? this.at(fate.afterMs ?? 1, () => finish(reply))
             : undefined;
-        if (late && r.is === "committed") this.lateWritten++;
-        if (lost && r.is === "committed") this.answersLost++;
-        if (this.rng.chance(this.loss / 4) || held || late || lost || waits())
+        if (isLate && reply.is === "committed") this.lateCommits++;
+        if (isReplyLost && reply.is === "committed") this.lostCommitReplies++;
+        if (
+          this.rng.chance(this.loss / 4) ||
+          isHeld ||
+          isLate ||
+          isReplyLost ||
+          isHeldWatch()
+        )
           return;
-        if (this.stateSlow > 0)
-          this.at(this.rng.real(0, this.stateSlow / 2), () => end(r));
-        else end(r);
+        if (this.stateLatencyMs > 0)
+          this.at(this.rng.real(0, this.stateLatencyMs / 2), () =>
+            finish(reply),
+          );
+        else finish(reply);
       }),
     );
   }
 
-  private carryOut(name: string, node: SimController, e: Effect): void {
+  private carryOut(name: string, node: SimController, effect: Effect): void {
     if (this.nodes.get(name) !== node) return;
-    const back = (i: Input): void =>
-      this.at(this.rng.real(1, 10), () => this.feed(name, node.life, i));
-    switch (e.type) {
+    const feedLater = (input: Input): void =>
+      this.at(this.rng.real(1, 10), () => this.feed(name, node.life, input));
+    switch (effect.type) {
       case "answer": {
-        const done = this.answers.get(e.reqId);
-        this.answers.delete(e.reqId);
-        done?.(e.answer);
+        const done = this.pendingRequests.get(effect.reqId);
+        this.pendingRequests.delete(effect.reqId);
+        done?.(effect.answer);
         break;
       }
       case "storeCall": {
         const sentMs = this.now * node.drift;
-        let over = false;
-        const reply = (r: StateReply): void => {
-          if (over) return;
-          over = true;
-          back({ type: "storeReply", callId: e.callId, reply: r, sentMs });
+        let finished = false;
+        const reply = (result: StateReply): void => {
+          if (finished) return;
+          finished = true;
+          feedLater({
+            type: "storeReply",
+            callId: effect.callId,
+            reply: result,
+            sentMs,
+          });
         };
-        const wait = e.call.op === "changes" ? e.call.waitMs + 1500 : 1500;
-        this.at(wait, () => reply({ is: "unknown", why: "timeout" }));
-        if (e.call.op === "commit" && !this.production.has(name))
-          this.checker.committed(name, e.call.writes);
-        const peer = this.carrier(name, node);
-        if (peer === null) this.direct(name, node, e.call, reply);
+        const timeoutMs =
+          effect.call.op === "changes" ? effect.call.waitMs + 1500 : 1500;
+        this.at(timeoutMs, () => reply({ is: "unknown", why: "timeout" }));
+        if (effect.call.op === "commit" && !this.production.has(name))
+          this.checker.checkWrites(name, effect.call.writes);
+        const peer = this.relayPeer(name, node);
+        if (peer === null) this.sendToStore(name, node, effect.call, reply);
         else {
-          this.carried++;
-          // A frame there, the peer's own request, a frame back.
+          this.relayedCalls++;
+          // A frame to the peer, the peer's own request, a frame back.
           this.at(this.rng.real(1, 5), () => {
-            const other = this.nodes.get(peer);
-            if (!other || this.meshCut(name, peer)) return;
-            this.direct(
+            const peerNode = this.nodes.get(peer);
+            if (!peerNode || this.isMeshCut(name, peer)) return;
+            this.sendToStore(
               peer,
-              other,
-              e.call,
+              peerNode,
+              effect.call,
               (r) =>
-                this.meshCut(name, peer) ||
+                this.isMeshCut(name, peer) ||
                 this.at(this.rng.real(1, 5), () => reply(r)),
             );
           });
@@ -669,57 +717,77 @@
         break;
       }
       case "cloudCall": {
-        let over = false;
-        const reply = (r: CloudReply): void => {
-          if (over) return;
-          over = true;
-          back({ type: "cloudReply", callId: e.callId, reply: r });
+        let finished = false;
+        const reply = (result: CloudReply): void => {
+          if (finished) return;
+          finished = true;
+          feedLater({
+            type: "cloudReply",
+            callId: effect.callId,
+            reply: result,
+          });
         };
         this.at(4_000, () => reply({ kind: "failed", why: "timeout" }));
-        const held =
+        const isHeld =
           this.apart(this.zoneOf(name), null) || this.rng.chance(this.loss);
-        this.at(held ? this.rng.real(5_000, 40_000) : 100, () => {
-          const r = this.cloud.handle(e.call);
-          if (!held) reply(r);
+        this.at(isHeld ? this.rng.real(5_000, 40_000) : 100, () => {
+          const result = this.cloud.handle(effect.call);
+          if (!isHeld) reply(result);
         });
         break;
       }
       case "workerCommand": {
-        let over = false;
-        const reply = (r: CommandReply): void => {
-          if (over) return;
-          over = true;
-          back({ type: "commandReply", callId: e.callId, reply: r });
+        let finished = false;
+        const reply = (result: CommandReply): void => {
+          if (finished) return;
+          finished = true;
+          feedLater({
+            type: "commandReply",
+            callId: effect.callId,
+            reply: result,
+          });
         };
         this.at(3_000, () => reply({ kind: "unknown" }));
-        const id = `n-${e.address.split(":")[1]}`;
+        const machineId = `n-${effect.address.split(":")[1]}`;
         for (const notify of this.onCommands)
-          notify(name, id, e.commands, "command");
-        const w = this.workers.find((x) => x.id === id);
-        if (!w || w.gone || !w.up) return;
-        w.command(name, e.token, e.incarnation, e.commands, reply);
+          notify(name, machineId, effect.commands, "command");
+        const machine = this.workers.find((x) => x.id === machineId);
+        if (!machine || machine.gone || !machine.up) return;
+        machine.command(
+          name,
+          effect.token,
+          effect.incarnation,
+          effect.commands,
+          reply,
+        );
         break;
       }
       case "inspect": {
-        let over = false;
-        const reply = (r: Heartbeat | null): void => {
-          if (over) return;
-          over = true;
-          back({ type: "inspectReply", callId: e.callId, heartbeat: r });
+        let finished = false;
+        const reply = (result: Heartbeat | null): void => {
+          if (finished) return;
+          finished = true;
+          feedLater({
+            type: "inspectReply",
+            callId: effect.callId,
+            heartbeat: result,
+          });
         };
         this.at(3_000, () => reply(null));
         this.workers
-          .find((x) => x.id === `n-${e.address.split(":")[1]}`)
+          .find((x) => x.id === `n-${effect.address.split(":")[1]}`)
           ?.inspect(name, reply);
         break;
       }
       case "wake":
-        this.at(e.afterMs, () => this.feed(name, node.life, { type: "wake" }));
+        this.at(effect.afterMs, () =>
+          this.feed(name, node.life, { type: "wake" }),
+        );
         break;
       case "log":
         if (this.logs.length < 50_000)
           this.logs.push(
-            `${(this.now / 1000).toFixed(3)} ${name} ${e.msg} ${JSON.stringify(e.fields)}`,
+            `${(this.now / 1000).toFixed(3)} ${name} ${effect.msg} ${JSON.stringify(effect.fields)}`,
           );
         break;
     }
@@ -727,30 +795,39 @@
 
   // ---- gangs ---------------------------------------------------------------------------------------------
 
-  private gang(job: string, attempt: number): { w: SimWorker; t: SimTask }[] {
-    return this.workers.flatMap((w) =>
-      [...w.tasks.values()]
+  private gangTasks(
+    job: string,
+    attempt: number,
+  ): { machine: SimWorker; task: SimTask }[] {
+    return this.workers.flatMap((machine) =>
+      [...machine.tasks.values()]
         .filter(
-          (t) => t.job === job && t.attempt === attempt && t.state !== "exited",
+          (task) =>
+            task.job === job &&
+            task.attempt === attempt &&
+            task.state !== "exited",
         )
-        .map((t) => ({ w, t })),
+        .map((task) => ({ machine, task })),
     );
   }
   gangReady(job: string, attempt: number, spec: JobSpec): void {
-    const all = this.gang(job, attempt).filter((x) => x.t.state === "waiting");
-    if (new Set(all.map((x) => x.t.index)).size < spec.tasks) return;
-    const ms = this.rng.real(2_000, 12_000) * this.runFactor;
-    for (const { w, t } of all) w.run(t, spec, ms);
+    const waiting = this.gangTasks(job, attempt).filter(
+      (x) => x.task.state === "waiting",
+    );
+    if (new Set(waiting.map((x) => x.task.index)).size < spec.tasks) return;
+    const runMs = this.rng.real(2_000, 12_000) * this.runFactor;
+    for (const { machine: w, task: t } of waiting) w.run(t, spec, runMs);
   }
   gangComplete(job: string, attempt: number, spec: JobSpec): boolean {
     return (
-      this.gang(job, attempt).filter(
-        (x) => x.t.state === "running" && !x.w.hung,
+      this.gangTasks(job, attempt).filter(
+        (x) => x.task.state === "running" && !x.machine.hung,
       ).length === spec.tasks
     );
   }
   gangDone(job: string, attempt: number, spec: JobSpec): void {
     for (let i = 0; i < spec.tasks; i++) this.results.add(`${job}/${i}`);
-    for (const { w, t } of this.gang(job, attempt)) w.exit(t, "done");
+    for (const { machine: w, task: t } of this.gangTasks(job, attempt))
+      w.exit(t, "done");
   }
 }
