--- a/test/simulation/fault-combinations.test.ts
+++ b/test/simulation/fault-combinations.test.ts
@@ -450,7 +450,7 @@
   runUntil(world, "the move of its tasks to another partition is sent", () =>
     heldCommit.held(),
   );
-  // A controller with the former settings acquires the partition, and loses it again.
+  // A controller with the former settings acquires the partition, may start tasks there, and loses it again.
   const commit = (call: StateCall): void =>
     world.state.handle(call, (r) => assert.equal(r.is, "committed"));
   const key = "lc/now/group/node-c";
--- a/test/simulation/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -308,7 +308,7 @@
     `ended ${endedMs}, reported ${reportedDoneMs}`,
   );
   const completionWrites = world.checker.writesByKind.get("fin") ?? 0;
-  // Three partitions write once per 1.5 s, of two blocks each. One write per heartbeat would make about 150.
+  // Three partitions each write two blocks once per 1.5 s. One write per heartbeat made about 150 writes.
   assert.ok(
     completionWrites < 3 * (endedMs / 1_500 + 2) && completionWrites < 100,
     `${completionWrites} writes of completion records`,
--- a/test/simulation/workloads.ts
+++ b/test/simulation/workloads.ts
@@ -547,7 +547,7 @@
   world.at(8_000, injectOne);
 }
 
-/** A failure scenario with 1 to 7 controllers. All faults end within 190 s; 75 s after 200 s each job must have had an answered query. */
+/** A failure scenario with 1 to 7 controllers. Faults end within 190 s; 75 s after 200 s, a job with no answered query since then is forgotten. */
 export function playFailureScenario(seed: number): World {
   const world = new World(seed, undefined, [], (seed % 7) + 1);
   for (const z of world.zones) world.cloud.add(world.types[0]!, z, false, 0);
