--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -58,8 +58,8 @@
       return types ? { kind: "catalog", types } : failed;
     }
     case "list": {
-      const l = parseList(raw);
-      return l ? { kind: "list", ...l } : failed;
+      const page = parseList(raw);
+      return page ? { kind: "list", ...page } : failed;
     }
     case "rent": {
       const machines = parseRented(raw);
@@ -70,9 +70,9 @@
   }
 }
 
-/** Calls to the cloud, within this controller's part of its limit (bursts worth two seconds are allowed). */
+/** Calls the cloud platform within this controller's share of its rate limit. A burst may use the share of two seconds. */
 export class CloudClient {
-  private readonly client = new HttpClient(4, 2);
+  private readonly httpClient = new HttpClient(4, 2);
   private readonly limiter: RateLimiter;
 
   constructor(private readonly settings: Settings) {
@@ -80,23 +80,23 @@
     this.limiter = new RateLimiter([rate], [Math.max(1, rate * 2)], 50);
   }
 
-  call(call: CloudCall, urgent: number): Promise<CloudReply> {
+  call(call: CloudCall, priority: number): Promise<CloudReply> {
     return new Promise((resolve) => {
       this.limiter.add({
-        priority: urgent,
+        priority: priority,
         cost: [1],
         deadlineMs: performance.now() + 10_000,
         refuse: () => resolve({ kind: "failed", why: OWN_RATE_LIMIT }),
         run: () => {
           const { method, path, body } = toRequest(call);
           const { host, port } = this.settings.cloud;
-          void this.client
+          void this.httpClient
             .fetch(host, port, method, path, body, 4_000)
-            .then((f) =>
+            .then((outcome) =>
               resolve(
-                f.kind === "answered"
-                  ? toReply(call, f.status, parseJson(f.body))
-                  : { kind: "failed", why: f.why },
+                outcome.kind === "answered"
+                  ? toReply(call, outcome.status, parseJson(outcome.body))
+                  : { kind: "failed", why: outcome.why },
               ),
             );
         },
--- a/src/transport/connection-table.ts
+++ b/src/transport/connection-table.ts
@@ -1,8 +1,8 @@
-/** Who is at the other end, by what was asked last; `fresh`: nothing yet. */
+/** Kinds of clients, by the last request on the connection; `fresh` before the first request. */
 export const CONNECTION_KINDS = ["fresh", "probe", "user", "worker"] as const;
 export type ConnectionKind = (typeof CONNECTION_KINDS)[number];
 
-/** Of all connections, what each kind may have while another kind wants more. */
+/** Share of all connections that each kind may use while another kind needs more. */
 const SHARE: Record<ConnectionKind, number> = {
   fresh: 0.1,
   probe: 0.05,
@@ -11,23 +11,27 @@
 };
 
 /**
- * The connections of users, workers and health checks, which come to one address: one number for all of them lets those of
- * machines that are dead or cut off, which nobody closes, keep users out. So each kind has a share; when there is no room
- * for a new connection, the one that has been idle for longest goes, of the kind that is furthest over its share; and what
- * has been silent for longer than its kind explains is closed. A connection with a request in progress is never closed.
+ * Limits the connections of users, workers and health checks, which all use one address. With one limit for all kinds, the
+ * connections of machines that are dead or cut off, which are never closed by their clients, would keep users out. So each
+ * kind has a share. When the limit is exceeded, the connection that has been idle for the longest time is evicted from the
+ * kind that uses the most in proportion to its share. If no other connection is idle, the new one is closed. Connections that
+ * have been idle for longer than the timeout of their kind are closed, too. A connection with a request in progress never is.
  *
  * Times are steady time in ms.
  */
-export class ConnectionTable<S> {
-  private readonly all = new Map<S, { kind: ConnectionKind; busy: number }>();
-  /** By kind: idle connections, those that have been so for longest first. */
-  private readonly idle: Record<ConnectionKind, Map<S, number>> = {
+export class ConnectionTable<Connection> {
+  private readonly connections = new Map<
+    Connection,
+    { kind: ConnectionKind; activeRequests: number }
+  >();
+  /** For each kind, its idle connections and the time since when each is idle, longest idle first. */
+  private readonly idle: Record<ConnectionKind, Map<Connection, number>> = {
     fresh: new Map(),
     probe: new Map(),
     user: new Map(),
     worker: new Map(),
   };
-  private readonly sizes: Record<ConnectionKind, number> = {
+  private readonly counts: Record<ConnectionKind, number> = {
     fresh: 0,
     probe: 0,
     user: 0,
@@ -35,69 +39,73 @@
   };
 
   constructor(
-    private readonly most: number,
-    /** By kind: how long one may be idle. */
-    private readonly silentMs: Readonly<Record<ConnectionKind, number>>,
+    private readonly maxConnections: number,
+    /** For each kind, the maximum time that a connection may be idle. */
+    private readonly idleTimeoutMs: Readonly<Record<ConnectionKind, number>>,
   ) {}
 
   get size(): number {
-    return this.all.size;
+    return this.connections.size;
   }
 
-  /** A new connection; what has to be closed for it: maybe itself. */
-  opened(s: S, nowMs: number): S | null {
-    this.all.set(s, { kind: "fresh", busy: 0 });
-    this.sizes.fresh++;
-    this.idle.fresh.set(s, nowMs);
-    if (this.all.size <= this.most) return null;
-    let from: ConnectionKind | null = null;
+  /** Adds a new connection. Returns the connection to close for it, which may be the new one itself, or null if there is none. */
+  add(connection: Connection, nowMs: number): Connection | null {
+    this.connections.set(connection, { kind: "fresh", activeRequests: 0 });
+    this.counts.fresh++;
+    this.idle.fresh.set(connection, nowMs);
+    if (this.connections.size <= this.maxConnections) return null;
+    let evictedKind: ConnectionKind | null = null;
     for (const kind of CONNECTION_KINDS) {
-      const others = this.idle[kind].size - (kind === "fresh" ? 1 : 0);
+      const evictable = this.idle[kind].size - (kind === "fresh" ? 1 : 0);
       if (
-        others > 0 &&
-        (from === null ||
-          this.sizes[kind] / SHARE[kind] > this.sizes[from] / SHARE[from])
+        evictable > 0 &&
+        (evictedKind === null ||
+          this.counts[kind] / SHARE[kind] >
+            this.counts[evictedKind] / SHARE[evictedKind])
       )
-        from = kind;
+        evictedKind = kind;
     }
-    const out = from === null ? s : this.idle[from].keys().next().value!;
-    this.closed(out);
-    return out;
+    const evicted =
+      evictedKind === null
+        ? connection
+        : this.idle[evictedKind].keys().next().value!;
+    this.remove(evicted);
+    return evicted;
   }
 
-  /** A request begins. */
-  asked(s: S, kind: ConnectionKind): void {
-    const c = this.all.get(s);
-    if (!c) return;
-    this.idle[c.kind].delete(s);
-    this.sizes[c.kind]--;
-    this.sizes[kind]++;
-    c.kind = kind;
-    c.busy++;
+  /** Records that a request has started. */
+  requestStarted(connection: Connection, kind: ConnectionKind): void {
+    const entry = this.connections.get(connection);
+    if (!entry) return;
+    this.idle[entry.kind].delete(connection);
+    this.counts[entry.kind]--;
+    this.counts[kind]++;
+    entry.kind = kind;
+    entry.activeRequests++;
   }
-  /** It was answered, or given up. */
-  answered(s: S, nowMs: number): void {
-    const c = this.all.get(s);
-    if (!c || --c.busy > 0) return;
-    this.idle[c.kind].set(s, nowMs);
+  /** Records that a request was answered or aborted. */
+  requestEnded(connection: Connection, nowMs: number): void {
+    const entry = this.connections.get(connection);
+    if (!entry || --entry.activeRequests > 0) return;
+    this.idle[entry.kind].set(connection, nowMs);
   }
-  closed(s: S): void {
-    const c = this.all.get(s);
-    if (!c) return;
-    this.all.delete(s);
-    this.idle[c.kind].delete(s);
-    this.sizes[c.kind]--;
+  remove(connection: Connection): void {
+    const entry = this.connections.get(connection);
+    if (!entry) return;
+    this.connections.delete(connection);
+    this.idle[entry.kind].delete(connection);
+    this.counts[entry.kind]--;
   }
 
-  /** Those that have been silent for too long; they count as closed. */
-  silent(nowMs: number): S[] {
-    const out: S[] = [];
+  /** Removes and returns the connections that have been idle for longer than their timeout. */
+  removeExpired(nowMs: number): Connection[] {
+    const expired: Connection[] = [];
     for (const kind of CONNECTION_KINDS)
-      for (const [s, sinceMs] of this.idle[kind]) {
-        if (nowMs - sinceMs <= this.silentMs[kind]) break;
-        out.push(s);
+      for (const [connection, sinceMs] of this.idle[kind]) {
+        if (nowMs - sinceMs <= this.idleTimeoutMs[kind]) break;
+        expired.push(connection);
       }
-    for (const s of out) this.closed(s);
-    return out;
+    for (const connection of expired) this.remove(connection);
+    return expired;
   }
 }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,7 +1,7 @@
 import http from "node:http";
 import type { Duplex } from "node:stream";
 
-/** `refused`: nothing reached the other side, now or later. `unknown`: it may have, or may yet. */
+/** `refused`: the request did not reach the server and never will. `unknown`: it may have reached the server, or may still do so. */
 export type HttpOutcome =
   | { kind: "answered"; status: number; body: string }
   | { kind: "refused"; why: string }
@@ -9,18 +9,19 @@
 
 export type Method = "GET" | "POST" | "PATCH" | "DELETE";
 
-/** The longest answer that is read, in bytes: a page of 1,000 records, or of 500 machines, is far below it. */
-const MAX_BODY = 16 * 1024 * 1024;
+/** Maximum size of a response body. A page of 1,000 records or of 500 machines is far smaller. */
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
 /**
- * Keeps idle connections for reuse, and at most so many of all hosts together. Node bounds them by host only and counts them
- * as in use: once as many hosts had been asked as there may be connections, all others waited until one was closed.
+ * Keeps idle connections for reuse and limits their number over all hosts. Node limits idle connections per host only, and
+ * counts them towards `maxTotalSockets`: after requests to as many hosts as there may be connections, requests to any other
+ * host waited until a connection was closed.
  */
 class PoolingAgent extends http.Agent {
-  /** Connections kept for reuse, those that have been idle for longest first. */
+  /** Connections kept for reuse, longest idle first. */
   private readonly idle = new Set<Duplex>();
-  /** Connections that leave `idle` by themselves once they are closed. */
-  private readonly watched = new WeakSet<Duplex>();
+  /** Connections with a listener that removes them from `idle` when they are closed. */
+  private readonly socketsWithListener = new WeakSet<Duplex>();
 
   constructor(
     maxSockets: number,
@@ -34,15 +35,18 @@
     });
   }
 
-  /** A request is over: whether its connection is kept. One that others wait for is closed, and one of theirs opened for it. */
+  /**
+   * Called when a request has ended. Returns whether its connection is kept. While other requests wait for a connection, it is
+   * closed instead, so that one can be opened for them.
+   */
   override keepSocketAlive(socket: Duplex): boolean {
-    if (this.hasWaiting()) return false;
-    // Node's types leave out what it returns.
-    const keeps = super.keepSocketAlive(socket) as unknown as boolean;
-    if (!keeps) return false;
+    if (this.hasWaitingRequests()) return false;
+    // Node's type definitions omit the return value.
+    const reusable = super.keepSocketAlive(socket) as unknown as boolean;
+    if (!reusable) return false;
     this.idle.add(socket);
-    this.forgetOnClose(socket);
-    if (this.idle.size > this.maxIdle) this.closeOldest();
+    this.removeOnClose(socket);
+    if (this.idle.size > this.maxIdle) this.closeLongestIdle();
     return true;
   }
 
@@ -51,31 +55,31 @@
     super.reuseSocket(socket, request);
   }
 
-  /** One listener for each connection, however often it is reused. */
-  private forgetOnClose(socket: Duplex): void {
-    if (this.watched.has(socket)) return;
-    this.watched.add(socket);
+  /** Adds at most one listener to each connection, however often it is reused. */
+  private removeOnClose(socket: Duplex): void {
+    if (this.socketsWithListener.has(socket)) return;
+    this.socketsWithListener.add(socket);
     socket.once("close", () => this.idle.delete(socket));
   }
 
-  private hasWaiting(): boolean {
+  private hasWaitingRequests(): boolean {
     for (const host in this.requests)
       if (this.requests[host]!.length > 0) return true;
     return false;
   }
 
-  private closeOldest(): void {
-    const oldest = this.idle.values().next().value!;
-    this.idle.delete(oldest);
-    oldest.destroy();
+  private closeLongestIdle(): void {
+    const longestIdle = this.idle.values().next().value!;
+    this.idle.delete(longestIdle);
+    longestIdle.destroy();
   }
 }
 
-/** A keep-alive HTTP client for one service or for many workers. Every request ends: answered or given up. */
+/** A keep-alive HTTP client for one service or for many workers. Each request ends with a response, an error or a timeout. */
 export class HttpClient {
   private readonly agent: http.Agent;
 
-  /** `maxIdle`: connections kept for reuse, of all hosts together; below `maxSockets` if there is more than one host. */
+  /** `maxIdle`: maximum number of idle connections over all hosts. Must be less than `maxSockets` if there is more than one host. */
   constructor(maxSockets: number, maxIdle: number) {
     this.agent = new PoolingAgent(maxSockets, maxIdle);
   }
@@ -89,17 +93,21 @@
     timeoutMs: number,
   ): Promise<HttpOutcome> {
     return new Promise((resolve) => {
-      let sent = false;
-      let over = false;
-      const end = (f: HttpOutcome): void => {
-        if (over) return;
-        over = true;
+      let connected = false;
+      let finished = false;
+      const finish = (outcome: HttpOutcome): void => {
+        if (finished) return;
+        finished = true;
         clearTimeout(timer);
-        resolve(f);
-        if (f.kind !== "answered") req.destroy();
+        resolve(outcome);
+        if (outcome.kind !== "answered") request.destroy();
       };
-      const fail = (why: string): void =>
-        end(sent ? { kind: "unknown", why } : { kind: "refused", why });
+      const fail = (reason: string): void =>
+        finish(
+          connected
+            ? { kind: "unknown", why: reason }
+            : { kind: "refused", why: reason },
+        );
       const timer = setTimeout(() => fail("timeout"), timeoutMs);
       const headers: http.OutgoingHttpHeaders =
         body === undefined
@@ -108,32 +116,32 @@
               "content-type": "application/json",
               "content-length": Buffer.byteLength(body),
             };
-      const req = http.request(
+      const request = http.request(
         { host, port, method, path, headers, agent: this.agent },
-        (res) => {
-          const parts: Buffer[] = [];
+        (response) => {
+          const chunks: Buffer[] = [];
           let size = 0;
-          res.on("data", (d: Buffer) => {
-            size += d.length;
-            if (size > MAX_BODY) fail("answer too large");
-            else parts.push(d);
+          response.on("data", (chunk: Buffer) => {
+            size += chunk.length;
+            if (size > MAX_BODY_BYTES) fail("answer too large");
+            else chunks.push(chunk);
           });
-          res.on("end", () =>
-            end({
+          response.on("end", () =>
+            finish({
               kind: "answered",
-              status: res.statusCode ?? 0,
-              body: Buffer.concat(parts).toString("utf8"),
+              status: response.statusCode ?? 0,
+              body: Buffer.concat(chunks).toString("utf8"),
             }),
           );
-          res.on("error", (e) => fail(e.message));
+          response.on("error", (error) => fail(error.message));
         },
       );
-      req.on("socket", (socket) => {
-        if (!socket.connecting) sent = true;
-        else socket.once("connect", () => (sent = true));
+      request.on("socket", (socket) => {
+        if (!socket.connecting) connected = true;
+        else socket.once("connect", () => (connected = true));
       });
-      req.on("error", (e) => fail(e.message));
-      req.end(body);
+      request.on("error", (error) => fail(error.message));
+      request.end(body);
     });
   }
 
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -14,91 +14,97 @@
 import type { Settings } from "../config/settings.js";
 import { ConnectionTable, type ConnectionKind } from "./connection-table.js";
 
-const MAX_BODY = 64 * 1024;
+const MAX_BODY_BYTES = 64 * 1024;
 
-/** What the HTTP side needs of the core: one answer for each question, at once or soon. */
+/** What the HTTP server requires of the controller. */
 export interface RequestHandler {
-  ask(input: (req: number) => Input): Promise<Answer>;
+  /** Passes a request to the core and returns its answer. `input` makes the core's input from the request id. */
+  ask(input: (reqId: number) => Input): Promise<Answer>;
   ready(): boolean;
-  /** Passes a report on to its master; null: that can't be reached. */
+  /** Relays a heartbeat to the leader of its partition. Returns null if the leader cannot be reached. */
   relay(
     leader: string,
     zone: string,
     body: string,
   ): Promise<{ status: number; body: string } | null>;
-  /** Somebody sent what can't be read. */
+  /** Called for a heartbeat that cannot be parsed. */
   malformed(error: string): void;
-  /** A defect of the program met a request. */
+  /** Called when handling a request threw an unexpected error. */
   fault(error: Error): void;
 }
 
-const bad = (error: string): Response =>
+const badRequest = (error: string): Response =>
   Response.json({ error }, { status: 400 });
 
-export function toHttp(a: Answer): Response {
-  switch (a.kind) {
+export function toHttp(answer: Answer): Response {
+  switch (answer.kind) {
     case "job":
       return Response.json(
         jobBody(
-          a.id,
-          a.state,
-          a.done === undefined
+          answer.id,
+          answer.state,
+          answer.done === undefined
             ? undefined
-            : { done: a.done, running: a.running ?? 0 },
-          a.dependsOn,
+            : { done: answer.done, running: answer.running ?? 0 },
+          answer.dependsOn,
         ),
-        { status: a.status },
+        { status: answer.status },
       );
     case "recordTooLarge":
-      return bad(a.error);
+      return badRequest(answer.error);
     case "cannotRun":
-      return Response.json({ error: a.error }, { status: 422 });
+      return Response.json({ error: answer.error }, { status: 422 });
     case "unknownJob":
       return Response.json({ error: "no such job" }, { status: 404 });
     case "retryLater":
       return Response.json(
-        { error: a.reason },
-        { status: 503, headers: { "retry-after": String(a.afterS) } },
+        { error: answer.reason },
+        { status: 503, headers: { "retry-after": String(answer.afterS) } },
       );
     case "commands":
-      return Response.json(heartbeatAnswerBody(a.token, a.commands));
+      return Response.json(heartbeatAnswerBody(answer.token, answer.commands));
     case "redirect":
-      return Response.json(redirectBody(a.leader), { status: 421 });
+      return Response.json(redirectBody(answer.leader), { status: 421 });
     case "relay":
       return Response.json(redirectBody(null), { status: 421 });
   }
 }
 
 /**
- * Bounds a request's body. Node's parser holds a sender to the length it stated, so that stating too much is all there is
- * to check: hono's own middleware makes a web stream of every body first, which took a third of the time of a report.
- * It is kept for bodies that come in chunks.
+ * Limits the size of request bodies. Node's parser never accepts more than `content-length` states, so for bodies with that
+ * header only its value is checked. Hono's own middleware, which converts every body to a web stream and took a third of the
+ * time needed to handle a heartbeat, is used only for chunked bodies.
  */
-function bounded(): MiddlewareHandler {
-  const onError = (): Response => bad("body: over 64 KiB");
-  const inChunks = bodyLimit({ maxSize: MAX_BODY, onError });
+function limitBodySize(): MiddlewareHandler {
+  const tooLarge = (): Response => badRequest("body: over 64 KiB");
+  const limitChunkedBody = bodyLimit({
+    maxSize: MAX_BODY_BYTES,
+    onError: tooLarge,
+  });
   return (c, next) => {
     const length = c.req.header("content-length");
     if (length === undefined || c.req.header("transfer-encoding") !== undefined)
-      return inChunks(c, next);
-    return Number(length) > MAX_BODY ? Promise.resolve(onError()) : next();
+      return limitChunkedBody(c, next);
+    return Number(length) > MAX_BODY_BYTES
+      ? Promise.resolve(tooLarge())
+      : next();
   };
 }
 
 /**
- * Users', workers' and health-check requests.
+ * Routes for requests of users, workers and health checks.
  *
- * An unexpected error is answered with 503, since the request may have been carried out: a 4xx would end a submission that
- * was already accepted, or lose a cancellation. ECONNRESET means that the client closed the connection before its request
- * was complete, which is no defect of this program.
+ * An unexpected error is answered with 503, since the request may have been carried out. A 4xx would make the client give up
+ * on a job that was accepted, or on a cancellation. ECONNRESET means that the client closed the connection before its request
+ * was complete, which is not an error of this program.
  */
 export function api(
   core: RequestHandler,
-  more: readonly ((limit: MiddlewareHandler) => Hono)[] = [],
+  extraRoutes: readonly ((limit: MiddlewareHandler) => Hono)[] = [],
 ): Hono {
   const app = new Hono();
-  const limit = bounded();
-  for (const make of more) app.route("/", make(limit));
+  const limit = limitBodySize();
+  for (const createRoutes of extraRoutes) app.route("/", createRoutes(limit));
   app.get("/ready", () =>
     Response.json(
       { ready: core.ready() },
@@ -111,7 +117,7 @@
       ? toHttp(
           await core.ask((reqId) => ({ type: "submit", reqId, ...job.value })),
         )
-      : bad(job.error);
+      : badRequest(job.error);
   });
   app.get("/v1/jobs/:id", async (c) => {
     const id = c.req.param("id");
@@ -127,19 +133,19 @@
   });
   app.post("/hello", limit, async (c) => {
     const text = await c.req.text();
-    const r = parseHeartbeat(text);
-    if (!r.ok) {
-      core.malformed(r.error);
-      return bad(r.error);
+    const parsed = parseHeartbeat(text);
+    if (!parsed.ok) {
+      core.malformed(parsed.error);
+      return badRequest(parsed.error);
     }
     const answer = await core.ask((reqId) => ({
       type: "heartbeat",
       reqId,
-      heartbeat: r.value,
+      heartbeat: parsed.value,
       relayed: false,
     }));
     if (answer.kind !== "relay") return toHttp(answer);
-    const relayed = await core.relay(answer.leader, r.value.zone, text);
+    const relayed = await core.relay(answer.leader, parsed.value.zone, text);
     if (!relayed || relayed.status !== 200)
       return toHttp({ kind: "redirect", leader: null });
     return new Response(relayed.body, {
@@ -169,11 +175,11 @@
 }
 
 const KEEP_ALIVE_MS = 75_000;
-const SWEEP_MS = 1_000;
-/** Between closing a connection and its socket being free again. */
-const CLOSING = 16;
+const SWEEP_INTERVAL_MS = 1_000;
+/** Number of sockets set aside for connections that are being closed and still count towards the server's limit. */
+const CLOSING_SOCKETS = 16;
 
-const kindOf = (path: string | undefined): ConnectionKind =>
+const connectionKind = (path: string | undefined): ConnectionKind =>
   path === "/hello" ? "worker" : path === "/ready" ? "probe" : "user";
 
 export function listen(app: Hono, settings: Settings): Promise<Server> {
@@ -188,31 +194,38 @@
     ) as Server;
     server.keepAliveTimeout = KEEP_ALIVE_MS;
     server.requestTimeout = 20_000;
-    // Room is left for the state service, the cloud, the workers and the other controllers.
-    const most = Math.max(8, Math.floor(settings.maxSockets * 0.65));
-    server.maxConnections = most;
-    const workerMs = maxHeartbeatGapMs(settings.reportS) + SWEEP_MS;
-    const open = new ConnectionTable<Socket>(Math.max(4, most - CLOSING), {
-      fresh: 10_000,
-      probe: 10_000,
-      user: KEEP_ALIVE_MS,
-      worker: workerMs,
-    });
+    // The other sockets are for the state service, the cloud, the workers and the other controllers.
+    const maxConnections = Math.max(8, Math.floor(settings.maxSockets * 0.65));
+    server.maxConnections = maxConnections;
+    const workerTimeoutMs =
+      maxHeartbeatGapMs(settings.reportS) + SWEEP_INTERVAL_MS;
+    const connections = new ConnectionTable<Socket>(
+      Math.max(4, maxConnections - CLOSING_SOCKETS),
+      {
+        fresh: 10_000,
+        probe: 10_000,
+        user: KEEP_ALIVE_MS,
+        worker: workerTimeoutMs,
+      },
+    );
     server.on("connection", (socket: Socket) => {
-      socket.once("close", () => open.closed(socket));
-      open.opened(socket, performance.now())?.destroy();
+      socket.once("close", () => connections.remove(socket));
+      connections.add(socket, performance.now())?.destroy();
     });
     server.prependListener(
       "request",
-      (req: IncomingMessage, res: ServerResponse) => {
-        const { socket } = req;
-        open.asked(socket, kindOf(req.url));
-        res.once("close", () => open.answered(socket, performance.now()));
+      (request: IncomingMessage, response: ServerResponse) => {
+        const { socket } = request;
+        connections.requestStarted(socket, connectionKind(request.url));
+        response.once("close", () =>
+          connections.requestEnded(socket, performance.now()),
+        );
       },
     );
     setInterval(() => {
-      for (const socket of open.silent(performance.now())) socket.destroy();
-    }, SWEEP_MS).unref();
+      for (const socket of connections.removeExpired(performance.now()))
+        socket.destroy();
+    }, SWEEP_INTERVAL_MS).unref();
     server.on("error", reject);
   });
 }
--- a/src/transport/peer-mesh.ts
+++ b/src/transport/peer-mesh.ts
@@ -9,46 +9,46 @@
   MAX_FRAME_BYTES,
 } from "../protocol/frames.js";
 
-const PING_MS = 1_000;
-/** A peer that has said nothing for so long counts as down. */
-const SILENT_MS = 3_500;
-/** How long a peer that opened a connection may say nothing on it. */
-const ACCEPTED_SILENT_MS = 3 * SILENT_MS;
-/** Requests in progress at once between two controllers, where `max_sockets` does not call for more. */
+const PING_INTERVAL_MS = 1_000;
+/** A peer that has sent no frame for this long counts as unreachable. */
+const PEER_TIMEOUT_MS = 3_500;
+/** Maximum time without data on a connection that a peer opened. */
+const ACCEPTED_TIMEOUT_MS = 3 * PEER_TIMEOUT_MS;
+/** Minimum of `maxInFlight`, for small values of `max_sockets`. */
 const MIN_IN_FLIGHT = 200;
-/** Bytes that wait to be sent to one peer, where the requests in flight don't call for more. */
+/** Minimum of `maxBacklogBytes`. */
 const MIN_BACKLOG_BYTES = 4 << 20;
-/** A worker's report with some twenty tasks. */
-const REPORT_BYTES = 2 << 10;
-/** Of a frame, what a request's or a reply's own head may take beside the body. */
-const HEAD_BYTES = 64;
-/** Connections that each peer may have open to this controller: one in use, others that it gave up and that still end. */
+/** Size of a heartbeat with some twenty tasks. */
+const HEARTBEAT_BYTES = 2 << 10;
+/** Upper bound on the part of a frame that is not the body of its request or reply. */
+const OVERHEAD_BYTES = 64;
+/** Connections that each peer may have open to this controller: one in use, and others that it abandoned but that are not closed yet. */
 const CONNECTIONS_PER_PEER = 3;
 const SPARE_CONNECTIONS = 2;
-const NOTHING = Buffer.alloc(0);
+const EMPTY_PAYLOAD = Buffer.alloc(0);
 
 /**
- * Requests in progress at once between two controllers. A worker's report that is passed on keeps the worker's connection to
- * this controller busy until it is answered, so there are never more of them than connections.
+ * Maximum number of requests in flight from one controller to another. A heartbeat that is relayed keeps the worker's connection
+ * to this controller busy until it is answered, so there are never more relayed heartbeats than connections.
  */
 export const maxInFlight = (maxSockets: number): number =>
   Math.max(MIN_IN_FLIGHT, maxSockets);
-/** Bytes that may wait to be sent to one peer: room for all that may be in flight. */
+/** Maximum number of bytes that wait to be sent to one peer: enough for all requests that may be in flight. */
 export const maxBacklogBytes = (maxSockets: number): number =>
-  Math.max(MIN_BACKLOG_BYTES, maxInFlight(maxSockets) * REPORT_BYTES);
+  Math.max(MIN_BACKLOG_BYTES, maxInFlight(maxSockets) * HEARTBEAT_BYTES);
 
-/** An answer that no frame can carry. */
+/** Replaces a reply that does not fit into a frame. */
 const TOO_LARGE = { status: 500, body: "" };
-/** Refuses one request; those in progress go on. */
+/** Rejects a request beyond `maxInFlight`. The requests in progress are not affected. */
 const OVERLOADED = { status: 503, body: "" };
 
 interface MeshHandlers {
-  /** Carries out what a peer asks for. */
+  /** Handles a request of a peer. */
   serve(
     type: typeof Frame.Heartbeat | typeof Frame.StoreCall,
     body: string,
   ): Promise<{ status: number; body: string }>;
-  /** Whether this controller's own calls to the state service are answered. */
+  /** Whether the state service answers this controller's own calls. */
   stateOk(): boolean;
 }
 
@@ -58,20 +58,23 @@
   port: number;
   socket: net.Socket | null;
   connected: boolean;
-  /** A peer counts as up by what it says: a hung process still has its connections accepted. */
-  heardMs: number;
-  openedMs: number;
-  stateOk: boolean;
-  open: Map<number, (r: { status: number; body: string } | null) => void>;
+  /** Steady time of the last frame. A connection alone does not show that the peer works: the system accepts them for a hung process, too. */
+  lastFrameMs: number;
+  connectedMs: number;
+  storeReachable: boolean;
+  pendingCalls: Map<
+    number,
+    (reply: { status: number; body: string } | null) => void
+  >;
 }
 
-/** Connections to the other controllers: one for our requests to each, and those that they open to us. */
+/** Connections to the other controllers: one to each for requests of this controller, and those that the others open for theirs. */
 export class PeerMesh {
   private readonly peers: Peer[];
-  private ids = 0;
+  private lastCallId = 0;
   private readonly server: net.Server;
   private readonly accepted = new Set<net.Socket>();
-  private beating: NodeJS.Timeout | undefined;
+  private pingTimer: NodeJS.Timeout | undefined;
   private readonly maxInFlight: number;
   private readonly maxBacklogBytes: number;
 
@@ -79,18 +82,18 @@
     private readonly settings: Settings,
     private readonly handlers: MeshHandlers,
   ) {
-    this.peers = settings.peers.map((p) => ({
-      label: p.label,
-      host: p.host,
-      port: p.port,
+    this.peers = settings.peers.map((peer) => ({
+      label: peer.label,
+      host: peer.host,
+      port: peer.port,
       socket: null,
       connected: false,
-      heardMs: -Infinity,
-      openedMs: -Infinity,
-      stateOk: false,
-      open: new Map(),
+      lastFrameMs: -Infinity,
+      connectedMs: -Infinity,
+      storeReachable: false,
+      pendingCalls: new Map(),
     }));
-    this.server = net.createServer((s) => this.accept(s));
+    this.server = net.createServer((socket) => this.accept(socket));
     this.server.maxConnections =
       settings.peers.length * CONNECTIONS_PER_PEER + SPARE_CONNECTIONS;
     this.maxInFlight = maxInFlight(settings.maxSockets);
@@ -103,102 +106,112 @@
       this.server.listen(this.settings.mesh.port, this.settings.mesh.host, () =>
         resolve(),
       );
-      this.beat();
-      this.beating = setInterval(() => this.beat(), PING_MS);
+      this.pingPeers();
+      this.pingTimer = setInterval(() => this.pingPeers(), PING_INTERVAL_MS);
     });
   }
 
-  /** Ends all connections, and opens no more. */
+  /** Closes all connections and opens no new ones. */
   close(): void {
-    clearInterval(this.beating);
+    clearInterval(this.pingTimer);
     this.server.close();
     for (const socket of this.accepted) socket.destroy();
-    for (const p of this.peers) p.socket?.destroy();
+    for (const peer of this.peers) peer.socket?.destroy();
   }
 
-  /** Peers that have answered lately. */
+  /** Labels of the peers that have sent a frame within `PEER_TIMEOUT_MS`. */
   up(): string[] {
-    const now = performance.now();
+    const nowMs = performance.now();
     return this.peers
-      .filter((p) => now - p.heardMs < SILENT_MS)
-      .map((p) => p.label);
+      .filter((peer) => nowMs - peer.lastFrameMs < PEER_TIMEOUT_MS)
+      .map((peer) => peer.label);
   }
-  /** A peer whose own calls to the state service are answered. */
+  /** Label of a reachable peer that itself reaches the state service; null if there is none. */
   peerWithStore(): string | null {
-    const now = performance.now();
+    const nowMs = performance.now();
     return (
-      this.peers.find((p) => p.stateOk && now - p.heardMs < SILENT_MS)?.label ??
-      null
+      this.peers.find(
+        (peer) =>
+          peer.storeReachable && nowMs - peer.lastFrameMs < PEER_TIMEOUT_MS,
+      )?.label ?? null
     );
   }
 
-  /** null: no answer. The request may have arrived all the same. */
+  /** Sends a request to a peer. Returns null if there was no reply; the request may have arrived nevertheless. */
   call(
     label: string,
     type: typeof Frame.Heartbeat | typeof Frame.StoreCall,
     body: string,
     timeoutMs: number,
   ): Promise<{ status: number; body: string } | null> {
-    const p = this.peers.find((x) => x.label === label);
+    const peer = this.peers.find((candidate) => candidate.label === label);
     const payload = Buffer.from(body);
     if (
-      !p?.socket ||
-      !p.connected ||
-      p.open.size >= this.maxInFlight ||
-      payload.length > MAX_FRAME_BYTES - HEAD_BYTES ||
-      p.socket.writableLength > this.maxBacklogBytes
+      !peer?.socket ||
+      !peer.connected ||
+      peer.pendingCalls.size >= this.maxInFlight ||
+      payload.length > MAX_FRAME_BYTES - OVERHEAD_BYTES ||
+      peer.socket.writableLength > this.maxBacklogBytes
     )
       return Promise.resolve(null);
-    const id = (this.ids = (this.ids + 1) >>> 0);
-    const { socket } = p;
+    const callId = (this.lastCallId = (this.lastCallId + 1) >>> 0);
+    const { socket } = peer;
     return new Promise((resolve) => {
-      const timer = setTimeout(() => end(null), timeoutMs);
-      const end = (r: { status: number; body: string } | null): void => {
+      const timer = setTimeout(() => complete(null), timeoutMs);
+      const complete = (
+        reply: { status: number; body: string } | null,
+      ): void => {
         clearTimeout(timer);
-        p.open.delete(id);
-        resolve(r);
+        peer.pendingCalls.delete(callId);
+        resolve(reply);
       };
-      p.open.set(id, end);
-      socket.write(encodeFrame(type, id, payload));
+      peer.pendingCalls.set(callId, complete);
+      socket.write(encodeFrame(type, callId, payload));
     });
   }
 
-  private beat(): void {
-    const now = performance.now();
-    for (const p of this.peers) {
+  private pingPeers(): void {
+    const nowMs = performance.now();
+    for (const peer of this.peers) {
       if (
-        p.socket &&
-        p.connected &&
-        now - Math.max(p.heardMs, p.openedMs) > SILENT_MS
+        peer.socket &&
+        peer.connected &&
+        nowMs - Math.max(peer.lastFrameMs, peer.connectedMs) > PEER_TIMEOUT_MS
       )
-        p.socket.destroy();
-      if (!p.socket) this.connect(p);
-      else if (p.connected) p.socket.write(encodeFrame(Frame.Ping, 0, NOTHING));
+        peer.socket.destroy();
+      if (!peer.socket) this.connect(peer);
+      else if (peer.connected)
+        peer.socket.write(encodeFrame(Frame.Ping, 0, EMPTY_PAYLOAD));
     }
   }
 
-  private connect(p: Peer): void {
-    const socket = net.connect({ host: p.host, port: p.port, noDelay: true });
+  private connect(peer: Peer): void {
+    const socket = net.connect({
+      host: peer.host,
+      port: peer.port,
+      noDelay: true,
+    });
     const reader = new FrameReader();
-    p.socket = socket;
-    socket.setTimeout(SILENT_MS, () => socket.destroy());
+    peer.socket = socket;
+    socket.setTimeout(PEER_TIMEOUT_MS, () => socket.destroy());
     socket.on("connect", () => {
-      p.connected = true;
-      p.openedMs = performance.now();
-      socket.write(encodeFrame(Frame.Ping, 0, NOTHING));
+      peer.connected = true;
+      peer.connectedMs = performance.now();
+      socket.write(encodeFrame(Frame.Ping, 0, EMPTY_PAYLOAD));
     });
-    socket.on("data", (d: Buffer) => {
-      const frames = reader.push(d);
+    socket.on("data", (data: Buffer) => {
+      const frames = reader.push(data);
       if (!frames) {
         socket.destroy();
         return;
       }
-      for (const f of frames) {
-        p.heardMs = performance.now();
-        if (f.type === Frame.Pong)
-          p.stateOk = f.payload.length > 0 && f.payload.readUInt8(0) === 1;
-        else if (f.type === Frame.Reply)
-          p.open.get(f.id)?.(decodeReply(f.payload));
+      for (const frame of frames) {
+        peer.lastFrameMs = performance.now();
+        if (frame.type === Frame.Pong)
+          peer.storeReachable =
+            frame.payload.length > 0 && frame.payload.readUInt8(0) === 1;
+        else if (frame.type === Frame.Reply)
+          peer.pendingCalls.get(frame.id)?.(decodeReply(frame.payload));
         else {
           socket.destroy();
           return;
@@ -207,10 +220,10 @@
     });
     socket.on("error", () => socket.destroy());
     socket.on("close", () => {
-      p.socket = null;
-      p.connected = false;
-      p.stateOk = false;
-      for (const end of [...p.open.values()]) end(null);
+      peer.socket = null;
+      peer.connected = false;
+      peer.storeReachable = false;
+      for (const complete of [...peer.pendingCalls.values()]) complete(null);
     });
   }
 
@@ -219,43 +232,51 @@
     this.accepted.add(socket);
     socket.on("close", () => this.accepted.delete(socket));
     socket.setNoDelay(true);
-    socket.setTimeout(ACCEPTED_SILENT_MS, () => socket.destroy());
+    socket.setTimeout(ACCEPTED_TIMEOUT_MS, () => socket.destroy());
     socket.on("error", () => socket.destroy());
-    let serving = 0;
-    socket.on("data", (d: Buffer) => {
-      const frames = reader.push(d);
+    let inProgress = 0;
+    socket.on("data", (data: Buffer) => {
+      const frames = reader.push(data);
       if (!frames) {
         socket.destroy();
         return;
       }
-      for (const f of frames) {
-        if (f.type === Frame.Ping)
+      for (const frame of frames) {
+        if (frame.type === Frame.Ping)
           socket.write(
             encodeFrame(
               Frame.Pong,
-              f.id,
+              frame.id,
               Buffer.from([this.handlers.stateOk() ? 1 : 0]),
             ),
           );
-        else if (f.type === Frame.Heartbeat || f.type === Frame.StoreCall) {
-          // Nobody reads the answers: more of them would only take memory.
+        else if (
+          frame.type === Frame.Heartbeat ||
+          frame.type === Frame.StoreCall
+        ) {
+          // The peer does not read the replies. More of them would only use memory.
           if (socket.writableLength > this.maxBacklogBytes) {
             socket.destroy();
             return;
           }
-          if (serving >= this.maxInFlight) {
-            socket.write(encodeReply(f.id, OVERLOADED.status, OVERLOADED.body));
+          if (inProgress >= this.maxInFlight) {
+            socket.write(
+              encodeReply(frame.id, OVERLOADED.status, OVERLOADED.body),
+            );
             continue;
           }
-          serving++;
+          inProgress++;
           void this.handlers
-            .serve(f.type, f.payload.toString("utf8"))
-            .then((r) => {
-              serving--;
-              if (Buffer.byteLength(r.body) > MAX_FRAME_BYTES - HEAD_BYTES)
-                r = TOO_LARGE;
+            .serve(frame.type, frame.payload.toString("utf8"))
+            .then((reply) => {
+              inProgress--;
+              if (
+                Buffer.byteLength(reply.body) >
+                MAX_FRAME_BYTES - OVERHEAD_BYTES
+              )
+                reply = TOO_LARGE;
               if (!socket.destroyed)
-                socket.write(encodeReply(f.id, r.status, r.body));
+                socket.write(encodeReply(frame.id, reply.status, reply.body));
             });
         } else {
           socket.destroy();
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -1,84 +1,98 @@
-/**
- * One controller's part of a service's rate limit: a bucket that holds one burst's worth. Calls that must wait
- * are ordered by urgency, then by age; their number and their waiting time are bounded.
- */
 interface LimitedCall {
+  /** Lower numbers run first. */
   priority: number;
-  /** What it costs of each bucket. */
+  /** Amount that the call takes from each bucket. */
   cost: readonly number[];
+  /** Steady time after which the call is refused instead of run. */
   deadlineMs: number;
   run: () => void;
   refuse: () => void;
 }
 
+/**
+ * Token buckets for one controller's share of a service's rate limits, each with the capacity of one burst. Calls that have to
+ * wait are ordered by priority, then by age. Their number and their waiting time are bounded.
+ */
 export class RateLimiter {
-  private readonly level: number[];
-  private lastMs: number;
+  private readonly levels: number[];
+  private lastRefillMs: number;
   private queue: LimitedCall[] = [];
   private timer: NodeJS.Timeout | null = null;
 
   constructor(
+    /** Refill rate of each bucket per second. */
     private readonly rates: readonly number[],
+    /** Capacity of each bucket. */
     private readonly bursts: readonly number[],
     private readonly maxQueue = 500,
-    /** Part of a burst that calls of each urgency leave to more urgent ones. */
-    private readonly kept: readonly number[] = [],
+    /** For each priority, the share of a burst that its calls leave to those of higher priority. */
+    private readonly reservedShares: readonly number[] = [],
   ) {
-    this.level = [...bursts];
-    this.lastMs = performance.now();
+    this.levels = [...bursts];
+    this.lastRefillMs = performance.now();
   }
 
-  add(job: LimitedCall): void {
-    if (this.queue.length >= this.maxQueue) return job.refuse();
-    let at = this.queue.length;
-    while (at > 0 && this.queue[at - 1]!.priority > job.priority) at--;
-    this.queue.splice(at, 0, job);
+  add(call: LimitedCall): void {
+    if (this.queue.length >= this.maxQueue) return call.refuse();
+    let index = this.queue.length;
+    while (index > 0 && this.queue[index - 1]!.priority > call.priority)
+      index--;
+    this.queue.splice(index, 0, call);
     this.drain();
   }
 
   /**
-   * How full a bucket must be for a call: what it costs, and a part left for more urgent ones that may come any moment
-   * (with 5 changes a second, users waited 200 ms for each that went before). A cost above a whole burst would wait for
-   * ever: it goes when the bucket is full.
+   * The level at which a bucket allows a call: the cost of the call and the share left to calls of higher priority, which may
+   * come at any moment (at 5 changes per second, users waited 200 ms for each earlier call). A call that costs more than a whole
+   * burst would wait for ever, so it may run when the bucket is full.
    */
-  private needs(j: LimitedCall, i: number): number {
-    const cost = j.cost[i]!;
+  private requiredLevel(call: LimitedCall, bucket: number): number {
+    const cost = call.cost[bucket]!;
     return cost === 0
       ? 0
       : Math.min(
-          this.bursts[i]!,
-          cost + this.bursts[i]! * (this.kept[j.priority] ?? 0),
+          this.bursts[bucket]!,
+          cost +
+            this.bursts[bucket]! * (this.reservedShares[call.priority] ?? 0),
         );
   }
 
   private drain(): void {
-    const now = performance.now();
-    const passed = (now - this.lastMs) / 1000;
-    this.lastMs = now;
+    const nowMs = performance.now();
+    const elapsedS = (nowMs - this.lastRefillMs) / 1000;
+    this.lastRefillMs = nowMs;
     this.rates.forEach(
-      (r, i) =>
-        (this.level[i] = Math.min(
-          this.bursts[i]!,
-          this.level[i]! + r * passed,
+      (rate, bucket) =>
+        (this.levels[bucket] = Math.min(
+          this.bursts[bucket]!,
+          this.levels[bucket]! + rate * elapsedS,
         )),
     );
-    const late = this.queue.filter((j) => now > j.deadlineMs);
-    if (late.length > 0) {
-      this.queue = this.queue.filter((j) => now <= j.deadlineMs);
-      for (const j of late) j.refuse();
+    const expired = this.queue.filter((call) => nowMs > call.deadlineMs);
+    if (expired.length > 0) {
+      this.queue = this.queue.filter((call) => nowMs <= call.deadlineMs);
+      for (const call of expired) call.refuse();
     }
     while (this.queue.length > 0) {
-      const j = this.queue[0]!;
-      if (j.cost.some((_, i) => this.level[i]! < this.needs(j, i))) break;
+      const call = this.queue[0]!;
+      if (
+        call.cost.some(
+          (_, bucket) =>
+            this.levels[bucket]! < this.requiredLevel(call, bucket),
+        )
+      )
+        break;
       this.queue.shift();
-      j.cost.forEach((c, i) => (this.level[i]! -= c));
-      j.run();
+      call.cost.forEach((cost, bucket) => (this.levels[bucket]! -= cost));
+      call.run();
     }
     if (this.queue.length > 0 && this.timer === null) {
-      const first = this.queue[0]!;
-      const wait = Math.max(
-        ...first.cost.map(
-          (_, i) => (this.needs(first, i) - this.level[i]!) / this.rates[i]!,
+      const next = this.queue[0]!;
+      const waitS = Math.max(
+        ...next.cost.map(
+          (_, bucket) =>
+            (this.requiredLevel(next, bucket) - this.levels[bucket]!) /
+            this.rates[bucket]!,
         ),
       );
       this.timer = setTimeout(
@@ -86,7 +100,7 @@
           this.timer = null;
           this.drain();
         },
-        Math.min(250, Math.max(1, wait * 1000)),
+        Math.min(250, Math.max(1, waitS * 1000)),
       );
     }
   }
--- a/src/transport/worker-client.ts
+++ b/src/transport/worker-client.ts
@@ -7,26 +7,26 @@
 } from "../protocol/workers.js";
 import { HttpClient, type HttpOutcome, type Method } from "./http-client.js";
 
-/** Of all connections of the process, what those to workers may take; requests beyond it wait for one. */
-const SOCKETS_SHARE = 0.25;
+/** Share of the process's sockets for connections to workers. Requests beyond it wait for a connection. */
+const SOCKET_SHARE = 0.25;
 const MIN_SOCKETS = 8;
-/** Of these, what may be kept idle for reuse: the rest is always there for workers that have none. */
+/** Share of these connections that may be kept idle for reuse. The rest stays available for workers without a connection. */
 const IDLE_SHARE = 0.5;
-/** A worker that does not answer within this time, the wait for a connection included, counts as out of reach. */
+/** A worker that does not answer within this time, including the wait for a connection, counts as unreachable. */
 const ANSWER_TIMEOUT_MS = 3_000;
-/** The commands were carried out, and the body is the machine's status after them. */
+/** To commands: they were executed, and the body is the machine's status after them. */
 const HTTP_OK = 200;
 
-/** Orders sent straight to workers. */
+/** Sends requests directly to workers. */
 export class WorkerClient {
-  private readonly client: HttpClient;
+  private readonly httpClient: HttpClient;
 
   constructor(maxSockets: number) {
     const sockets = Math.max(
       MIN_SOCKETS,
-      Math.floor(maxSockets * SOCKETS_SHARE),
+      Math.floor(maxSockets * SOCKET_SHARE),
     );
-    this.client = new HttpClient(sockets, Math.floor(sockets * IDLE_SHARE));
+    this.httpClient = new HttpClient(sockets, Math.floor(sockets * IDLE_SHARE));
   }
 
   async command(
@@ -35,17 +35,17 @@
     incarnation: number,
     commands: readonly Command[],
   ): Promise<CommandReply> {
-    const f = await this.fetch(
+    const outcome = await this.fetch(
       address,
       "POST",
       "/commands",
       JSON.stringify(commandBody(token, incarnation, commands)),
     );
-    if (f.kind !== "answered") return { kind: f.kind };
-    const { status } = f;
+    if (outcome.kind !== "answered") return { kind: outcome.kind };
+    const { status } = outcome;
     if (status !== HTTP_OK) return { kind: "answered", status, sequence: null };
-    const sequence = readSequence(f.body);
-    // Carried out, but which statuses it precedes is not known: as if its answer were lost.
+    const sequence = readSequence(outcome.body);
+    // Executed, but the sequence of the status after it is not known. Treated as a lost response.
     return sequence === null
       ? { kind: "unknown" }
       : { kind: "answered", status, sequence };
@@ -57,10 +57,10 @@
     path: string,
     body?: string,
   ): Promise<HttpOutcome> {
-    const at = address.lastIndexOf(":");
-    return this.client.fetch(
-      address.slice(0, at),
-      Number(address.slice(at + 1)),
+    const colon = address.lastIndexOf(":");
+    return this.httpClient.fetch(
+      address.slice(0, colon),
+      Number(address.slice(colon + 1)),
       method,
       path,
       body,
@@ -68,11 +68,11 @@
     );
   }
 
-  /** The machine's report of a moment after this question; null: no answer, or none that can be read. */
+  /** Requests a machine's current status. Returns null if there is no answer or it cannot be parsed. */
   async inspect(address: string): Promise<Heartbeat | null> {
-    const f = await this.fetch(address, "GET", "/inspect");
-    if (f.kind !== "answered" || f.status !== HTTP_OK) return null;
-    const r = parseHeartbeat(f.body);
-    return r.ok ? r.value : null;
+    const outcome = await this.fetch(address, "GET", "/inspect");
+    if (outcome.kind !== "answered" || outcome.status !== HTTP_OK) return null;
+    const parsed = parseHeartbeat(outcome.body);
+    return parsed.ok ? parsed.value : null;
   }
 }
--- a/test/transport/transport.test.ts
+++ b/test/transport/transport.test.ts
@@ -11,7 +11,7 @@
 import { api, type RequestHandler } from "../../src/transport/http-server.js";
 import { Rng } from "../simulation/rng.js";
 
-/** What stands between the sockets and the core. */
+/** Tests of the HTTP server and its connection table, and of the daemon between them and the core. */
 
 const SETTINGS = parseSettings(
   `label = "solo"\narea = "east"\nclient_listen = "127.0.0.1:1"\nmesh_addr = "127.0.0.1:2"\n[outside]\ncloud = "127.0.0.1:3"\nstate = "127.0.0.1:4"\n[cluster]\nzones = ["east"]\n[cluster.workers]\nreport_s = 1.0\nlease_s = 10.0\ngang_wait_s = 40.0\ngang_peer_s = 4.0\ncancel_s = 40.0\n[cluster.state]\nrps = 10.0\nwrite_rps = 10.0\nvalue_kb = 8.0\ntxn_ops = 12\n[cluster.cloud]\nrps = 5.0\nlist_lag_s = 1.0\n`,
@@ -31,7 +31,7 @@
   reckonS: 5,
 });
 
-test("a fault of the core ends one request with 503, whatever it was, and the next is served", async () => {
+test("an error thrown by the core fails one request of any kind with 503, and the next request is served", async () => {
   process.env["LOG_LEVEL"] = "silent";
   const daemon = new Daemon(SETTINGS, { ...DEFAULTS });
   const app = api(daemon);
@@ -39,7 +39,7 @@
     core: { step: (...a: unknown[]) => unknown };
   };
   const step = core.step.bind(core);
-  // A user whose job was accepted, or whose cancellation was written, must not be told that it never can be.
+  // A 4xx would make a user give up on a job that was accepted, or on a cancellation that was written.
   const requests: [string, string, string?][] = [
     ["POST", "/v1/jobs", JOB],
     ["GET", "/v1/jobs/req-000001"],
@@ -57,21 +57,21 @@
       }),
     ],
   ];
-  for (const [k, [method, path, body]] of requests.entries()) {
+  for (const [i, [method, path, body]] of requests.entries()) {
     core.step = () => {
       throw new Error("defect");
     };
-    const r = await app.request(path, { method, body: body ?? null });
+    const response = await app.request(path, { method, body: body ?? null });
     assert.deepEqual(
       [
-        r.status,
-        r.headers.get("retry-after"),
-        (await r.text()).includes("defect"),
+        response.status,
+        response.headers.get("retry-after"),
+        (await response.text()).includes("defect"),
       ],
       [503, "1", false],
       path,
     );
-    assert.equal((daemon as unknown as { faults: number }).faults, k + 1);
+    assert.equal((daemon as unknown as { faults: number }).faults, i + 1);
     core.step = step;
     assert.equal(
       (await app.request(path, { method, body: body ?? null })).status,
@@ -84,12 +84,12 @@
   );
 });
 
-test("bodies are bounded, of stated length and in chunks", async () => {
-  const got: number[] = [];
+test("the size of a body is limited, with a content-length and in chunks", async () => {
+  const taskCounts: number[] = [];
   const app = api({
     ask: (input) => {
-      const i = input(1);
-      got.push(i.type === "submit" ? i.spec.tasks : -1);
+      const coreInput = input(1);
+      taskCounts.push(coreInput.type === "submit" ? coreInput.spec.tasks : -1);
       return Promise.resolve({ kind: "retryLater", afterS: 1, reason: "test" });
     },
     ready: () => true,
@@ -97,7 +97,10 @@
     malformed: () => {},
     fault: (e) => assert.fail(e),
   });
-  const long = JSON.stringify({ ...JSON.parse(JOB), pad: "x".repeat(70_000) });
+  const oversized = JSON.stringify({
+    ...JSON.parse(JOB),
+    pad: "x".repeat(70_000),
+  });
   const chunks = (text: string): ReadableStream<Uint8Array> =>
     new ReadableStream({
       start: (c) => {
@@ -119,103 +122,100 @@
     ).then((r) => r.status);
   assert.equal(await post(JOB, JOB.length), 503);
   assert.equal(await post(chunks(JOB)), 503);
-  assert.deepEqual(got, [2, 2]);
-  assert.equal(await post(long, long.length), 400);
-  assert.equal(await post(chunks(long)), 400);
-  assert.deepEqual(got, [2, 2]);
+  assert.deepEqual(taskCounts, [2, 2]);
+  assert.equal(await post(oversized, oversized.length), 400);
+  assert.equal(await post(chunks(oversized)), 400);
+  assert.deepEqual(taskCounts, [2, 2]);
 });
 
-test("connections: bounded, the oldest idle of the kind furthest over its share goes first, none in use", () => {
-  const most = 40;
-  const silentMs = { fresh: 3_000, probe: 3_000, user: 60_000, worker: 8_000 };
+test("the number of connections is limited: the longest idle one of the kind furthest over its share is closed, and none in use", () => {
+  const limit = 40;
+  const timeoutMs = { fresh: 3_000, probe: 3_000, user: 60_000, worker: 8_000 };
   for (let seed = 1; seed <= 30; seed++) {
     const rng = new Rng(seed);
-    const table = new ConnectionTable<number>(most, silentMs);
+    const table = new ConnectionTable<number>(limit, timeoutMs);
     const model = new Map<
       number,
       { kind: ConnectionKind; busy: boolean; sinceMs: number }
     >();
-    let now = 0;
-    let ids = 0;
-    for (let k = 0; k < 3_000; k++) {
-      now += rng.int(0, 120);
+    let nowMs = 0;
+    let lastId = 0;
+    for (let step = 0; step < 3_000; step++) {
+      nowMs += rng.int(0, 120);
       const open = [...model];
       const busy = open.filter(([, c]) => c.busy);
-      const what = rng.int(0, 9);
-      if (what < 4) {
-        const s = ++ids;
+      const action = rng.int(0, 9);
+      if (action < 4) {
+        const added = ++lastId;
         const idle = open.filter(([, c]) => !c.busy);
-        const out = table.opened(s, now);
-        model.set(s, { kind: "fresh", busy: false, sinceMs: now });
-        if (out === null) assert.ok(model.size <= most);
+        const closed = table.add(added, nowMs);
+        model.set(added, { kind: "fresh", busy: false, sinceMs: nowMs });
+        if (closed === null) assert.ok(model.size <= limit);
         else {
-          assert.equal(
-            open.length,
-            most,
-            "nothing is closed while there is room",
-          );
-          if (out === s) {
-            assert.equal(idle.length, 0, "refused while another is idle");
+          assert.equal(open.length, limit, "closed below the limit");
+          if (closed === added) {
+            assert.equal(idle.length, 0, "closed while another is idle");
           } else {
-            const c = model.get(out)!;
+            const evicted = model.get(closed)!;
             assert.ok(
-              !c.busy &&
+              !evicted.busy &&
                 idle.every(
-                  ([, o]) => o.kind !== c.kind || o.sinceMs >= c.sinceMs,
+                  ([, other]) =>
+                    other.kind !== evicted.kind ||
+                    other.sinceMs >= evicted.sinceMs,
                 ),
-              "the oldest idle of its kind",
+              "the longest idle one of its kind is closed",
             );
           }
-          model.delete(out);
+          model.delete(closed);
         }
-      } else if (what < 7 && open.length > 0) {
-        const [s, c] = rng.pick(open);
-        if (!c.busy) {
-          c.kind = rng.pick(CONNECTION_KINDS.slice(1));
-          c.busy = true;
-          table.asked(s, c.kind);
+      } else if (action < 7 && open.length > 0) {
+        const [id, connection] = rng.pick(open);
+        if (!connection.busy) {
+          connection.kind = rng.pick(CONNECTION_KINDS.slice(1));
+          connection.busy = true;
+          table.requestStarted(id, connection.kind);
         }
-      } else if (what === 7 && busy.length > 0) {
-        const [s, c] = rng.pick(busy);
-        c.busy = false;
-        c.sinceMs = now;
-        table.answered(s, now);
-      } else if (what === 8 && open.length > 0) {
-        const [s] = rng.pick(open);
-        model.delete(s);
-        table.closed(s);
+      } else if (action === 7 && busy.length > 0) {
+        const [id, connection] = rng.pick(busy);
+        connection.busy = false;
+        connection.sinceMs = nowMs;
+        table.requestEnded(id, nowMs);
+      } else if (action === 8 && open.length > 0) {
+        const [id] = rng.pick(open);
+        model.delete(id);
+        table.remove(id);
       } else {
-        const due = open
-          .filter(([, c]) => !c.busy && now - c.sinceMs > silentMs[c.kind])
-          .map(([s]) => s);
+        const expired = open
+          .filter(([, c]) => !c.busy && nowMs - c.sinceMs > timeoutMs[c.kind])
+          .map(([id]) => id);
         const byNumber = (a: number, b: number): number => a - b;
-        assert.deepEqual(table.silent(now).sort(byNumber), due.sort(byNumber));
-        for (const s of due) model.delete(s);
+        assert.deepEqual(
+          table.removeExpired(nowMs).sort(byNumber),
+          expired.sort(byNumber),
+        );
+        for (const id of expired) model.delete(id);
       }
       assert.equal(table.size, model.size);
     }
-    assert.ok(ids > 500);
+    assert.ok(lastId > 500);
   }
-  // Workers that nobody hears of any more don't keep a user out, nor do users a worker.
-  const table = new ConnectionTable<string>(10, silentMs);
+  // Idle connections of workers do not keep users out, and those of users do not keep workers out.
+  const table = new ConnectionTable<string>(10, timeoutMs);
   for (let i = 0; i < 10; i++) {
-    table.opened(`w${i}`, i);
-    table.asked(`w${i}`, "worker");
-    table.answered(`w${i}`, 100 + i);
+    table.add(`w${i}`, i);
+    table.requestStarted(`w${i}`, "worker");
+    table.requestEnded(`w${i}`, 100 + i);
   }
   for (let i = 0; i < 3; i++) {
-    assert.equal(table.opened(`u${i}`, 200), `w${i}`);
-    table.asked(`u${i}`, "user");
-    table.answered(`u${i}`, 300 + i);
+    assert.equal(table.add(`u${i}`, 200), `w${i}`);
+    table.requestStarted(`u${i}`, "user");
+    table.requestEnded(`u${i}`, 300 + i);
   }
-  assert.equal(
-    table.opened("x", 400),
-    "u0",
-    "users are further over theirs now",
-  );
+  assert.equal(table.add("x", 400), "u0", "users exceed their share more");
 });
 
-test("who goes away in the middle of a body is no fault of the program", async () => {
+test("a client that disconnects in the middle of a body does not count as an internal error", async () => {
   const faults: Error[] = [];
   const core: RequestHandler = {
     ask: () => Promise.resolve({ kind: "unknownJob" }),
@@ -225,7 +225,7 @@
     fault: (e) => faults.push(e),
   };
   const app = api(core);
-  const broken = (e: Error): Promise<Response> => {
+  const requestWithBodyError = (e: Error): Promise<Response> => {
     const body = new ReadableStream({ start: (c) => c.error(e) });
     return Promise.resolve(
       app.request("/v1/jobs", {
@@ -236,13 +236,16 @@
       } as RequestInit),
     );
   };
-  // As Node's own request says it.
+  // The error that Node reports for an aborted request.
   assert.equal(
-    (await broken(Object.assign(new Error("aborted"), { code: "ECONNRESET" })))
-      .status,
+    (
+      await requestWithBodyError(
+        Object.assign(new Error("aborted"), { code: "ECONNRESET" }),
+      )
+    ).status,
     503,
   );
   assert.deepEqual(faults, []);
-  assert.equal((await broken(new Error("a defect"))).status, 503);
+  assert.equal((await requestWithBodyError(new Error("a defect"))).status, 503);
   assert.equal(faults.length, 1);
 });
--- a/test/transport/worker-client.test.ts
+++ b/test/transport/worker-client.test.ts
@@ -5,7 +5,7 @@
 import type { CommandReply } from "../../src/coordination/effects.js";
 import { WorkerClient } from "../../src/transport/worker-client.js";
 
-/** What the core is told of a command to which a worker answers so. */
+/** Sends a command to a worker that gives this response, and returns the reply for the core. */
 async function replyTo(status: number, body: string): Promise<CommandReply> {
   const server = createServer((_request, response) => {
     response.writeHead(status, { connection: "close" }).end(body);
@@ -21,14 +21,14 @@
   }
 }
 
-test("the answer to a command tells the sequence of the status made after it", async () => {
+test("the reply to a command contains the sequence of the status after it", async () => {
   assert.deepEqual(
     await replyTo(200, '{"berth":"n-1","watch":1,"tally":31,"shards":[]}'),
     { kind: "answered", status: 200, sequence: 31 },
   );
 });
 
-test("a command that was not carried out precedes no status", async () => {
+test("the reply to a command that was not executed contains no sequence", async () => {
   for (const status of [400, 409])
     assert.deepEqual(await replyTo(status, '{"tally":31}'), {
       kind: "answered",
@@ -37,7 +37,7 @@
     });
 });
 
-test("a command that was carried out, by an answer that can't be read, counts as not answered", async () => {
+test("the outcome of a command is unknown if the response cannot be parsed", async () => {
   for (const body of ["", "null", "{}", '{"tally":-1}', '{"tally":"31"}'])
     assert.deepEqual(await replyTo(200, body), { kind: "unknown" }, body);
 });
