--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -9,7 +9,7 @@
   type Method,
 } from "../transport/http-client.js";
 
-/** A refusal or an unreachable service: exit 1. */
+/** A request was refused or the service cannot be reached. The exit code is 1. */
 class RequestRefusedError extends Error {}
 
 const VERSION = "0.2.0";
@@ -37,67 +37,71 @@
   };
 }
 
-function server(text: string): { host: string; port: number } {
-  const m = /^(.+):(\d{1,5})$/.exec(text);
-  if (!m) throw new InvalidArgumentError("HOST:PORT expected");
-  return { host: m[1]!, port: Number(m[2]) };
+function parseServer(text: string): { host: string; port: number } {
+  const match = /^(.+):(\d{1,5})$/.exec(text);
+  if (!match) throw new InvalidArgumentError("HOST:PORT expected");
+  return { host: match[1]!, port: Number(match[2]) };
 }
-function jobId(text: string): string {
+function parseJobId(text: string): string {
   if (!JOB_ID.test(text))
     throw new InvalidArgumentError("must look like req-000412");
   return text;
 }
 
-interface Common {
+interface Options {
   server: { host: string; port: number };
   json?: boolean;
 }
 
-async function call(
-  o: Common,
+async function send(
+  options: Options,
   method: Method,
   path: string,
   body?: string,
 ): Promise<Record<string, unknown>> {
   const client = new HttpClient(1, 0);
-  const f = await client.fetch(
-    o.server.host,
-    o.server.port,
+  const outcome = await client.fetch(
+    options.server.host,
+    options.server.port,
     method,
     path,
     body,
     6_000,
   );
   client.close();
-  if (f.kind !== "answered")
+  if (outcome.kind !== "answered")
     throw new RequestRefusedError(
-      `${o.server.host}:${o.server.port}: ${f.why}`,
+      `${options.server.host}:${options.server.port}: ${outcome.why}`,
     );
-  const raw = (parseJson(f.body) ?? {}) as Record<string, unknown>;
-  if (f.status !== 200 && f.status !== 201)
+  const reply = (parseJson(outcome.body) ?? {}) as Record<string, unknown>;
+  if (outcome.status !== 200 && outcome.status !== 201)
     throw new RequestRefusedError(
-      `${f.status}: ${typeof raw["error"] === "string" ? raw["error"] : "refused"}${f.status === 503 ? " (try again in a moment)" : ""}`,
+      `${outcome.status}: ${typeof reply["error"] === "string" ? reply["error"] : "refused"}${outcome.status === 503 ? " (try again in a moment)" : ""}`,
     );
-  return raw;
+  return reply;
 }
 
-function print(o: Common, raw: Record<string, unknown>): void {
-  if (o.json) return void process.stdout.write(`${JSON.stringify(raw)}\n`);
+function printJob(opts: Options, reply: Record<string, unknown>): void {
+  if (opts.json) return void process.stdout.write(`${JSON.stringify(reply)}\n`);
   const counts =
-    typeof raw["done"] === "number"
-      ? `, ${raw["done"]} done, ${String(raw["running"])} running`
+    typeof reply["done"] === "number"
+      ? `, ${reply["done"]} done, ${String(reply["running"])} running`
       : "";
   const awaits =
-    Array.isArray(raw["awaits"]) && raw["awaits"].length > 0
-      ? `, waits for ${raw["awaits"].join(", ")}`
+    Array.isArray(reply["awaits"]) && reply["awaits"].length > 0
+      ? `, waits for ${reply["awaits"].join(", ")}`
       : "";
   process.stdout.write(
-    `${String(raw["id"])}: ${String(raw["status"])}${counts}${awaits}\n`,
+    `${String(reply["id"])}: ${String(reply["status"])}${counts}${awaits}\n`,
   );
 }
 
-type Make = (name: string, what: string, parent?: Command) => Command;
-interface WebhookOptions extends Common {
+type CreateCommand = (
+  name: string,
+  description: string,
+  parent?: Command,
+) => Command;
+interface WebhookOptions extends Options {
   url?: string;
   team?: string[];
   class?: string[];
@@ -106,12 +110,12 @@
   ordered?: boolean;
   ask?: boolean;
 }
-function webhookCommands(program: Command, client: Make): void {
-  const webhook = program
+function addWebhookCommands(program: Command, client: CreateCommand): void {
+  const hook = program
     .command("hook")
     .description("notifications of jobs' ends");
-  const make = (name: string, what: string): Command =>
-    client(name, what, webhook);
+  const command = (name: string, description: string): Command =>
+    client(name, description, hook);
   const path = (name: string, rest = ""): string =>
     `/v1/hooks/${encodeURIComponent(name)}${rest}`;
   const fields = (o: WebhookOptions): object => ({
@@ -123,7 +127,7 @@
     ...(o.ordered === undefined ? {} : { ordered: o.ordered }),
     ...(o.ask === undefined ? {} : { ask: o.ask }),
   });
-  const options = (c: Command): Command =>
+  const withOptions = (c: Command): Command =>
     c
       .option("--team <name...>", "only jobs of these teams")
       .option("--class <name...>", "only jobs of these classes")
@@ -142,96 +146,97 @@
         "ask the receiver before a repeat that it may have received",
       )
       .option("--no-ask");
-  const line = (h: Record<string, unknown>): string => {
-    const of = (x: unknown): string => (Array.isArray(x) ? x.join(",") : "all");
-    const flags = `${h["ordered"] ? ", ordered" : ""}${h["ask"] ? ", asks" : ""}`;
-    return `${String(h["name"])}: ${String(h["state"])}, ${String(h["url"])}, teams ${of(h["crews"])}, classes ${of(h["jobclasses"])}, ${of(h["outcomes"])}, keys ${of(h["keys"])}${flags}\n`;
+  const format = (subscription: Record<string, unknown>): string => {
+    const listOrAll = (x: unknown): string =>
+      Array.isArray(x) ? x.join(",") : "all";
+    const flags = `${subscription["ordered"] ? ", ordered" : ""}${subscription["ask"] ? ", asks" : ""}`;
+    return `${String(subscription["name"])}: ${String(subscription["state"])}, ${String(subscription["url"])}, teams ${listOrAll(subscription["crews"])}, classes ${listOrAll(subscription["jobclasses"])}, ${listOrAll(subscription["outcomes"])}, keys ${listOrAll(subscription["keys"])}${flags}\n`;
   };
-  const tell = (o: Common, raw: Record<string, unknown>, text: string): void =>
-    void process.stdout.write(o.json ? `${JSON.stringify(raw)}\n` : text);
-  options(
-    make("add", "have the ends of jobs told to a URL")
+  const print = (o: Options, r: Record<string, unknown>, text: string): void =>
+    void process.stdout.write(o.json ? `${JSON.stringify(r)}\n` : text);
+  withOptions(
+    command("add", "have the ends of jobs told to a URL")
       .argument("<name>")
       .argument("<url>"),
   ).action(async (name: string, url: string, o: WebhookOptions) => {
-    const raw = await call(
+    const reply = await send(
       o,
       "POST",
       "/v1/hooks",
       JSON.stringify({ name, ...fields({ ...o, url }) }),
     );
-    tell(o, raw, line(raw));
+    print(o, reply, format(reply));
   });
-  options(
-    make("change", "change what is named, and nothing else")
+  withOptions(
+    command("change", "change what is named, and nothing else")
       .argument("<name>")
       .option("--url <url>"),
   ).action(async (name: string, o: WebhookOptions) => {
-    const raw = await call(o, "PATCH", path(name), JSON.stringify(fields(o)));
-    tell(o, raw, line(raw));
+    const reply = await send(o, "PATCH", path(name), JSON.stringify(fields(o)));
+    print(o, reply, format(reply));
   });
-  make("list", "show all hooks").action(async (o: Common) => {
-    const raw = await call(o, "GET", "/v1/hooks");
-    tell(
+  command("list", "show all hooks").action(async (o: Options) => {
+    const reply = await send(o, "GET", "/v1/hooks");
+    print(
       o,
-      raw,
-      (raw["hooks"] as Record<string, unknown>[]).map(line).join(""),
+      reply,
+      (reply["hooks"] as Record<string, unknown>[]).map(format).join(""),
     );
   });
-  make(
+  command(
     "show",
     "show a hook and, at the controller that sends for it, how far it is",
   )
     .argument("<name>")
-    .action(async (name: string, o: Common) => {
-      const raw = await call(o, "GET", path(name));
-      tell(
+    .action(async (name: string, o: Options) => {
+      const reply = await send(o, "GET", path(name));
+      print(
         o,
-        raw,
-        line(raw) +
-          (raw["sending"] ? `  ${JSON.stringify(raw["sending"])}\n` : ""),
+        reply,
+        format(reply) +
+          (reply["sending"] ? `  ${JSON.stringify(reply["sending"])}\n` : ""),
       );
     });
-  for (const [act, what] of [
+  for (const [action, description] of [
     ["pause", "send nothing for now; what ends is kept"],
     ["resume", "send again, also after the receiver answered 410"],
     ["test", "send a test notification"],
     ["redrive", "send all dead letters again"],
   ] as const)
-    make(act, what)
+    command(action, description)
       .argument("<name>")
-      .action(async (name: string, o: Common) => {
-        const raw = await call(o, "POST", path(name, `/${act}`), "");
-        tell(o, raw, line(raw));
+      .action(async (name: string, o: Options) => {
+        const reply = await send(o, "POST", path(name, `/${action}`), "");
+        print(o, reply, format(reply));
       });
-  make("remove", "remove a hook and all that waits for it")
+  command("remove", "remove a hook and all that waits for it")
     .argument("<name>")
-    .action(async (name: string, o: Common) => {
-      const raw = await call(o, "DELETE", path(name));
-      tell(o, raw, `${name}: removed\n`);
+    .action(async (name: string, o: Options) => {
+      const reply = await send(o, "DELETE", path(name));
+      print(o, reply, `${name}: removed\n`);
     });
-  make("dead", "list notifications that were given up")
+  command("dead", "list notifications that were given up")
     .argument("<name>")
-    .action(async (name: string, o: Common) => {
+    .action(async (name: string, o: Options) => {
       for (let after = ""; ;) {
-        const raw = await call(
+        const reply = await send(
           o,
           "GET",
           path(name, `/dead?after=${encodeURIComponent(after)}`),
         );
-        const dead = raw["dead"] as Record<string, unknown>[];
-        tell(
+        const dead = reply["dead"] as Record<string, unknown>[];
+        print(
           o,
-          raw,
+          reply,
           dead
             .map(
-              (d) =>
-                `${String(d["id"])}: ${String(d["status"])} at ${String(d["endedAt"])}, ${String(d["attempts"])} attempts\n`,
+              (notification) =>
+                `${String(notification["id"])}: ${String(notification["status"])} at ${String(notification["endedAt"])}, ${String(notification["attempts"])} attempts\n`,
             )
             .join(""),
         );
-        if (typeof raw["next"] !== "string") return;
-        after = raw["next"];
+        if (typeof reply["next"] !== "string") return;
+        after = reply["next"];
       }
     });
 }
@@ -255,51 +260,60 @@
       "the operators' own settings (protobuf text format)",
       process.env["LINENCOVE_OPERATOR"],
     )
-    .action(async (o: { config?: string; operator?: string }) => {
-      if (o.config === undefined)
+    .action(async (options: { config?: string; operator?: string }) => {
+      if (options.config === undefined)
         throw new CommanderError(
           2,
           "linencove.usage",
           "error: --config FILE or a command expected; see --help",
         );
-      const { settings, operator } = await loadSettings(o.config, o.operator);
+      const { settings, operator } = await loadSettings(
+        options.config,
+        options.operator,
+      );
       const { Daemon } = await import("../daemon/daemon.js");
       const daemon = new Daemon(settings, operator.tuning);
       if (operator.hooks || operator.metrics) {
-        const { turnOn } = await import("../daemon/extensions.js");
-        await turnOn(daemon, settings, operator, o.operator!, VERSION);
+        const { addExtensions } = await import("../daemon/extensions.js");
+        await addExtensions(
+          daemon,
+          settings,
+          operator,
+          options.operator!,
+          VERSION,
+        );
       }
       await daemon.run();
     });
-  const client: Make = (name, what, parent = program) =>
+  const client: CreateCommand = (name, description, parent = program) =>
     parent
       .command(name)
-      .description(what)
+      .description(description)
       .requiredOption(
         "--server <host:port>",
         "any controller's address for clients",
-        server,
+        parseServer,
       )
       .option("--json", "print the answer as JSON");
   client("submit", "submit a job described in JSON")
     .argument("<file>", "the job's file; - for standard input")
-    .action(async (file: string, o: Common) => {
+    .action(async (file: string, opts: Options) => {
       const text = readText(file);
       const job = parseJob(text);
       if (!job.ok) throw new SettingsError(`${file}: ${job.error}`);
-      print(o, await call(o, "POST", "/v1/jobs", text));
+      printJob(opts, await send(opts, "POST", "/v1/jobs", text));
     });
   client("show", "show a job's state")
-    .argument("<id>", "the job's id", jobId)
-    .action(async (id: string, o: Common) =>
-      print(o, await call(o, "GET", `/v1/jobs/${id}`)),
+    .argument("<id>", "the job's id", parseJobId)
+    .action(async (id: string, opts: Options) =>
+      printJob(opts, await send(opts, "GET", `/v1/jobs/${id}`)),
     );
   client("withdraw", "cancel a job")
-    .argument("<id>", "the job's id", jobId)
-    .action(async (id: string, o: Common) =>
-      print(o, await call(o, "POST", `/v1/jobs/${id}/withdraw`, "")),
+    .argument("<id>", "the job's id", parseJobId)
+    .action(async (id: string, opts: Options) =>
+      printJob(opts, await send(opts, "POST", `/v1/jobs/${id}/withdraw`, "")),
     );
-  webhookCommands(program, client);
+  addWebhookCommands(program, client);
   program
     .command("check")
     .description("check both settings files")
@@ -310,7 +324,7 @@
       async (
         config: string,
         operator: string | undefined,
-        o: { json?: boolean },
+        opts: { json?: boolean },
       ) => {
         const {
           settings,
@@ -321,7 +335,7 @@
             webhooks,
             operator!,
           );
-        if (o.json)
+        if (opts.json)
           process.stdout.write(
             `${JSON.stringify({ label: settings.label, area: settings.area, zones: settings.zones, teams: [...settings.teams.keys()], tuning, hooks: webhooks, metrics })}\n`,
           );
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,7 +1,7 @@
 import type { Tuning } from "../coordination/model.js";
 import { SettingsError } from "./settings.js";
 
-/** Defaults of the operators' own settings; docs/settings.md has unit and effect of each. */
+/** Defaults of the operators' settings. docs/settings.md describes the unit and effect of each. */
 export const DEFAULTS: Readonly<Tuning> = {
   longEvery: 4,
   reservedShare: 0.1,
@@ -23,7 +23,7 @@
   tellEnds: false,
 };
 
-/** The message that the operators' file holds, in protobuf text format. */
+/** Schema of the operators' file, which is an `Operator` message in protobuf text format. */
 const SCHEMA = `
 syntax = "proto2";
 message Operator {
@@ -73,7 +73,7 @@
   optional uint32 subscriptions = 18 [default = 200];
 }`;
 
-/** What turns hooks on, as the operators' file says it; docs/hooks.md has unit and effect of each. */
+/** Settings of webhooks in the operators' file. Their presence enables webhooks. docs/hooks.md describes the unit and effect of each. */
 export interface HooksFile {
   key: { id: string; file: string; variable: string }[];
   allow: string[];
@@ -94,16 +94,16 @@
   spoolBatches: number;
   subscriptions: number;
 }
-/** The operators' file: the core's settings, and what is turned on beside the core. */
+/** The operators' file: tuning of the core and optional extensions of the process. */
 export interface Operator {
   tuning: Tuning;
-  /** null: off. */
+  /** null if webhooks are disabled. */
   hooks: HooksFile | null;
   metrics: boolean;
 }
 
-/** Least and most of each number in `hooks`. */
-const HOOK_BOUNDS: Partial<Record<keyof HooksFile, [number, number]>> = {
+/** Minimum and maximum of each number in `hooks`. */
+const WEBHOOK_BOUNDS: Partial<Record<keyof HooksFile, [number, number]>> = {
   inFlight: [1, 512],
   parallel: [1, 64],
   deadlineS: [0.1, 60],
@@ -119,8 +119,8 @@
   subscriptions: [1, 1_000],
 };
 
-/** Least and most of each number. */
-const BOUNDS: Partial<Record<keyof Tuning, [number, number]>> = {
+/** Minimum and maximum of each number in `Tuning`. */
+const TUNING_BOUNDS: Partial<Record<keyof Tuning, [number, number]>> = {
   longEvery: [1, 1_000_000],
   reservedShare: [0, 0.9],
   shortCutoffS: [0, 1e9],
@@ -137,8 +137,8 @@
 };
 
 /**
- * Reads the operators' file. protobufjs is loaded only when there is one: a controller that starts again after a
- * crash should not pay for it.
+ * Parses the operators' file. protobufjs is loaded only if there is such a file, so that a controller without one restarts
+ * faster after a crash.
  */
 export async function parseOperator(
   text: string,
@@ -153,11 +153,11 @@
   const type = protobuf.parse(SCHEMA).root.lookupType("Operator") as ReturnType<
     typeof protobuf.Root.prototype.lookupType
   > & { fromText(text: string): object };
-  let given: Record<string, unknown>;
+  let fields: Record<string, unknown>;
   let hooks: HooksFile | null;
   try {
     const message = type.fromText(text) as unknown as { hooks?: object | null };
-    given = type.toObject(message as never);
+    fields = type.toObject(message as never);
     hooks = message.hooks
       ? (type.root.lookupType("Hooks").toObject(message.hooks as never, {
           defaults: true,
@@ -169,26 +169,26 @@
       `${file}: ${(e instanceof Error ? e.message : String(e)).split("\n")[0]}`,
     );
   }
-  const within = (of: object, bounds: object, path: string): void => {
-    for (const [key, [lo, hi]] of Object.entries(bounds) as [
+  const checkBounds = (numbers: object, bounds: object, path: string): void => {
+    for (const [key, [min, max]] of Object.entries(bounds) as [
       string,
       [number, number],
     ][]) {
-      const value = (of as Record<string, unknown>)[key];
+      const value = (numbers as Record<string, unknown>)[key];
       const field =
         path + key.replaceAll(/[A-Z]/g, (c) => `_${c.toLowerCase()}`);
       if (
         value !== undefined &&
-        !(typeof value === "number" && value >= lo && value <= hi)
+        !(typeof value === "number" && value >= min && value <= max)
       )
         throw new SettingsError(
-          `${file}: ${field}: must lie within ${lo} and ${hi}`,
+          `${file}: ${field}: must lie within ${min} and ${max}`,
         );
     }
   };
-  within(given, BOUNDS, "");
-  if (hooks) within(hooks, HOOK_BOUNDS, "hooks.");
-  const { hooks: _, metrics, ...tuning } = given;
+  checkBounds(fields, TUNING_BOUNDS, "");
+  if (hooks) checkBounds(hooks, WEBHOOK_BOUNDS, "hooks.");
+  const { hooks: _, metrics, ...tuning } = fields;
   return {
     tuning: { ...DEFAULTS, ...tuning, tellEnds: hooks !== null },
     hooks,
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,7 +1,7 @@
 import * as v from "valibot";
 import { parse, TomlError } from "smol-toml";
 
-/** A mistake in a settings file: one line that names the file, the key and what is wrong. */
+/** An error in a settings file. The message is one line with the file, the key and the problem. */
 export class SettingsError extends Error {}
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -18,14 +18,14 @@
   v.regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, "IP:PORT expected"),
 );
 
-/** How the state service counts the bytes of a value is its own matter (spaces, escapes): some are left free. */
-const VALUE_USED = 0.95;
-/** A machine's mark for return, or the end of a job, is one transaction of a few changes. */
-const ops = v.pipe(v.number(), v.integer(), v.minValue(4));
-/** A job's record, with names of usual length, takes half of it. */
-const least = v.pipe(v.number(), v.finite(), v.minValue(1));
+/** Share of the value size limit that is used. The state service may count the bytes of a value differently (spaces, escapes). */
+const VALUE_SHARE = 0.95;
+/** Maximum number of writes of a transaction. Marking a machine for return and recording the end of a job take a few writes each. */
+const txnOps = v.pipe(v.number(), v.integer(), v.minValue(4));
+/** Size limit of values. A job's record with names of usual length takes half of the minimum. */
+const valueKb = v.pipe(v.number(), v.finite(), v.minValue(1));
 
-/** The file that the platform hands over. Unknown fields are ignored. */
+/** The settings file provided by the platform. Unknown fields are ignored. */
 const PlatformFile = v.object({
   label: name,
   area: name,
@@ -71,15 +71,15 @@
     state: v.object({
       rps: positive,
       write_rps: positive,
-      value_kb: least,
-      txn_ops: ops,
-      /** What the limits will be from some moment on, without notice. */
+      value_kb: valueKb,
+      txn_ops: txnOps,
+      /** Limits that will apply from an unannounced time on. */
       next: v.optional(
         v.object({
           rps: v.optional(positive),
           write_rps: v.optional(positive),
-          value_kb: v.optional(least),
-          txn_ops: v.optional(ops),
+          value_kb: v.optional(valueKb),
+          txn_ops: v.optional(txnOps),
         }),
         {},
       ),
@@ -100,10 +100,10 @@
 
 export interface Team {
   name: string;
-  /** Guaranteed. 0: no guarantee. */
+  /** Guaranteed CPUs and GPUs; 0 for no guarantee. */
   cpus: number;
   gpus: number;
-  /** Limits; Infinity where the file says 0, "none". */
+  /** Limits of CPUs and GPUs; Infinity for no limit, which is 0 in the file. */
   cpusMax: number;
   gpusMax: number;
 }
@@ -115,7 +115,7 @@
   mesh: { host: string; port: number };
   peers: { label: string; area: string; host: string; port: number }[];
   cloud: { host: string; port: number; rps: number; listLagS: number };
-  /** The smaller of the limits now and `state.next`. */
+  /** The state service. Each limit is the lower of the present one and the one in `cluster.state.next`. */
   state: {
     host: string;
     port: number;
@@ -134,13 +134,13 @@
   cancelS: number;
   maxSockets: number;
   memMb: number;
-  /** Most that the process may keep on its heap, in MB, where that is less than its memory; the file does not say. */
+  /** Maximum size of the heap in MB. Set by the process, not by the file; absent if only `memMb` applies. */
   heapMb?: number;
 }
 
 function endpoint(text: string): { host: string; port: number } {
-  const at = text.lastIndexOf(":");
-  return { host: text.slice(0, at), port: Number(text.slice(at + 1)) };
+  const colon = text.lastIndexOf(":");
+  return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
 }
 
 export function parseSettings(text: string, file: string): Settings {
@@ -148,57 +148,57 @@
   try {
     raw = parse(text);
   } catch (e) {
-    const why =
+    const reason =
       e instanceof TomlError
         ? `line ${e.line}: ${e.message.split("\n")[0]}`
         : String(e);
-    throw new SettingsError(`${file}: not TOML: ${why}`);
+    throw new SettingsError(`${file}: not TOML: ${reason}`);
   }
-  const got = v.safeParse(PlatformFile, raw);
-  if (!got.success) {
-    const issue = got.issues[0];
+  const result = v.safeParse(PlatformFile, raw);
+  if (!result.success) {
+    const issue = result.issues[0];
     throw new SettingsError(
       `${file}: ${v.getDotPath(issue) ?? "(top level)"}: ${issue.message}`,
     );
   }
-  const f = got.output;
-  const c = f.cluster;
-  // Limits that will come without notice are kept from the start: nothing is written that would have to be divided,
-  // or repeated smaller, at a moment that nobody knows.
+  const doc = result.output;
+  const cluster = doc.cluster;
+  // Limits that will apply later are respected from the start. Otherwise stored records would have to be split, and transactions
+  // repeated in smaller ones, at an unannounced time.
   const lower = (field: "rps" | "write_rps" | "value_kb" | "txn_ops"): number =>
-    Math.min(c.state[field], c.state.next[field] ?? Infinity);
-  const labels = new Set([f.label, ...f.peers.map((p) => p.label)]);
-  if (labels.size !== f.peers.length + 1)
+    Math.min(cluster.state[field], cluster.state.next[field] ?? Infinity);
+  const labels = new Set([doc.label, ...doc.peers.map((p) => p.label)]);
+  if (labels.size !== doc.peers.length + 1)
     throw new SettingsError(`${file}: peers: a label is used twice`);
-  if (c.workers.cancel_s - c.workers.lease_s < 4)
+  if (cluster.workers.cancel_s - cluster.workers.lease_s < 4)
     throw new SettingsError(
       `${file}: cluster.workers.cancel_s: must exceed lease_s by at least 4 s`,
     );
   return {
-    label: f.label,
-    area: f.area,
-    clientListen: endpoint(f.client_listen),
-    mesh: endpoint(f.mesh_addr),
-    peers: f.peers.map((p) => ({
+    label: doc.label,
+    area: doc.area,
+    clientListen: endpoint(doc.client_listen),
+    mesh: endpoint(doc.mesh_addr),
+    peers: doc.peers.map((p) => ({
       label: p.label,
       area: p.area,
       ...endpoint(p.address),
     })),
     cloud: {
-      ...endpoint(f.outside.cloud),
-      rps: c.cloud.rps,
-      listLagS: c.cloud.list_lag_s,
+      ...endpoint(doc.outside.cloud),
+      rps: cluster.cloud.rps,
+      listLagS: cluster.cloud.list_lag_s,
     },
     state: {
-      ...endpoint(f.outside.state),
+      ...endpoint(doc.outside.state),
       rps: lower("rps"),
       writeRps: lower("write_rps"),
-      valueBytes: Math.floor(lower("value_kb") * 1024 * VALUE_USED),
+      valueBytes: Math.floor(lower("value_kb") * 1024 * VALUE_SHARE),
       txnOps: lower("txn_ops"),
     },
-    zones: [...c.zones],
+    zones: [...cluster.zones],
     teams: new Map(
-      c.teams.map((t) => [
+      cluster.teams.map((t) => [
         t.name,
         {
           name: t.name,
@@ -209,17 +209,17 @@
         },
       ]),
     ),
-    objectives: c.objectives.map((o) => ({
+    objectives: cluster.objectives.map((o) => ({
       kind: o.kind,
       ...(o.class !== undefined && { class: o.class }),
       ...(o.within_s !== undefined && { withinS: o.within_s }),
     })),
-    reportS: c.workers.report_s,
-    leaseS: c.workers.lease_s,
-    gangWaitS: c.workers.gang_wait_s,
-    gangPeerS: c.workers.gang_peer_s,
-    cancelS: c.workers.cancel_s,
-    maxSockets: c.resources.max_sockets,
-    memMb: c.resources.mem_mb,
+    reportS: cluster.workers.report_s,
+    leaseS: cluster.workers.lease_s,
+    gangWaitS: cluster.workers.gang_wait_s,
+    gangPeerS: cluster.workers.gang_peer_s,
+    cancelS: cluster.workers.cancel_s,
+    maxSockets: cluster.resources.max_sockets,
+    memMb: cluster.resources.mem_mb,
   };
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -30,39 +30,41 @@
 import { WorkerClient } from "../transport/worker-client.js";
 
 const TICK_MS = 200;
-/** What a permit that ended kept from leaving is logged at most this often. */
-const WITHHELD_LOG_MS = 1_000;
-/** Part of the heap that may be in use right after a full collection: beyond it, nothing new is accepted. */
-const HEAP_FULL_SHARE = 0.75;
+/** Minimum time between log lines about withheld messages. */
+const WITHHELD_LOG_INTERVAL_MS = 1_000;
+/** New jobs are rejected while more than this share of the heap is in use after a full garbage collection. */
+const MAX_HEAP_USE_SHARE = 0.75;
 
-/** What the old space may take, in MB: V8 states its limit with the young generation's. */
-function heapMb(): number {
-  const stated = process.execArgv
-    .map((a) => /^--max[-_]old[-_]space[-_]size=(\d+)$/.exec(a)?.[1])
-    .find((x) => x !== undefined);
-  return stated === undefined
+/** Maximum size of V8's old space in MB. V8's own limit includes the young generation, so only a part of it is counted. */
+function maxOldSpaceMb(): number {
+  const optionMb = process.execArgv
+    .map(
+      (argument) => /^--max[-_]old[-_]space[-_]size=(\d+)$/.exec(argument)?.[1],
+    )
+    .find((value) => value !== undefined);
+  return optionMb === undefined
     ? (getHeapStatistics().heap_size_limit / 2 ** 20) * 0.7
-    : Number(stated);
+    : Number(optionMb);
 }
 
-/** What may be turned on beside the core. */
+/** An optional part of the process, such as metrics or webhooks, with the callbacks that it needs. */
 interface Extension {
   routes?(limit: MiddlewareHandler): Hono;
-  onStoreChanges?(e: Extract<Effect, { type: "storeChanges" }>): void;
+  onStoreChanges?(effect: Extract<Effect, { type: "storeChanges" }>): void;
   tick?(): void;
-  /** A line of the log, whether it is written or not. */
+  /** Called for each log event, also if the log level suppresses its line. */
   logged?(event: LogEvent): void;
-  /** A call ended. `waitedMs`: for this controller's own limit. */
+  /** Called when a call has ended. `waitedMs`: time spent waiting for this controller's share of the rate limit. */
   called?(
     service: "state" | "cloud",
-    op: string,
+    operation: string,
     outcome: string,
     waitedMs: number,
     tookMs: number,
   ): void;
 }
 
-/** Runs one controller: feeds inputs to the core and carries out what it returns. */
+/** Runs one controller: passes inputs to the core and executes the effects that it returns. */
 export class Daemon implements RequestHandler {
   private readonly log;
   private readonly core: Controller;
@@ -70,13 +72,13 @@
   private readonly cloud: CloudClient;
   private readonly workers: WorkerClient;
   private readonly mesh: PeerMesh;
-  private up = "";
-  private readonly pending = new Map<number, (a: Answer) => void>();
-  private requests = 0;
+  private lastReachablePeers = "";
+  private readonly pendingRequests = new Map<number, (a: Answer) => void>();
+  private lastReqId = 0;
   private faults = 0;
-  /** Answers and commands that were not sent because their permit had ended. */
+  /** Answers and commands that were not sent because the leadership lease had expired. */
   private withheldCount = 0;
-  private toldWithheldMs = -Infinity;
+  private lastWithheldLogMs = -Infinity;
   private readonly extensions: Extension[] = [];
 
   constructor(
@@ -92,7 +94,7 @@
       pino.destination({ fd: 2, sync: true }),
     );
     this.core = new Controller(
-      { ...settings, heapMb: heapMb() },
+      { ...settings, heapMb: maxOldSpaceMb() },
       tuning,
       performance.now(),
       Date.now(),
@@ -114,9 +116,9 @@
     log: (event, fields) => this.write(logEntry(event, fields)),
   });
 
-  /** Before `run`. */
-  add(extra: Extension): void {
-    this.extensions.push(extra);
+  /** Adds an extension. Must be called before `run`. */
+  addExtension(extension: Extension): void {
+    this.extensions.push(extension);
   }
   get leadershipLease(): { storeLease: number | null; untilMs: number } {
     return this.core.leadershipLease;
@@ -127,13 +129,16 @@
   get statistics(): Controller["statistics"] {
     return this.core.statistics;
   }
-  /** A call to the state service on behalf of something turned on. */
-  async callForExtension(call: StateCall, urgent: number): Promise<StateReply> {
-    return (await this.callState(call, urgent)).reply;
+  /** Calls the state service for an extension. */
+  async callForExtension(
+    call: StateCall,
+    priority: number,
+  ): Promise<StateReply> {
+    return (await this.callState(call, priority)).reply;
   }
-  /** Writes a line that the metrics count. */
+  /** Logs an event and passes it to the extensions, since the metrics count events. */
   write(entry: LogEntry): void {
-    for (const x of this.extensions) x.logged?.(entry.msg);
+    for (const extension of this.extensions) extension.logged?.(entry.msg);
     this.writeUncounted(entry);
   }
   private writeUncounted({ level, msg, fields }: LogEntry): void {
@@ -141,31 +146,37 @@
   }
   private async callState(
     call: StateCall,
-    urgent: number,
+    priority: number,
   ): Promise<{ reply: StateReply; sentMs: number }> {
-    if (this.extensions.length === 0) return this.state.call(call, urgent);
-    const askedMs = performance.now();
-    const r = await this.state.call(call, urgent);
-    for (const x of this.extensions)
-      x.called?.(
+    if (this.extensions.length === 0) return this.state.call(call, priority);
+    const startMs = performance.now();
+    const result = await this.state.call(call, priority);
+    for (const extension of this.extensions)
+      extension.called?.(
         "state",
         call.op,
-        r.reply.is,
-        r.sentMs - askedMs,
-        performance.now() - r.sentMs,
+        result.reply.is,
+        result.sentMs - startMs,
+        performance.now() - result.sentMs,
       );
-    return r;
+    return result;
   }
 
   private async callCloud(
     call: CloudCall,
-    urgent: number,
+    priority: number,
   ): Promise<CloudReply> {
-    if (this.extensions.length === 0) return this.cloud.call(call, urgent);
-    const askedMs = performance.now();
-    const reply = await this.cloud.call(call, urgent);
-    for (const x of this.extensions)
-      x.called?.("cloud", call.op, reply.kind, 0, performance.now() - askedMs);
+    if (this.extensions.length === 0) return this.cloud.call(call, priority);
+    const startMs = performance.now();
+    const reply = await this.cloud.call(call, priority);
+    for (const extension of this.extensions)
+      extension.called?.(
+        "cloud",
+        call.op,
+        reply.kind,
+        0,
+        performance.now() - startMs,
+      );
     return reply;
   }
 
@@ -174,7 +185,9 @@
     await listen(
       api(
         this,
-        this.extensions.flatMap((x) => (x.routes ? [x.routes.bind(x)] : [])),
+        this.extensions.flatMap((extension) =>
+          extension.routes ? [extension.routes.bind(extension)] : [],
+        ),
       ),
       this.settings,
     );
@@ -189,41 +202,39 @@
     this.watchMemory();
   }
 
-  /** What a full collection leaves is what is really needed; between them the heap may look full and hold little. */
+  /** Checks the heap use after each full garbage collection. At other times the heap contains garbage, too. */
   private watchMemory(): void {
-    const most = heapMb() * HEAP_FULL_SHARE * 2 ** 20;
+    const maxUsedBytes = maxOldSpaceMb() * MAX_HEAP_USE_SHARE * 2 ** 20;
     new PerformanceObserver((list) => {
       if (
         !list
           .getEntries()
           .some(
-            (e) =>
-              (e as { detail?: { kind?: number } }).detail?.kind ===
+            (entry) =>
+              (entry as { detail?: { kind?: number } }).detail?.kind ===
               constants.NODE_PERFORMANCE_GC_MAJOR,
           )
       )
         return;
       this.feed({
         type: "memory",
-        short: getHeapStatistics().used_heap_size > most,
+        short: getHeapStatistics().used_heap_size > maxUsedBytes,
       });
     }).observe({ entryTypes: ["gc"] });
   }
 
   private tick(): void {
-    const up = this.mesh.up();
-    if (up.join() !== this.up) {
-      this.writeUncounted(
-        logEntry("reachable peers changed", { reachable: up }),
-      );
-      this.up = up.join();
-      this.feed({ type: "peers", up });
+    const reachable = this.mesh.up();
+    if (reachable.join() !== this.lastReachablePeers) {
+      this.writeUncounted(logEntry("reachable peers changed", { reachable }));
+      this.lastReachablePeers = reachable.join();
+      this.feed({ type: "peers", up: reachable });
     }
     this.feed({ type: "tick" });
-    for (const x of this.extensions) x.tick?.();
+    for (const extension of this.extensions) extension.tick?.();
   }
 
-  /** What a peer asks for: to answer a worker's report, or to carry a call to the state service. */
+  /** Handles a request of a peer: a relayed heartbeat or a call to the state service. */
   private async serve(
     type: typeof Frame.Heartbeat | typeof Frame.StoreCall,
     body: string,
@@ -236,13 +247,13 @@
         body: JSON.stringify(await this.state.callForPeer(call)),
       };
     }
-    const r = parseHeartbeat(body);
-    if (!r.ok) return { status: 400, body: "" };
+    const parsed = parseHeartbeat(body);
+    if (!parsed.ok) return { status: 400, body: "" };
     const answer = toHttp(
       await this.ask((reqId) => ({
         type: "heartbeat",
         reqId,
-        heartbeat: r.value,
+        heartbeat: parsed.value,
         relayed: true,
       })),
     );
@@ -254,9 +265,9 @@
     zone: string,
     body: string,
   ): Promise<{ status: number; body: string } | null> {
-    const r = await this.mesh.call(leader, Frame.Heartbeat, body, 2_000);
-    if (r?.status !== 200) this.feed({ type: "leaderUnreachable", zone });
-    return r;
+    const reply = await this.mesh.call(leader, Frame.Heartbeat, body, 2_000);
+    if (reply?.status !== 200) this.feed({ type: "leaderUnreachable", zone });
+    return reply;
   }
 
   ready(): boolean {
@@ -279,53 +290,53 @@
   }
 
   /**
-   * Rejects when the core throws: that ends the one request, not the service. Anything else that throws there ends the
-   * process: what the core waited for would never be told to it, and it is started again from the records.
+   * Rejects if the core throws, so that only this request fails. If the core throws on any other input, the process ends, since
+   * the core would never get the reply that it waits for. After the restart it recovers from the stored records.
    */
-  ask(input: (req: number) => Input): Promise<Answer> {
+  ask(input: (reqId: number) => Input): Promise<Answer> {
     return new Promise((resolve, reject) => {
-      const req = ++this.requests;
-      this.pending.set(req, resolve);
+      const reqId = ++this.lastReqId;
+      this.pendingRequests.set(reqId, resolve);
       try {
-        this.feed(input(req));
-      } catch (e) {
-        this.pending.delete(req);
-        reject(e instanceof Error ? e : new Error(String(e)));
+        this.feed(input(reqId));
+      } catch (error) {
+        this.pendingRequests.delete(reqId);
+        reject(error instanceof Error ? error : new Error(String(error)));
       }
     });
   }
 
   private feed(input: Input): void {
     const effects = this.core.step(input, performance.now(), Date.now());
-    for (const e of effects) this.carryOut(e);
+    for (const effect of effects) this.execute(effect);
   }
 
-  /** The process stood still between a step and the carrying out of its effects, and its permit has ended meanwhile. */
-  private withhold(e: Effect): void {
+  /** Withholds an effect: the leadership lease expired while the process was suspended between a step and its effects. */
+  private withhold(effect: Effect): void {
     this.withheldCount++;
-    const now = performance.now();
-    if (now - this.toldWithheldMs > WITHHELD_LOG_MS) {
-      this.toldWithheldMs = now;
+    const nowMs = performance.now();
+    if (nowMs - this.lastWithheldLogMs > WITHHELD_LOG_INTERVAL_MS) {
+      this.lastWithheldLogMs = nowMs;
       this.write(
         logEntry("message withheld after leadership lease expiry", {
-          what: e.type,
+          what: effect.type,
           withheld: this.withheldCount,
           leadershipLeaseExpiredMs: Math.round(
-            now - this.core.leadershipLease.untilMs,
+            nowMs - this.core.leadershipLease.untilMs,
           ),
         }),
       );
     }
-    if (e.type === "answer")
-      this.carryOut({
-        ...e,
+    if (effect.type === "answer")
+      this.execute({
+        ...effect,
         answer: { kind: "retryLater", afterS: 1, reason: "no permit" },
       });
-    else if (e.type === "workerCommand")
+    else if (effect.type === "workerCommand")
       setImmediate(() =>
         this.feed({
           type: "commandReply",
-          callId: e.callId,
+          callId: effect.callId,
           reply: { kind: "refused" },
         }),
       );
@@ -344,12 +355,12 @@
     this.feed({ type: "commandReply", callId, reply });
   }
 
-  private carryOut(e: Effect): void {
+  private execute(e: Effect): void {
     if (!this.core.maySend(e, performance.now())) return this.withhold(e);
     switch (e.type) {
       case "answer":
-        this.pending.get(e.reqId)?.(e.answer);
-        this.pending.delete(e.reqId);
+        this.pendingRequests.get(e.reqId)?.(e.answer);
+        this.pendingRequests.delete(e.reqId);
         break;
       case "storeCall":
         void this.callState(e.call, e.priority).then(({ reply, sentMs }) =>
--- a/src/daemon/extensions.ts
+++ b/src/daemon/extensions.ts
@@ -2,8 +2,8 @@
 import type { Settings } from "../config/settings.js";
 import type { Daemon } from "./daemon.js";
 
-/** Adds what the operators' file turns on to a controller that does not run yet. `file`: where its settings come from. */
-export async function turnOn(
+/** Adds the extensions enabled by the operators' file to a controller that is not running yet. `file`: path of that file. */
+export async function addExtensions(
   daemon: Daemon,
   settings: Settings,
   operator: Operator,
@@ -17,7 +17,7 @@
       )
     : null;
   metrics?.watchTeams(() => daemon.teamStatistics);
-  if (metrics) daemon.add(metrics);
+  if (metrics) daemon.addExtension(metrics);
   if (!operator.hooks) return;
   const { Webhooks } = await import("../webhooks/index.js");
   const webhooks = new Webhooks(
@@ -26,7 +26,7 @@
     file,
     `linencove/${version}`,
     {
-      state: (call, urgent) => daemon.callForExtension(call, urgent),
+      state: (call, priority) => daemon.callForExtension(call, priority),
       leadershipLease: () => daemon.leadershipLease,
       log: (entry) => daemon.write(entry),
       settled: (outcome, tookMs) => metrics?.webhookSettled(outcome, tookMs),
@@ -35,5 +35,5 @@
     },
   );
   metrics?.watchWebhooks(() => webhooks.figures);
-  daemon.add(webhooks);
+  daemon.addExtension(webhooks);
 }
--- a/src/logging/events.ts
+++ b/src/logging/events.ts
@@ -1,20 +1,20 @@
 /**
- * The catalogue of log events. Every line that a controller logs is one of these: its name is the text of the line (`msg`), and its
- * fields have one type. docs/operations.md explains each to operators.
+ * The catalogue of log events. Each line that a controller logs is one of these events. The name of the event is the text of the
+ * line (`msg`) and determines the type of its fields. docs/operations.md explains the events to operators.
  */
 
 export type LogLevel = "error" | "warn" | "info" | "debug";
 
 /** Fields of events that are logged at most once a minute for each subject. */
 export type RateLimitedFields = {
-  /** What the line is about: the key of a record, the name of a machine, or what is wrong. */
+  /** What the line is about: the key of a record, the name of a machine or an error message. */
   subject: string;
-  /** How often the event occurred since the last line about this subject. */
+  /** Number of occurrences of the event since the last line about this subject. */
   occurrences: number;
 };
 
 /** No fields. */
-type None = Record<never, never>;
+type NoFields = Record<never, never>;
 
 /** The number of tasks for each partition. */
 type TaskCounts = [partition: string, tasks: number][];
@@ -27,22 +27,22 @@
   "controller started": { area: string; partitions: readonly string[] };
   /** The set of controllers that answer over the mesh changed. */
   "reachable peers changed": { reachable: readonly string[] };
-  /** A defect of the program: the request got 503. */
+  /** Handling a request threw an unexpected error. The request was answered with 503. */
   "internal error while serving a request": {
     err: Error;
     stack: string | undefined;
-    /** Such errors since the start of the process. */
+    /** Number of such errors since the start of the process. */
     faults: number;
   };
-  /** The leadership lease expired between the decision and the sending of a message, which was not sent. */
+  /** A message was not sent because the leadership lease expired after the decision to send it. */
   "message withheld after leadership lease expiry": {
     /** The kind of effect. */
     what: string;
-    /** Messages withheld since the start of the process. */
+    /** Number of messages withheld since the start of the process. */
     withheld: number;
     leadershipLeaseExpiredMs: number;
   };
-  /** A worker sent a heartbeat that can't be parsed; it got 400. */
+  /** A heartbeat could not be parsed and was answered with 400. */
   "malformed heartbeat": RateLimitedFields;
   /** Most of the heap is in use after a full collection: new jobs are rejected. */
   "memory low, new jobs rejected": { jobs: number };
@@ -55,11 +55,11 @@
   "partition acquired": { partition: string; token: number };
   /** This controller is no longer the leader of a partition. */
   "partition lost": { partition: string; token: number; owner: string | null };
-  /** Workers can't reach the leader of their partition through any controller: this one asks for the partition. */
+  /** Workers cannot reach the leader of their partition through any controller. This controller bids for the partition. */
   "leadership bid placed": { partition: string; token: number };
-  /** The leader gives its partition to a controller that hears its workers, or to its home controller. */
+  /** The leader gives its partition to a controller that receives its workers' heartbeats, or to its home controller. */
   "transferring leadership": { partition: string; token: number; to: string };
-  /** The store says that this controller's lease has expired, and its partitions with it. */
+  /** According to the store, this controller's lease has expired. Its partitions are lost with it. */
   "store lease expired": { storeLease: number };
   /** The last renewal or read of the store is too old for this controller to act as a leader. */
   "leadership lease expired": {
@@ -70,7 +70,7 @@
   };
   /** Renewals and reads of the store are recent enough to act as a leader. */
   "leadership lease acquired": { storeLease: number };
-  /** All that the former leader may have started is accounted for. */
+  /** All tasks that the former leader may have started are accounted for. */
   "failover complete": {
     partition: string;
     token: number;
@@ -92,27 +92,27 @@
   /** No read or renewal has succeeded for seconds. */
   "store unavailable": { leadershipLeaseRemainingMs: number };
   /** The store answers again. */
-  "store available again": None;
+  "store available again": NoFields;
   /** The store's change log no longer reaches back to the last read. */
-  "store watch fell behind, reading all records": None;
+  "store watch fell behind, reading all records": NoFields;
   /** The store rejected a transaction as invalid or too large. */
   "transaction rejected by the store": {
     /** Operation, key and size in bytes of each write. */
     writes: [operation: string, key: string, bytes: number][];
   };
-  /** The outcome of a transaction was unknown, and now its write shows. */
+  /** A transaction of unknown outcome was applied, since its write is visible now. */
   "indeterminate transaction was applied": { key: string; afterMs: number };
-  /** A response is older than the one before, or holds changes later than itself; it is ignored. */
+  /** A response is older than the previous one, or contains changes newer than its own revision; it is ignored. */
   "inconsistent store response": RateLimitedFields & {
     itemRevision: number | undefined;
     storeRevision: number;
     sinceRevision?: number;
   };
-  /** A record can't be parsed and counts as absent. */
+  /** A record cannot be parsed and counts as absent. */
   "unreadable record": RateLimitedFields;
-  /** More subjects than a rate-limited log remembers: how many lines were left out since the last such line. */
+  /** A rate-limited log had more subjects than it can track. `occurrences`: number of lines omitted since the last such line. */
   "too many warning subjects": { occurrences: number };
-  /** A record of the registry is too large and is divided. */
+  /** A record of the registry is too large and is split. */
   "splitting oversized registry record": {
     partition: string;
     chunk: number;
@@ -126,7 +126,7 @@
     known: string;
     received: string;
   };
-  /** A heartbeat is no newer than what is known; it is ignored. */
+  /** A heartbeat is not newer than the last known status of its machine; it is ignored. */
   "stale heartbeat ignored": {
     worker: string;
     incarnation: number;
@@ -166,7 +166,7 @@
     occurrences: number;
     tasks: number;
   };
-  /** An unreachable machine receives again. */
+  /** An unreachable machine receives responses or commands again. */
   "machine reachable again": {
     worker: string;
     reason: string;
@@ -196,7 +196,7 @@
   /** A call to the cloud failed. */
   "cloud unavailable": { reason: string };
   /** A call to the cloud succeeded after a failure. */
-  "cloud available again": None;
+  "cloud available again": NoFields;
 
   // ---- jobs and tasks
 
@@ -208,13 +208,13 @@
     dependsOn: readonly string[];
     assignment: TaskCounts;
   };
-  /** The jobs that a job depends on are done: it may start. */
+  /** The jobs that a job depends on are done, so it may start. */
   "job dependencies satisfied": {
     job: string;
     class: string;
     assignment: TaskCounts;
   };
-  /** Jobs were cancelled because one that they depend on was. */
+  /** Jobs were cancelled because a job that they depend on was cancelled. */
   "dependent jobs cancelled": { jobs: string[] };
   /** A task is assigned to a worker. */
   "starting task": { task: string; attempt: number; worker: string };
@@ -241,14 +241,14 @@
     attempt: number;
     worker: string;
     team: string;
-    /** Fencing token of the leader that counted it. */
+    /** Fencing token of the leader that counted the task. */
     token: number;
     reason: string;
-    /** Incarnation and sequence of the last status of the worker that was taken. */
+    /** Incarnation and sequence of the last accepted status of the worker. */
     incarnation: number;
     sequence: number;
   };
-  /** A heartbeat that lacks a task was made before the worker answered the command that started it. */
+  /** A heartbeat without the task was created before the worker answered the task's start command. */
   "heartbeat older than answered start": {
     task: string;
     worker: string;
@@ -261,7 +261,7 @@
   "task missing from its worker": { task: string; worker: string };
   /** A task ended with an error that counts against its machine. */
   "task failed": { task: string; worker: string; jobsFailedHere: number };
-  /** A job failed on several machines and nothing of it ever completed: it is retried with backoff. */
+  /** A job failed on several machines and none of its tasks ever completed. It is retried with backoff. */
   "job fails on every machine, retrying with backoff": {
     job: string;
     class: string;
@@ -290,7 +290,7 @@
 
   // ---- quotas
 
-  /** Part of a team's limit is given to another partition. */
+  /** Part of a partition's share of a team's limit is transferred to another partition. */
   "transferring quota to another partition": {
     team: string;
     to: string;
@@ -298,16 +298,16 @@
     gpus: number;
     reason: "turn" | "reservation" | "backfill";
   };
-  /** The records show how a change of the quotas ended that this partition had sent. */
+  /** The records show the outcome of a quota change that this partition had sent. */
   "quota change settled": {
     partition: string;
-    /** How the transaction was answered; null: not yet. */
+    /** Outcome of the transaction according to its reply; null if there is none yet. */
     answer: "ok" | "conflict" | "refused" | "unknown" | null;
     records: { key: string; before: number; after: number }[];
-    /** All parts together and the limit that they are parts of, in CPUs and accelerators; an absent limit is null in the line. */
+    /** Sum of the quota shares of all partitions, and the team's limit, in CPUs and accelerators. No limit is logged as null. */
     teams: { team: string; parts: number[]; limit: number[] }[];
   };
-  /** The leader of a partition goes by these revisions of the quota records from now on. */
+  /** The leader of a partition uses these revisions of the quota records from now on. */
   "quota records read": {
     partition: string;
     records: { key: string; revision: number }[];
@@ -318,9 +318,9 @@
     /** Whether all controllers have the same limits. */
     agreed: boolean;
   };
-  /** The quota of a partition that is no longer configured is taken back. */
+  /** The quota shares of a partition that is no longer configured are reclaimed. */
   "reclaiming quota of removed partition": { partition: string };
-  /** Work within a team's guarantee has waited for long. */
+  /** Work within a team's guarantee has waited for a long time. */
   "guarantee not met": {
     team: string;
     partition: string;
@@ -337,10 +337,10 @@
     webhook: string;
     job: string;
     attempt: number;
-    /** Why it is repeated; null: the first attempt. */
+    /** Reason of the repetition; null for the first attempt. */
     reason: string | null;
   };
-  /** A notification was not delivered within its time and is a dead letter now. */
+  /** A notification was not delivered within its time limit and is a dead letter now. */
   "webhook notification given up": {
     webhook: string;
     job: string;
@@ -348,23 +348,23 @@
   };
   /** A receiver answered 410: the subscription is ended. */
   "webhook receiver is gone": { webhook: string };
-  /** Jobs ended on a controller without webhooks: nobody is notified. */
+  /** Jobs ended on a controller without webhooks, so no notification is sent for them. */
   "jobs ended without webhook notification": { jobs: number };
-  /** The change log no longer reaches back to where the webhook is: all final records are read. */
+  /** The change log no longer reaches back to the revision that the webhook has processed, so all final records are read. */
   "webhook fell behind, reading all final records": {
     webhook: string;
     sinceRevision: number;
   };
-  /** A batch of the outbox is missing or can't be parsed. */
+  /** A batch of the outbox is missing or cannot be parsed. */
   "unreadable webhook outbox batch": { webhook: string; batch: number };
-  /** Another controller wrote a webhook's record: this one stops delivering for it. */
+  /** Another controller wrote a record of a webhook, so this one stops delivering for it. */
   "webhook record belongs to another controller": {
     webhook: string;
     key: string;
   };
 }
 
-/** The name of an event: the text of its line. */
+/** The name of an event, which is the text of its line. */
 export type LogEvent = keyof LogEventFields;
 
 /** Events that `RateLimitedLog` takes. */
@@ -372,12 +372,12 @@
   [E in LogEvent]: LogEventFields[E] extends RateLimitedFields ? E : never;
 }[LogEvent];
 
-/** What the catalogue says of an event beside its name and fields. */
+/** Properties of an event besides its name and fields. */
 export interface LogEventInfo {
   readonly level: LogLevel;
   /**
-   * The text of the line before the events were named in standard terms; null: there was none. It is the value of the metrics' label
-   * `event`, which does not change.
+   * Text of the line before the event got its present name; null if there was no such line. It remains the value of the metrics'
+   * label `event`, which must not change.
    */
   readonly formerMessage: string | null;
 }
@@ -399,10 +399,13 @@
   formerMessage,
 });
 
-/** An event that had no line before the events were named in standard terms. */
-const newDebug: LogEventInfo = { level: "debug", formerMessage: null };
+/** A debug event without a former message. */
+const debugWithoutFormerMessage: LogEventInfo = {
+  level: "debug",
+  formerMessage: null,
+};
 
-/** Level and former text of each event. */
+/** Level and former message of each event. */
 export const LOG_EVENTS: { readonly [E in LogEvent]: LogEventInfo } = {
   "controller started": info("controller started"),
   "reachable peers changed": info("peers in touch changed"),
@@ -484,8 +487,8 @@
   "stopping task": debug("stopping task"),
   "task phase changed": debug("task phase"),
   "task ended": debug("task ended"),
-  "task released": newDebug,
-  "heartbeat older than answered start": newDebug,
+  "task released": debugWithoutFormerMessage,
+  "heartbeat older than answered start": debugWithoutFormerMessage,
   "task missing from its worker": info("task vanished from its machine"),
   "task failed": info("task failed"),
   "job fails on every machine, retrying with backoff": warn(
@@ -501,7 +504,7 @@
   "transferring quota to another partition": info(
     "giving part of a team's limit to another group",
   ),
-  "quota records read": newDebug,
+  "quota records read": debugWithoutFormerMessage,
   "quota change settled": { level: "info", formerMessage: null },
   "writing team quota": info("writing a team's limit"),
   "reclaiming quota of removed partition": info(
@@ -524,19 +527,19 @@
   ),
 };
 
-/** One line of the log, before time and node are added. */
+/** A log line without its time and node. */
 export interface LogEntry {
   level: LogLevel;
   msg: LogEvent;
   fields: Record<string, unknown>;
 }
 
-/** What the cores log through. */
+/** The log, as the cores of the controller and of the webhooks use it. */
 export interface EventLog {
   log<E extends LogEvent>(event: E, fields: LogEventFields[E]): void;
 }
 
-/** The line of an event. */
+/** Builds the log line of an event. */
 export function logEntry<E extends LogEvent>(
   event: E,
   fields: LogEventFields[E],
--- a/src/logging/rate-limited-log.ts
+++ b/src/logging/rate-limited-log.ts
@@ -5,27 +5,27 @@
   RateLimitedFields,
 } from "./events.js";
 
-/** Each subject is logged at most this often. */
-const GAP_MS = 60_000;
+/** Minimum time between log lines about the same subject. */
+const MIN_INTERVAL_MS = 60_000;
 /**
- * Subjects that are remembered, and so the most lines in `GAP_MS`: a few kinds of message about each of 4,000 machines. Some
- * 200 bytes each; they come from whoever connects.
+ * Maximum number of tracked subjects, and so of lines per `MIN_INTERVAL_MS`: enough for a few kinds of events about each of
+ * 4,000 machines. A subject takes some 200 bytes. Without a limit, any client could use up the memory.
  */
 const MAX_SUBJECTS = 16_000;
 
 interface Subject {
-  /** When it was last logged. Steady time. */
-  atMs: number;
-  /** How often it was seen since. */
-  times: number;
+  /** Steady time of its last log line. */
+  lastLoggedMs: number;
+  /** Number of occurrences since that line. */
+  occurrences: number;
 }
 
 /**
- * Logs each event of a subject once a minute at most, with the number of its occurrences. Subjects beyond the bound are
- * counted, and their number is logged as often.
+ * Logs each event about a subject at most once a minute, with the number of its occurrences. Occurrences for subjects beyond
+ * the limit are only counted, and their number is logged at most once a minute.
  */
 export class RateLimitedLog {
-  /** In the order of their last lines. */
+  /** In the order of their last log lines. */
   private readonly subjects = new Map<string, Subject>();
   private omitted = 0;
   private omittedLoggedMs = -Infinity;
@@ -41,34 +41,37 @@
     details: Omit<LogEventFields[E], keyof RateLimitedFields>,
   ): void {
     const key = `${event}/${subject}`;
-    const known = this.subjects.get(key);
-    if (!known && !this.makeRoom()) {
-      this.omit();
+    const existing = this.subjects.get(key);
+    if (!existing && !this.ensureCapacity()) {
+      this.countOmitted();
       return;
     }
-    const entry = known ?? { atMs: -Infinity, times: 0 };
-    entry.times++;
-    if (this.ctx.nowMs - entry.atMs < GAP_MS) return;
-    const fields = { subject, ...details, occurrences: entry.times };
+    const entry = existing ?? { lastLoggedMs: -Infinity, occurrences: 0 };
+    entry.occurrences++;
+    if (this.ctx.nowMs - entry.lastLoggedMs < MIN_INTERVAL_MS) return;
+    const fields = { subject, ...details, occurrences: entry.occurrences };
     this.ctx.log(event, fields as unknown as LogEventFields[E]);
-    entry.atMs = this.ctx.nowMs;
-    entry.times = 0;
+    entry.lastLoggedMs = this.ctx.nowMs;
+    entry.occurrences = 0;
     this.subjects.delete(key);
     this.subjects.set(key, entry);
   }
 
-  /** Forgets the subject whose last line is the oldest, if that may be logged again by now; false: there is no room for another. */
-  private makeRoom(): boolean {
+  /**
+   * Returns whether another subject can be tracked. If the limit is reached, it removes the subject with the oldest log line,
+   * provided that this subject could be logged again now.
+   */
+  private ensureCapacity(): boolean {
     if (this.subjects.size < this.maxSubjects) return true;
-    const [key, { atMs }] = this.subjects.entries().next().value!;
-    if (this.ctx.nowMs - atMs < GAP_MS) return false;
+    const [key, { lastLoggedMs }] = this.subjects.entries().next().value!;
+    if (this.ctx.nowMs - lastLoggedMs < MIN_INTERVAL_MS) return false;
     this.subjects.delete(key);
     return true;
   }
 
-  private omit(): void {
+  private countOmitted(): void {
     this.omitted++;
-    if (this.ctx.nowMs - this.omittedLoggedMs < GAP_MS) return;
+    if (this.ctx.nowMs - this.omittedLoggedMs < MIN_INTERVAL_MS) return;
     this.omittedLoggedMs = this.ctx.nowMs;
     this.ctx.log("too many warning subjects", { occurrences: this.omitted });
     this.omitted = 0;
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `main.js --config FILE` is how the platform starts a controller: that one form goes straight to it, so that a
- * start after a crash loads no more than it needs. Everything else is the command line's.
+ * Entry point. The platform starts a controller with `main.js --config FILE`. This form is handled here without the command line
+ * interface, so that a restart after a crash loads no more than needed. The command line interface handles all others.
  */
 import { readFileSync } from "node:fs";
 import { DEFAULTS } from "./config/operator.js";
--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -1,4 +1,4 @@
-/** The door of metrics: GET /metrics in the Prometheus text format, for the whole service. Loaded only when turned on. */
+/** Metrics of the controller and its webhooks: GET /metrics in the Prometheus text format. Loaded only if enabled. */
 import { type LogEvent, metricLabel } from "../logging/events.js";
 import { Hono } from "hono";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
@@ -12,7 +12,7 @@
   0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 300, 1_800, 7_200, 86_400,
 ];
 
-/** Names begin with `linencove_`; docs/operations.md says what each is and what to alert on. Times are in seconds. */
+/** Names begin with `linencove_`. docs/operations.md describes each metric and when to alert. Times are in seconds. */
 export class Metrics {
   private readonly registry = new Registry();
   private readonly events = new Counter({
@@ -34,31 +34,31 @@
     buckets: CALL_BUCKETS_S,
     registers: [this.registry],
   });
-  private readonly waits = new Histogram({
+  private readonly rateLimitWaits = new Histogram({
     name: "linencove_rate_limit_wait_seconds",
     help: "How long calls to the state service waited for this controller's part of its limits",
     buckets: CALL_BUCKETS_S,
     registers: [this.registry],
   });
-  private readonly attempts = new Counter({
+  private readonly deliveryAttempts = new Counter({
     name: "linencove_hook_attempts_total",
     help: "Attempts to deliver by how they ended: 2xx, 5xx, timeout, ...",
     labelNames: ["outcome"],
     registers: [this.registry],
   });
-  private readonly attemptTimes = new Histogram({
+  private readonly deliveryAttemptTimes = new Histogram({
     name: "linencove_hook_attempt_seconds",
     help: "How long attempts took",
     buckets: CALL_BUCKETS_S.concat([5, 10]),
     registers: [this.registry],
   });
-  private readonly settledWebhooks = new Counter({
+  private readonly notifications = new Counter({
     name: "linencove_hook_notifications_total",
     help: "Notifications that were delivered, or given up",
     labelNames: ["outcome"],
     registers: [this.registry],
   });
-  private readonly delays = new Histogram({
+  private readonly deliveryDelays = new Histogram({
     name: "linencove_hook_delay_seconds",
     help: "From the end of a job to its delivery",
     buckets: DELAY_BUCKETS_S,
@@ -66,81 +66,81 @@
   });
 
   constructor(
-    figures: () => Statistics,
-    /** What is left of the permit, in ms. */
-    permitMs: () => number,
+    statistics: () => Statistics,
+    /** Remaining time of the leadership lease. */
+    leadershipLeaseRemainingMs: () => number,
   ) {
     const gauge = this.gauge.bind(this);
     gauge(
       "jobs_unfinished",
       "Jobs that are not over, on all controllers",
-      () => figures().unfinishedJobs,
+      () => statistics().unfinishedJobs,
     );
     gauge(
       "groups",
       "Groups whose master this controller is",
-      () => figures().ledPartitions,
+      () => statistics().ledPartitions,
     );
-    gauge("machines", "Machines of these groups", () => figures().machines);
+    gauge("machines", "Machines of these groups", () => statistics().machines);
     gauge(
       "machines_idle",
       "Those without a task",
-      () => figures().idleMachines,
+      () => statistics().idleMachines,
     );
     gauge(
       "tasks_running",
       "Tasks on these machines",
-      () => figures().runningTasks,
+      () => statistics().runningTasks,
     );
     gauge(
       "tasks_queued_plain",
       "Waiting tasks of these groups that need no accelerator",
-      () => figures().queuedTasksWithoutAccelerator,
+      () => statistics().queuedTasksWithoutAccelerator,
     );
     gauge(
       "tasks_queued_accelerated",
       "Those that need one",
-      () => figures().queuedTasksWithAccelerator,
+      () => statistics().queuedTasksWithAccelerator,
     );
     gauge(
       "machines_deaf",
       "Machines whose reports arrive, and which get neither answers nor commands",
-      () => figures().unreachableMachines,
+      () => statistics().unreachableMachines,
     );
     gauge(
       "reports_late",
       "Reports that were no newer than what was known, since the groups were taken",
-      () => figures().staleHeartbeats,
+      () => statistics().staleHeartbeats,
     );
     gauge(
       "reports_overtaken",
       "Times that a report said nothing of a task, for it was made before the answer to its start",
-      () => figures().overtakenHeartbeats,
+      () => statistics().overtakenHeartbeats,
     );
     gauge(
       "jobs_suspect",
       "Jobs that fail wherever they run",
-      () => figures().quarantinedJobs,
+      () => statistics().quarantinedJobs,
     );
     gauge(
       "gang_wait_longest_seconds",
       "Age of the oldest gang that has not begun",
-      () => figures().longestGangWaitS,
+      () => statistics().longestGangWaitS,
     );
     gauge(
       "questions_refused",
       "Users' questions refused since the start",
-      () => figures().refusedQueries,
+      () => statistics().refusedQueries,
     );
     gauge(
       "question_refused_longest_seconds",
       "How long the job that was refused longest has been",
-      () => figures().longestRefusalS,
+      () => statistics().longestRefusalS,
     );
     gauge(
       "permit_seconds",
       "How long this controller may go on without the state service",
-      () => Math.max(0, permitMs() / 1000),
+      () => Math.max(0, leadershipLeaseRemainingMs() / 1000),
     );
     this.watchProcess();
   }
@@ -156,12 +156,12 @@
       process.memoryUsage.rss(),
     );
     gauge("cpu_seconds", "Processor time since the start", () => {
-      const u = process.cpuUsage();
-      return (u.user + u.system) / 1e6;
+      const usage = process.cpuUsage();
+      return (usage.user + usage.system) / 1e6;
     });
   }
 
-  /** Read whenever it is asked for. */
+  /** Registers a gauge whose value is computed at each scrape. */
   private gauge(name: string, help: string, value: () => number): void {
     new Gauge({
       name: `linencove_${name}`,
@@ -173,10 +173,10 @@
     });
   }
 
-  /** By team, group and kind of resource; read whenever it is asked for. */
-  watchTeams(figures: () => TeamStatistics[]): void {
+  /** Registers gauges by team, partition and kind of resource. Their values are computed at each scrape. */
+  watchTeams(statistics: () => TeamStatistics[]): void {
     const labelNames = ["team", "group", "resource"];
-    const helps: [
+    const gauges: [
       keyof TeamStatistics &
         (
           | "limit"
@@ -228,7 +228,7 @@
         "Stopped of other teams for its guarantee since this controller took the group",
       ],
     ];
-    for (const [field, name, help] of helps)
+    for (const [field, name, help] of gauges)
       new Gauge({
         name: `linencove_team_${name}`,
         help: `${help}, in CPUs or accelerators`,
@@ -236,25 +236,25 @@
         registers: [this.registry],
         collect() {
           this.reset();
-          for (const f of figures())
-            for (const [i, resource] of (
+          for (const team of statistics())
+            for (const [dimension, resource] of (
               ["cpus", "accelerators"] as const
             ).entries())
-              if (Number.isFinite(f[field][i]!))
+              if (Number.isFinite(team[field][dimension]!))
                 this.set(
-                  { team: f.team, group: f.partition, resource },
-                  f[field][i]!,
+                  { team: team.team, group: team.partition, resource },
+                  team[field][dimension]!,
                 );
         },
       });
   }
 
-  watchWebhooks(figures: () => WebhookCore["figures"]): void {
+  watchWebhooks(statistics: () => WebhookCore["figures"]): void {
     const gauge = (
       name: string,
       help: string,
-      value: (f: WebhookCore["figures"]) => number,
-    ): void => this.gauge(`hook_${name}`, help, () => value(figures()));
+      value: (statistics: WebhookCore["figures"]) => number,
+    ): void => this.gauge(`hook_${name}`, help, () => value(statistics()));
     gauge("owned", "Hooks that this controller sends for", (f) => f.owned);
     gauge("in_flight", "Attempts in flight", (f) => f.inFlight);
     gauge(
@@ -280,8 +280,8 @@
       labelNames: ["state"],
       registers: [this.registry],
       collect() {
-        for (const [state, n] of Object.entries(figures().receivers))
-          breakers.set({ state }, n);
+        for (const [state, count] of Object.entries(statistics().receivers))
+          breakers.set({ state }, count);
       },
     });
   }
@@ -291,23 +291,24 @@
   }
   called(
     service: "state" | "cloud",
-    op: string,
+    operation: string,
     outcome: string,
     waitedMs: number,
     tookMs: number,
   ): void {
-    this.calls.inc({ service, op, outcome });
-    // A watch is meant to take long.
-    if (op !== "changes") this.callTimes.observe({ service }, tookMs / 1000);
-    if (service === "state") this.waits.observe(waitedMs / 1000);
+    this.calls.inc({ service, op: operation, outcome });
+    // `changes` is a long poll, so its duration says nothing about latency.
+    if (operation !== "changes")
+      this.callTimes.observe({ service }, tookMs / 1000);
+    if (service === "state") this.rateLimitWaits.observe(waitedMs / 1000);
   }
   webhookSettled(outcome: "delivered" | "dead", tookMs: number): void {
-    this.settledWebhooks.inc({ outcome });
-    if (outcome === "delivered") this.delays.observe(tookMs / 1000);
+    this.notifications.inc({ outcome });
+    if (outcome === "delivered") this.deliveryDelays.observe(tookMs / 1000);
   }
   webhookAttempted(outcome: string, tookMs: number): void {
-    this.attempts.inc({ outcome });
-    this.attemptTimes.observe(tookMs / 1000);
+    this.deliveryAttempts.inc({ outcome });
+    this.deliveryAttemptTimes.observe(tookMs / 1000);
   }
 
   routes(): Hono {
--- a/test/transport/transport.test.ts
+++ b/test/transport/transport.test.ts
@@ -79,7 +79,8 @@
     );
   }
   assert.equal(
-    (daemon as unknown as { pending: Map<number, unknown> }).pending.size,
+    (daemon as unknown as { pendingRequests: Map<number, unknown> })
+      .pendingRequests.size,
     0,
   );
 });
