--- a/src/verification/explore.ts
+++ b/src/verification/explore.ts
@@ -1,82 +1,84 @@
 import xxhash from "xxhash-wasm";
 
-/** What may happen next in a state. */
+/** A transition to a following state. */
 export interface Step<S> {
   label: string;
   state: S;
 }
 
-/** A system to explore: states are plain values, and a step makes a new one. */
+/** A system to explore. States are plain values, and each step creates a new one. */
 export interface Model<S> {
   initial: S;
   next(state: S): Iterable<Step<S>>;
-  /** What is wrong with a state; null: nothing. */
+  /** Description of what is wrong with a state; null if the state is valid. */
   check(state: S): string | null;
-  /** Equal states have equal words; what does not matter for what can follow is left out. */
+  /** States with the same key count as the same state. The key omits what has no effect on later steps. */
   key(state: S): string;
 }
 
 export interface Exploration {
   states: number;
   steps: number;
-  /** Steps from the first state to the farthest one. */
+  /** Number of steps from the initial state to the farthest one. */
   depth: number;
-  /** All states that can be reached were seen. */
+  /** Whether all reachable states were visited. */
   complete: boolean;
-  /** How the first bad state is reached, in as few steps as it takes; null: there is none. */
+  /** The first invalid state and a shortest sequence of steps to it; null if none was found. */
   broken: { why: string; trace: string[] } | null;
 }
 
 /**
- * Looks at every state that can be reached, nearest first, so that a trace to a bad one is as short as can be. States
- * are known again by a 64-bit hash (xxHash); of some millions two are taken for one with a chance of one in a million,
- * which can hide a state but never invent a bad one.
+ * Visits the reachable states breadth-first, so that the trace to an invalid state is as short as possible. Visited states are
+ * recognized by a 64-bit hash of their key (xxHash). Among some millions of states, the probability of a collision is about one
+ * in a million. A collision can hide a state, but cannot make a valid one look invalid.
  */
 export async function explore<S>(
   model: Model<S>,
-  most = 2_000_000,
+  maxStates = 2_000_000,
 ): Promise<Exploration> {
   const hasher = await xxhash();
   const seen = new Map<bigint, number>();
-  const from: number[] = [-1];
+  const parents: number[] = [-1];
   const labels: string[] = [""];
-  let level: { state: S; n: number }[] = [{ state: model.initial, n: 0 }];
+  let frontier: { state: S; n: number }[] = [{ state: model.initial, n: 0 }];
   seen.set(hasher.h64(model.key(model.initial)), 0);
   let steps = 0;
   let depth = 0;
   const result = (
     complete: boolean,
-    bad: { why: string; n: number } | null,
+    violation: { why: string; n: number } | null,
   ): Exploration => {
     const trace: string[] = [];
-    for (let n = bad?.n ?? 0; n > 0; n = from[n]!) trace.unshift(labels[n]!);
+    for (let n = violation?.n ?? 0; n > 0; n = parents[n]!)
+      trace.unshift(labels[n]!);
     return {
       states: seen.size,
       steps,
       depth,
       complete,
-      broken: bad && { why: bad.why, trace },
+      broken: violation && { why: violation.why, trace },
     };
   };
-  const first = model.check(model.initial);
-  if (first !== null) return result(false, { why: first, n: 0 });
-  while (level.length > 0) {
-    const following: { state: S; n: number }[] = [];
-    for (const { state, n } of level)
-      for (const s of model.next(state)) {
+  const initialProblem = model.check(model.initial);
+  if (initialProblem !== null)
+    return result(false, { why: initialProblem, n: 0 });
+  while (frontier.length > 0) {
+    const nextFrontier: { state: S; n: number }[] = [];
+    for (const { state, n: parent } of frontier)
+      for (const step of model.next(state)) {
         steps++;
-        const hash = hasher.h64(model.key(s.state));
+        const hash = hasher.h64(model.key(step.state));
         if (seen.has(hash)) continue;
-        const m = from.push(n) - 1;
-        labels.push(s.label);
-        seen.set(hash, m);
-        const why = model.check(s.state);
-        if (why !== null) return result(false, { why, n: m });
-        if (seen.size >= most) return result(false, null);
-        following.push({ state: s.state, n: m });
+        const index = parents.push(parent) - 1;
+        labels.push(step.label);
+        seen.set(hash, index);
+        const problem = model.check(step.state);
+        if (problem !== null) return result(false, { why: problem, n: index });
+        if (seen.size >= maxStates) return result(false, null);
+        nextFrontier.push({ state: step.state, n: index });
       }
-    level = following;
-    if (level.length > 0) depth++;
+    frontier = nextFrontier;
+    if (frontier.length > 0) depth++;
   }
   return result(true, null);
 }
--- a/src/verification/quota-model.ts
+++ b/src/verification/quota-model.ts
@@ -14,39 +14,46 @@
 import type { Model, Step } from "./explore.js";
 
 /**
- * The protocol of the teams' limits on a small scope, around the very functions that masters use: groups plan from copies
- * of the record that may be old, commits are lost, late, doubled or not answered, groups get new masters, a controller comes
- * back with other settings. Tasks take one CPU, or what the scope says of their group.
+ * Size of a model of the quota protocol. The model runs the same functions as partition leaders: partitions plan from copies of
+ * the quota record that may be stale, commits are lost, delayed, duplicated or not answered, partitions get new leaders, and
+ * controllers restart with other settings. A task takes one CPU, or the number given for its partition.
  */
 export interface QuotaScope {
   groups: string[];
   teams: string[];
-  /** The teams' limit, and what a controller that is restarted goes by. */
+  /** Limit of each team in CPUs, and the later limit, in the settings of a restarted controller. */
   limit: number;
   later: number;
-  /** Which groups there are for a controller that is restarted. */
+  /** Partitions in the settings of a restarted controller. */
   laterGroups: string[];
-  /** Tasks of each team that there are, by group. */
+  /** Number of tasks of each team, by partition. */
   tasks: number[];
-  /** CPUs that each of them takes, by group; absent: one each. What is too little for any waiting task of a group is lent to others. */
+  /** CPUs per task, by partition; 1 if absent. A partition lends free quota that is too small for any of its waiting tasks. */
   sizes?: number[];
-  /** The group of a large job that quota is reserved for at all times. */
+  /** Partition of a large job for which quota is always reserved. */
   reservedFor?: string;
-  /** Commits that may be on their way at once. */
+  /** Maximum number of commits in flight. */
   flights: number;
-  /** How often a group gets a new master, and how many controllers are restarted with the later settings. */
+  /** Maximum number of failovers, and of controllers that restart with the later settings. */
   takeovers: number;
   restarts: number;
 }
 
-/** Guards that can be switched off, to see that the exploration finds out. */
+/** Rules of the protocol that can be disabled, to test that the exploration then finds an invalid state. */
 export type Guard =
+  /** A partition does not use quota that its pending change gives away. */
   | "keeps what it gives"
+  /** A commit applies only to the revision of the record that it is based on. */
   | "record's revision"
+  /** A commit applies only with the current fencing token of its partition. */
   | "master's token"
+  /** Quota of an unanswered change stays reserved until the record shows the outcome. */
   | "unanswered stays reserved"
+  /** The record determines a partition's share, not its own settings. */
   | "what is written holds"
+  /** No task starts while the shares exceed the limit. */
   | "overdrawn stops starts"
+  /** Shares of a removed partition are reclaimed only when none of its tasks can still run. */
   | "gone only after its leases";
 export const GUARDS: readonly Guard[] = [
   "keeps what it gives",
@@ -58,47 +65,52 @@
   "gone only after its leases",
 ];
 
-/** What a group says that it wants, beyond which part, and what one task lacks of it. */
-type Want = [want: number, beyond: number, backfill: number];
+/** A partition's demand for a team: missing CPUs, the share beyond which they are missing, and what a single task lacks. */
+type Demand = [missing: number, share: number, backfill: number];
 
-interface Change {
+interface PendingChange {
+  /** Version of the record that it is based on. */
   base: number;
-  value: QuotaShares;
+  shares: QuotaShares;
+  /** Quota that it gives away, by team. */
   reserved: Record<string, ResourceAmounts>;
-  /** It was not answered: it may have been carried out, or may yet be. */
-  open: boolean;
+  /** Its commit was not answered and may have been applied, or may still be. */
+  unanswered: boolean;
 }
-interface Group {
+interface PartitionState {
   token: number;
-  /** Settings that its master goes by. */
+  /** Whether its controller has restarted with the later settings. */
   later: boolean;
-  /** Its copy of the record. */
+  /** Its copy of the quota record, which may be stale. */
   copy: { version: number; shares: QuotaShares };
-  change: Change | null;
-  use: number[];
-  wait: number[];
-  /** What it last published that it wants, by team, of which part, and what one task lacks of it. */
-  said: (Want | null)[];
-  /** It has no master, and nobody takes it any more. */
-  gone: boolean;
+  change: PendingChange | null;
+  /** CPUs in use and CPUs that waiting tasks need, by team. */
+  used: number[];
+  queued: number[];
+  /** The demand that it last published, by team. */
+  published: (Demand | null)[];
+  /** It is no longer configured and has no leader any more. */
+  removed: boolean;
 }
-interface Flight {
-  group: number;
+interface CommitInFlight {
+  /** Index of the partition that sent it. */
+  from: number;
   token: number;
+  /** Version of the record that it is based on. */
   base: number;
-  value: QuotaShares;
-  /** It was delivered once already. */
-  doubled: boolean;
+  shares: QuotaShares;
+  /** It was delivered once and may be delivered again. */
+  delivered: boolean;
 }
 interface QuotaModelState {
   record: { version: number; shares: QuotaShares };
-  groups: Group[];
-  flights: Flight[];
-  tokens: number;
+  partitions: PartitionState[];
+  commits: CommitInFlight[];
+  lastToken: number;
   takeovers: number;
   restarts: number;
-  /** A task was started beyond the largest limit that anybody went by: what was wrong. */
-  over: string | null;
+  /** Description of a task start beyond the largest limit that applied; null if there was none. */
+  violation: string | null;
 }
 
 const teamOf = (name: string, cpusMax: number): Team => ({
@@ -109,157 +121,161 @@
   gpusMax: Infinity,
 });
 
-const demandOf = ([want, beyond, backfill]: Want): PartitionDemand => ({
-  startable: [want, 0],
+const toDemand = ([missing, share, backfill]: Demand): PartitionDemand => ({
+  startable: [missing, 0],
   startableSinceMs: [1, Infinity],
   awaitingMachines: [0, 0],
   awaitingMachinesSinceMs: [Infinity, Infinity],
-  baseShare: [beyond, 0],
+  baseShare: [share, 0],
   backfill: [backfill, 0],
 });
 
-const reservationOf = (
+const toReservation = (
   partition: string,
-  [lacks]: Want,
+  [missing]: Demand,
 ): PartitionReservation => ({
   partition,
-  missing: [lacks, 0],
+  missing: [missing, 0],
   readyAt: 1,
   priority: 0,
 });
 
-// What was written is never changed, only replaced.
+// Records and copies of them are never modified, only replaced, and need not be cloned.
 const clone = (s: QuotaModelState): QuotaModelState => ({
   ...s,
-  groups: s.groups.map((g) => ({
+  partitions: s.partitions.map((g) => ({
     ...g,
     change: g.change && { ...g.change },
-    use: [...g.use],
-    wait: [...g.wait],
-    said: [...g.said],
+    used: [...g.used],
+    queued: [...g.queued],
+    published: [...g.published],
   })),
-  flights: s.flights.map((f) => ({ ...f })),
+  commits: s.commits.map((f) => ({ ...f })),
 });
 
+/**
+ * Builds the model with the rules in `off` disabled. Short names: `s` state, `to` following state, `g` or `p` partition, `i` its
+ * index, `t` index of a team, `c` pending change or commit in flight, `k` index of another partition or of a commit.
+ */
 export function quotaModel(
   scope: QuotaScope,
   off: ReadonlySet<Guard> = new Set(),
 ): Model<QuotaModelState> {
-  const settings = (later: boolean): Map<string, Team> =>
+  const teamsOf = (later: boolean): Map<string, Team> =>
     new Map(
       scope.teams.map((t) => [t, teamOf(t, later ? scope.later : scope.limit)]),
     );
-  const all = { false: settings(false), true: settings(true) };
-  const names = (g: Group): string[] =>
+  const teams = { false: teamsOf(false), true: teamsOf(true) };
+  const configured = (g: PartitionState): string[] =>
     g.later ? scope.laterGroups : scope.groups;
-  const records = (g: Group): QuotaRecords =>
+  const records = (g: PartitionState): QuotaRecords =>
     g.copy.version === 0
       ? new Map()
       : new Map([
           [QUOTA_KEY, { shares: g.copy.shares, revision: g.copy.version }],
         ]);
 
-  /** Up to how many CPUs the group may use, by its copy. */
-  const share = (g: Group, i: number, t: number): number => {
+  /** CPUs that the partition may use according to its copy of the record. */
+  const share = (g: PartitionState, i: number, t: number): number => {
     const team = scope.teams[t]!;
-    const own = all[g.later ? "true" : "false"].get(team)!;
+    const own = teams[g.later ? "true" : "false"].get(team)!;
     let entry = entryOf(records(g), team);
     if (off.has("what is written holds") && !entry?.shares[scope.groups[i]!])
-      return own.cpusMax / names(g).length;
+      return own.cpusMax / configured(g).length;
     if (entry && off.has("overdrawn stops starts"))
       entry = { ...entry, sum: [0, 0] };
-    const [cpus] = maxUsage(own, entry, scope.groups[i]!, () => [g.use[t]!, 0]);
+    const [max] = maxUsage(own, entry, scope.groups[i]!, () => [g.used[t]!, 0]);
     const c = g.change;
     if (!c || c.base !== g.copy.version || off.has("keeps what it gives"))
-      return cpus;
-    return cpus - (c.reserved[team]?.[0] ?? 0);
+      return max;
+    return max - (c.reserved[team]?.[0] ?? 0);
   };
 
   const size = (i: number): number => scope.sizes?.[i] ?? 1;
 
-  /** What the group says that it wants of a team now. */
-  const wantOf = (g: Group, i: number, t: number): Want | null => {
+  /** The partition's present demand for a team; null if there is none. */
+  const demandOf = (g: PartitionState, i: number, t: number): Demand | null => {
     const part = share(g, i, t);
-    const lack = g.use[t]! + g.wait[t]! - part;
-    const free = part - g.use[t]!;
-    const backfill = g.wait[t]! > 0 ? Math.max(0, size(i) - free) : 0;
-    return lack > 0 ? [lack, part, backfill] : null;
+    const missing = g.used[t]! + g.queued[t]! - part;
+    const free = part - g.used[t]!;
+    const backfill = g.queued[t]! > 0 ? Math.max(0, size(i) - free) : 0;
+    return missing > 0 ? [missing, part, backfill] : null;
   };
 
   const plan = (s: QuotaModelState, i: number): QuotaPlan | null => {
-    const g = s.groups[i]!;
-    const others = new Map<string, Map<string, PartitionDemand>>();
-    s.groups.forEach((o, k) => {
+    const g = s.partitions[i]!;
+    const otherDemands = new Map<string, Map<string, PartitionDemand>>();
+    s.partitions.forEach((other, k) => {
       if (k !== i)
-        others.set(
+        otherDemands.set(
           scope.groups[k]!,
           new Map(
-            o.said.flatMap((said, t) =>
-              said ? [[scope.teams[t]!, demandOf(said)] as const] : [],
+            other.published.flatMap((demand, t) =>
+              demand ? [[scope.teams[t]!, toDemand(demand)] as const] : [],
             ),
           ),
         );
     });
-    const mine = new Map<string, PartitionDemand>();
+    const ownDemands = new Map<string, PartitionDemand>();
     scope.teams.forEach((team, t) => {
-      const want = wantOf(g, i, t);
-      if (want) mine.set(team, demandOf(want));
+      const demand = demandOf(g, i, t);
+      if (demand) ownDemands.set(team, toDemand(demand));
     });
-    const gone = new Set(
+    const removedPartitions = new Set(
       scope.groups.filter(
         (_, k) =>
-          !names(g).includes(scope.groups[k]!) &&
-          s.groups[k]!.gone &&
+          !configured(g).includes(scope.groups[k]!) &&
+          s.partitions[k]!.removed &&
           (off.has("gone only after its leases") ||
-            s.groups[k]!.use.every((n) => n === 0)),
+            s.partitions[k]!.used.every((n) => n === 0)),
       ),
     );
     return planQuotas({
       partition: scope.groups[i]!,
-      partitions: names(g),
-      teams: all[g.later ? "true" : "false"],
+      partitions: configured(g),
+      teams: teams[g.later ? "true" : "false"],
       records: records(g),
       maxValueBytes: 8_000,
       maxRecords: 1,
-      use: (team) => [g.use[scope.teams.indexOf(team)]!, 0],
-      confirmedUse: (team) => [g.use[scope.teams.indexOf(team)]!, 0],
-      ownDemands: mine,
-      otherDemands: others,
-      needAheadOf: (team, _since, group) => {
+      use: (team) => [g.used[scope.teams.indexOf(team)]!, 0],
+      confirmedUse: (team) => [g.used[scope.teams.indexOf(team)]!, 0],
+      ownDemands,
+      otherDemands,
+      needAheadOf: (team, _since, otherPartition) => {
         const t = scope.teams.indexOf(team);
-        return [scope.groups[i]! < group ? g.wait[t]! : 0, 0];
+        return [scope.groups[i]! < otherPartition ? g.queued[t]! : 0, 0];
       },
       lendable: (team) => {
         const t = scope.teams.indexOf(team);
-        const free = share(g, i, t) - g.use[t]!;
-        return [g.wait[t]! > 0 && free < size(i) ? Math.max(0, free) : 0, 0];
+        const free = share(g, i, t) - g.used[t]!;
+        return [g.queued[t]! > 0 && free < size(i) ? Math.max(0, free) : 0, 0];
       },
       keptForBackfill: () => [0, 0],
       reservation: (team) => {
         const at = scope.groups.findIndex((name) => name === scope.reservedFor);
-        const holder = s.groups[at];
+        const holder = s.partitions[at];
         const t = scope.teams.indexOf(team);
-        const want = at === i ? wantOf(g, i, t) : holder?.said[t];
-        if (!want || holder?.gone) return null;
-        return reservationOf(scope.groups[at]!, want);
+        const demand = at === i ? demandOf(g, i, t) : holder?.published[t];
+        if (!demand || holder?.removed) return null;
+        return toReservation(scope.groups[at]!, demand);
       },
       keptForOverdueJob: (team, { partition }) => {
         const t = scope.teams.indexOf(team);
-        return [partition === scope.groups[i]! ? g.wait[t]! : 0, 0];
+        return [partition === scope.groups[i]! ? g.queued[t]! : 0, 0];
       },
-      limitsAgreed: s.groups.every((o) => o.gone || o.later === g.later),
-      removedPartitions: gone,
+      limitsAgreed: s.partitions.every((p) => p.removed || p.later === g.later),
+      removedPartitions,
       mayMoveShares: () => true,
     });
   };
 
   const inUse = (s: QuotaModelState, t: number): number =>
-    s.groups.reduce((n, g) => n + g.use[t]!, 0);
-  /** The largest limit that anybody alive may still go by: who reads the record later goes by a smaller one then. */
-  const most = (s: QuotaModelState, t: number): number =>
+    s.partitions.reduce((n, g) => n + g.used[t]!, 0);
+  /** The largest limit that any live partition may still apply. One that reads the record later applies a lower limit from then on. */
+  const maxLimit = (s: QuotaModelState, t: number): number =>
     Math.max(
-      ...s.groups
-        .filter((g) => !g.gone)
+      ...s.partitions
+        .filter((g) => !g.removed)
         .map((g) =>
           g.copy.version === 0
             ? scope.limit
@@ -271,21 +287,21 @@
     );
   const initial: QuotaModelState = {
     record: { version: 0, shares: {} },
-    groups: scope.groups.map((_, i) => ({
+    partitions: scope.groups.map((_, i) => ({
       token: i + 1,
       later: false,
       copy: { version: 0, shares: {} },
       change: null,
-      use: scope.teams.map(() => 0),
-      wait: scope.teams.map(() => (scope.tasks[i] ?? 0) * size(i)),
-      said: scope.teams.map(() => null),
-      gone: false,
+      used: scope.teams.map(() => 0),
+      queued: scope.teams.map(() => (scope.tasks[i] ?? 0) * size(i)),
+      published: scope.teams.map(() => null),
+      removed: false,
     })),
-    flights: [],
-    tokens: scope.groups.length,
+    commits: [],
+    lastToken: scope.groups.length,
     takeovers: 0,
     restarts: 0,
-    over: null,
+    violation: null,
   };
 
   function* next(s: QuotaModelState): Generator<Step<QuotaModelState>> {
@@ -297,70 +313,70 @@
       change(to);
       return { label, state: to };
     };
-    for (const [i, g] of s.groups.entries()) {
+    for (const [i, g] of s.partitions.entries()) {
       const name = scope.groups[i]!;
       for (const [t, team] of scope.teams.entries()) {
-        if (g.use[t]! > 0)
+        if (g.used[t]! > 0)
           yield step(`${name}: a task of ${team} ends`, (to) => {
-            to.groups[i]!.use[t]! -= size(i);
+            to.partitions[i]!.used[t]! -= size(i);
           });
-        if (g.gone) continue;
-        if (g.wait[t]! > 0 && g.use[t]! + size(i) <= share(g, i, t) + 1e-6)
+        if (g.removed) continue;
+        if (g.queued[t]! > 0 && g.used[t]! + size(i) <= share(g, i, t) + 1e-6)
           yield step(`${name} starts a task of ${team}`, (to) => {
-            if (inUse(to, t) + size(i) > most(to, t) + 1e-6)
-              to.over = `${team}: a task starts where ${inUse(to, t)} of ${most(to, t)} are in use`;
-            to.groups[i]!.use[t]! += size(i);
-            to.groups[i]!.wait[t]! -= size(i);
+            if (inUse(to, t) + size(i) > maxLimit(to, t) + 1e-6)
+              to.violation = `${team}: a task starts while ${inUse(to, t)} of ${maxLimit(to, t)} CPUs are in use`;
+            to.partitions[i]!.used[t]! += size(i);
+            to.partitions[i]!.queued[t]! -= size(i);
           });
-        const said = wantOf(g, i, t);
-        if (JSON.stringify(said) !== JSON.stringify(g.said[t]))
+        const demand = demandOf(g, i, t);
+        if (JSON.stringify(demand) !== JSON.stringify(g.published[t]))
           yield step(
-            `${name} says what it wants of ${team}`,
-            (to) => void (to.groups[i]!.said[t] = said),
+            `${name} publishes its demand for ${team}`,
+            (to) => void (to.partitions[i]!.published[t] = demand),
           );
       }
-      if (g.gone) continue;
+      if (g.removed) continue;
       if (g.copy.version !== s.record.version)
         yield step(`${name} reads the record`, (to) => {
-          const me = to.groups[i]!;
-          me.copy = to.record;
-          // The record at another revision says how the change ended.
-          if (me.change && me.change.base !== to.record.version)
-            me.change = null;
+          const p = to.partitions[i]!;
+          p.copy = to.record;
+          // Another revision of the record shows the outcome of the change.
+          if (p.change && p.change.base !== to.record.version) p.change = null;
         });
-      if (!g.change && s.flights.length < scope.flights) {
-        const p = plan(s, i);
-        if (p)
+      if (!g.change && s.commits.length < scope.flights) {
+        const planned = plan(s, i);
+        if (planned)
           yield step(
-            `${name} sends ${p.transfers.map((x) => `${x.amounts[0]} of ${x.team} to ${x.to}`).join(", ") || "a change"}`,
+            `${name} sends ${planned.transfers.map((x) => `${x.amounts[0]} of ${x.team} to ${x.to}`).join(", ") || "a change"}`,
             (to) => {
-              const value = p.writes.get(QUOTA_KEY)!;
-              to.groups[i]!.change = {
+              const value = planned.writes.get(QUOTA_KEY)!;
+              to.partitions[i]!.change = {
                 base: g.copy.version,
-                value,
-                reserved: Object.fromEntries(p.released),
-                open: false,
+                shares: value,
+                reserved: Object.fromEntries(planned.released),
+                unanswered: false,
               };
-              to.flights.push({
-                group: i,
+              to.commits.push({
+                from: i,
                 token: g.token,
                 base: g.copy.version,
-                value,
-                doubled: false,
+                shares: value,
+                delivered: false,
               });
             },
           );
       }
-      if (g.change && !g.change.open)
-        yield step(`${name} gets no answer`, (to) => {
-          if (off.has("unanswered stays reserved")) to.groups[i]!.change = null;
-          else to.groups[i]!.change!.open = true;
+      if (g.change && !g.change.unanswered)
+        yield step(`${name} gets no reply`, (to) => {
+          if (off.has("unanswered stays reserved"))
+            to.partitions[i]!.change = null;
+          else to.partitions[i]!.change!.unanswered = true;
         });
       if (s.takeovers < scope.takeovers)
-        yield step(`${name} has a new master`, (to) => {
+        yield step(`${name} gets a new leader`, (to) => {
           to.takeovers++;
-          Object.assign(to.groups[i]!, {
-            token: ++to.tokens,
+          Object.assign(to.partitions[i]!, {
+            token: ++to.lastToken,
             copy: to.record,
             change: null,
           });
@@ -368,104 +384,104 @@
       if (s.restarts < scope.restarts && !g.later)
         yield step(`${name} restarts with the later settings`, (to) => {
           to.restarts++;
-          Object.assign(to.groups[i]!, {
-            token: ++to.tokens,
+          Object.assign(to.partitions[i]!, {
+            token: ++to.lastToken,
             copy: to.record,
             change: null,
             later: true,
-            gone: !scope.laterGroups.includes(name),
+            removed: !scope.laterGroups.includes(name),
           });
         });
     }
-    for (const [k, f] of s.flights.entries()) {
+    for (const [k, c] of s.commits.entries()) {
       yield step(
-        `a commit of ${scope.groups[f.group]!} is lost`,
-        (to) => void to.flights.splice(k, 1),
+        `a commit of ${scope.groups[c.from]!} is lost`,
+        (to) => void to.commits.splice(k, 1),
       );
-      const holds =
-        (off.has("record's revision") || f.base === s.record.version) &&
-        (off.has("master's token") || f.token === s.groups[f.group]!.token);
-      const arrive =
+      const applies =
+        (off.has("record's revision") || c.base === s.record.version) &&
+        (off.has("master's token") || c.token === s.partitions[c.from]!.token);
+      const deliver =
         (again: boolean) =>
         (to: QuotaModelState): void => {
-          if (again) to.flights[k]!.doubled = true;
-          else to.flights.splice(k, 1);
-          if (holds)
-            to.record = { version: to.record.version + 1, shares: f.value };
+          if (again) to.commits[k]!.delivered = true;
+          else to.commits.splice(k, 1);
+          if (applies)
+            to.record = { version: to.record.version + 1, shares: c.shares };
         };
-      if (holds)
+      if (applies)
         yield step(
-          `a commit of ${scope.groups[f.group]!} is carried out`,
-          arrive(false),
+          `a commit of ${scope.groups[c.from]!} is applied`,
+          deliver(false),
         );
-      if (holds && !f.doubled)
+      if (applies && !c.delivered)
         yield step(
-          `a commit of ${scope.groups[f.group]!} is carried out, and comes again`,
-          arrive(true),
+          `a commit of ${scope.groups[c.from]!} is applied and may be delivered again`,
+          deliver(true),
         );
     }
   }
 
   const check = (s: QuotaModelState): string | null => {
-    if (s.over !== null) return s.over;
+    if (s.violation !== null) return s.violation;
     for (const [t, team] of scope.teams.entries()) {
-      // A lowered limit kills nothing: what runs beyond it may, and then nobody may start anything.
-      const bound = Math.max(most(s, t), inUse(s, t));
-      const may = s.groups.reduce(
+      // A lowered limit stops no running tasks, but no task may start while more than the limit is in use.
+      const bound = Math.max(maxLimit(s, t), inUse(s, t));
+      const sum = s.partitions.reduce(
         (n, g, i) =>
-          n + (g.gone ? g.use[t]! : Math.max(g.use[t]!, share(g, i, t))),
+          n + (g.removed ? g.used[t]! : Math.max(g.used[t]!, share(g, i, t))),
         0,
       );
-      if (may > bound + 1e-6) return `${team}: ${may} of ${bound} may be used`;
+      if (sum > bound + 1e-6) return `${team}: ${sum} of ${bound} may be used`;
     }
     return null;
   };
 
   const key = (s: QuotaModelState): string => {
-    // Revisions and tokens only tell what is older from what is newer, or the same.
+    // Only the order and equality of revisions and tokens matter, not their values.
     const versions = [
       ...new Set([
         s.record.version,
-        ...s.groups.flatMap((g) => [
+        ...s.partitions.flatMap((g) => [
           g.copy.version,
           g.change?.base ?? s.record.version,
         ]),
-        ...s.flights.map((f) => f.base),
+        ...s.commits.map((f) => f.base),
       ]),
     ].sort((a, b) => a - b);
-    const v = (n: number): number => (n === 0 ? -1 : versions.indexOf(n));
+    const rank = (n: number): number => (n === 0 ? -1 : versions.indexOf(n));
     const shares = (x: QuotaShares): unknown =>
       scope.teams.map((t) => [
         x[CAPS_NAME]?.[t]?.[0],
         scope.groups.map((g) => x[t]?.[g]?.[0]),
       ]);
     return JSON.stringify([
-      v(s.record.version),
+      rank(s.record.version),
       shares(s.record.shares),
       s.takeovers,
       s.restarts,
-      s.over,
-      s.groups.map((g) => [
+      s.violation,
+      s.partitions.map((g) => [
         g.later,
-        g.gone,
-        v(g.copy.version),
+        g.removed,
+        rank(g.copy.version),
         shares(g.copy.shares),
         g.change && [
-          v(g.change.base),
-          g.change.open,
-          shares(g.change.value),
+          rank(g.change.base),
+          g.change.unanswered,
+          shares(g.change.shares),
           scope.teams.map((t) => g.change!.reserved[t]?.[0]),
         ],
-        g.use,
-        g.wait,
-        g.said,
+        g.used,
+        g.queued,
+        g.published,
       ]),
-      s.flights.map((f) => [
-        f.group,
-        f.token === s.groups[f.group]!.token,
-        v(f.base),
-        shares(f.value),
-        f.doubled,
+      s.commits.map((f) => [
+        f.from,
+        f.token === s.partitions[f.from]!.token,
+        rank(f.base),
+        shares(f.shares),
+        f.delivered,
       ]),
     ]);
   };
