--- a/test/daemon/daemon.test.ts
+++ b/test/daemon/daemon.test.ts
@@ -8,7 +8,7 @@
 import { after, before, test } from "node:test";
 import { freePort } from "../transport/free-port.js";
 
-/** The real program over loopback, against stand-ins for the state service, the cloud and one worker. */
+/** Runs the real program on the loopback interface, with fakes for the state service, the cloud and one worker. */
 
 type Handler = (
   method: string,
@@ -42,17 +42,17 @@
 const portOf = (s: net.Server | http.Server): number =>
   (s.address() as AddressInfo).port;
 
-interface Log {
+interface LoggedWrite {
   put?: string;
   delete?: string;
   value?: unknown;
   stamp: number;
 }
-function stateService(): Handler {
+function fakeStateService(): Handler {
   const data = new Map<string, { value: unknown; stamp: number }>();
-  const log: Log[] = [];
+  const log: LoggedWrite[] = [];
   let epoch = 0;
-  let wake: (() => void)[] = [];
+  let wakeWaiting: (() => void)[] = [];
   return async (method, path, query, body) => {
     if (path === "/holds") return [200, { tenancy: 1 }];
     if (path.endsWith("/touch")) return [200, { tenancy: 1 }];
@@ -63,33 +63,33 @@
         .map((c) => c.k);
       if (failed.length > 0) return [409, { failed, epoch }];
       epoch++;
-      for (const w of body["writes"] as {
+      for (const write of body["writes"] as {
         put?: string;
         delete?: string;
         value?: unknown;
       }[]) {
-        if (w.put !== undefined)
-          data.set(w.put, { value: w.value, stamp: epoch });
-        if (w.delete !== undefined) data.delete(w.delete);
-        log.push({ ...w, stamp: epoch });
+        if (write.put !== undefined)
+          data.set(write.put, { value: write.value, stamp: epoch });
+        if (write.delete !== undefined) data.delete(write.delete);
+        log.push({ ...write, stamp: epoch });
       }
-      for (const f of wake) f();
-      wake = [];
+      for (const wake of wakeWaiting) wake();
+      wakeWaiting = [];
       return [200, { epoch }];
     }
     const under = query.get("under") ?? "";
     if (path === "/changes") {
       const since = Number(query.get("since"));
-      const news = (): Log[] =>
+      const newWrites = (): LoggedWrite[] =>
         log.filter(
           (l) => l.stamp > since && (l.put ?? l.delete)!.startsWith(under),
         );
-      if (news().length === 0 && Number(query.get("holdMs")) > 0)
+      if (newWrites().length === 0 && Number(query.get("holdMs")) > 0)
         await new Promise<void>((r) => {
-          wake.push(r);
+          wakeWaiting.push(r);
           setTimeout(r, Number(query.get("holdMs"))).unref();
         });
-      return [200, { epoch, log: news() }];
+      return [200, { epoch, log: newWrites() }];
     }
     if (path === "/keys")
       return [
@@ -109,12 +109,12 @@
   };
 }
 
-let state: http.Server;
-let cloud: http.Server;
+let stateServer: http.Server;
+let cloudServer: http.Server;
 let child: ChildProcess;
-let client = 0;
-let mesh = 0;
-let config = "";
+let clientPort = 0;
+let meshPort = 0;
+let configFile = "";
 
 async function call(
   method: string,
@@ -125,7 +125,7 @@
   body: Record<string, unknown>;
   headers: Headers;
 }> {
-  const r = await fetch(`http://127.0.0.1:${client}${path}`, {
+  const r = await fetch(`http://127.0.0.1:${clientPort}${path}`, {
     method,
     body: body ?? null,
   });
@@ -135,16 +135,19 @@
     headers: r.headers,
   };
 }
-async function until<T>(what: string, f: () => Promise<T | null>): Promise<T> {
-  for (let k = 0; k < 4_800; k++) {
-    const got = await f().catch(() => null);
-    if (got !== null) return got;
+async function until<T>(
+  what: string,
+  attempt: () => Promise<T | null>,
+): Promise<T> {
+  for (let i = 0; i < 4_800; i++) {
+    const result = await attempt().catch(() => null);
+    if (result !== null) return result;
     await new Promise((r) => setTimeout(r, 25));
   }
-  return assert.fail(`never: ${what}`);
+  return assert.fail(`timeout: ${what}`);
 }
 function start(): void {
-  child = spawn(process.execPath, ["target/main.js", "--config", config], {
+  child = spawn(process.execPath, ["target/main.js", "--config", configFile], {
     stdio: ["ignore", "ignore", "inherit"],
     env: { ...process.env, LOG_LEVEL: "error" },
   });
@@ -165,8 +168,8 @@
 }
 
 before(async () => {
-  state = await serve(stateService());
-  cloud = await serve((method, path) => {
+  stateServer = await serve(fakeStateService());
+  cloudServer = await serve((method, path) => {
     if (path === "/catalog")
       return [
         200,
@@ -190,21 +193,21 @@
     if (method === "GET") return [200, { berths: [], truncated: false }];
     return path === "/hosts" ? [503, { error: "no capacity" }] : [200, {}];
   });
-  client = await freePort();
-  mesh = await freePort();
-  config = join(mkdtempSync(join(tmpdir(), "linencove-")), "node.toml");
+  clientPort = await freePort();
+  meshPort = await freePort();
+  configFile = join(mkdtempSync(join(tmpdir(), "linencove-")), "node.toml");
   writeFileSync(
-    config,
-    `label = "solo"\narea = "east"\nclient_listen = "127.0.0.1:${client}"\nmesh_addr = "127.0.0.1:${mesh}"\n[outside]\ncloud = "127.0.0.1:${portOf(cloud)}"\nstate = "127.0.0.1:${portOf(state)}"\n[cluster]\nzones = ["east"]\n[[cluster.teams]]\nname = "red"\ncpus_max = 16.0\n[cluster.workers]\nreport_s = 1.0\nlease_s = 10.0\ngang_wait_s = 40.0\ngang_peer_s = 4.0\ncancel_s = 40.0\n[cluster.state]\nrps = 1000.0\nwrite_rps = 1000.0\nvalue_kb = 8.0\ntxn_ops = 12\n[cluster.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n`,
+    configFile,
+    `label = "solo"\narea = "east"\nclient_listen = "127.0.0.1:${clientPort}"\nmesh_addr = "127.0.0.1:${meshPort}"\n[outside]\ncloud = "127.0.0.1:${portOf(cloudServer)}"\nstate = "127.0.0.1:${portOf(stateServer)}"\n[cluster]\nzones = ["east"]\n[[cluster.teams]]\nname = "red"\ncpus_max = 16.0\n[cluster.workers]\nreport_s = 1.0\nlease_s = 10.0\ngang_wait_s = 40.0\ngang_peer_s = 4.0\ncancel_s = 40.0\n[cluster.state]\nrps = 1000.0\nwrite_rps = 1000.0\nvalue_kb = 8.0\ntxn_ops = 12\n[cluster.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n`,
   );
   start();
 });
 after(() => {
   child.kill("SIGKILL");
-  state.close();
-  cloud.close();
-  state.closeAllConnections();
-  cloud.closeAllConnections();
+  stateServer.close();
+  cloudServer.close();
+  stateServer.closeAllConnections();
+  cloudServer.closeAllConnections();
 });
 
 const JOB = {
@@ -221,8 +224,8 @@
   reckonS: 5,
 };
 
-/** One report of the stand-in worker; the orders it got. */
-async function hello(
+/** Sends a heartbeat of the fake worker and returns the answer with its commands. */
+async function sendHeartbeat(
   sequence: number,
   baton: number,
   shards: object[],
@@ -247,7 +250,7 @@
   return r.body as never;
 }
 
-test("a job goes from submission to done, and stays done over a kill and a restart", async () => {
+test("a job is submitted and completes, and is still done after the controller is killed and restarted", async () => {
   await until("ready", async () =>
     (await call("GET", "/ready")).status === 200 ? true : null,
   );
@@ -266,42 +269,44 @@
   );
   let sequence = 0;
   let baton = 0;
-  const held = new Map<
+  const workerTasks = new Map<
     string,
     { shard: string; try: number; status: string; cause?: string }
   >();
   await until("both tasks started and cleared", async () => {
-    const a = await hello(++sequence, baton, [...held.values()]);
-    baton = a.baton;
-    for (const o of a.orders) {
-      if (o.verb === "start")
-        held.set(o.shard, {
-          shard: o.shard,
-          try: o.try,
+    const answer = await sendHeartbeat(++sequence, baton, [
+      ...workerTasks.values(),
+    ]);
+    baton = answer.baton;
+    for (const order of answer.orders) {
+      if (order.verb === "start")
+        workerTasks.set(order.shard, {
+          shard: order.shard,
+          try: order.try,
           status: "exited",
           cause: "done",
         });
-      else if (o.verb === "clear") held.delete(o.shard);
+      else if (order.verb === "clear") workerTasks.delete(order.shard);
     }
-    const s = await call("GET", "/v1/jobs/req-000001");
-    return s.body["status"] === "done" ? s.body : null;
+    const job = await call("GET", "/v1/jobs/req-000001");
+    return job.body["status"] === "done" ? job.body : null;
   });
-  const killed = new Promise((r) => child.once("exit", r));
+  const exited = new Promise((r) => child.once("exit", r));
   child.kill("SIGKILL");
-  await killed;
+  await exited;
   start();
-  const again = await until("an answer after the restart", async () => {
+  const afterRestart = await until("an answer after the restart", async () => {
     const r = await call("GET", "/v1/jobs/req-000001");
     return r.status === 200 ? r.body : null;
   });
-  assert.deepEqual([again["status"], again["done"]], ["done", 2]);
+  assert.deepEqual([afterRestart["status"], afterRestart["done"]], ["done", 2]);
   assert.equal(
     (await call("POST", "/v1/jobs/req-000001/withdraw")).body["status"],
     "done",
   );
 });
 
-test("bad input gets what the users were promised, and ends nothing", async () => {
+test("invalid input gets the documented status codes, and the controller keeps running", async () => {
   await until("ready", async () =>
     (await call("GET", "/ready")).status === 200 ? true : null,
   );
@@ -324,7 +329,7 @@
     ),
     400,
   );
-  const never = async (over: object): Promise<number> =>
+  const rejectionStatus = async (over: object): Promise<number> =>
     until("decided", async () =>
       status(
         "POST",
@@ -332,10 +337,10 @@
         JSON.stringify({ ...JOB, id: "req-000002", ...over }),
       ).then((s) => (s === 503 ? null : s)),
     );
-  assert.equal(await never({ crew: "nobody" }), 422);
-  assert.equal(await never({ cores: 9 }), 422);
-  assert.equal(await never({ shape: "daemon", shards: 9 }), 422);
-  assert.equal(await never({ yard: "mars" }), 422);
+  assert.equal(await rejectionStatus({ crew: "nobody" }), 422);
+  assert.equal(await rejectionStatus({ cores: 9 }), 422);
+  assert.equal(await rejectionStatus({ shape: "daemon", shards: 9 }), 422);
+  assert.equal(await rejectionStatus({ yard: "mars" }), 422);
   assert.equal(await status("GET", "/v1/jobs/req-999"), 404);
   assert.equal(await status("POST", "/v1/jobs/req-999/withdraw"), 404);
   assert.equal(await status("GET", "/nowhere"), 404);
@@ -343,7 +348,7 @@
   assert.equal(await status("GET", "/hello"), 405);
   assert.equal(await status("POST", "/hello", '{"berth":3}'), 400);
   const closed = new Promise<void>((resolve, reject) => {
-    const s = net.connect(mesh, "127.0.0.1", () =>
+    const s = net.connect(meshPort, "127.0.0.1", () =>
       s.write("GET / HTTP/1.1\r\n\r\n"),
     );
     s.on("close", () => resolve());
@@ -353,73 +358,73 @@
   assert.equal(await status("GET", "/ready"), 200);
 });
 
-test("the subcommands: answers, one line for an error, exit codes", async () => {
-  const at = ["--server", `127.0.0.1:${client}`];
-  const sent = await until("accepted", async () => {
+test("the subcommands print results, print errors on one line and set the exit code", async () => {
+  const server = ["--server", `127.0.0.1:${clientPort}`];
+  const submitted = await until("accepted", async () => {
     const r = await run(
-      ["submit", ...at, "-"],
+      ["submit", ...server, "-"],
       JSON.stringify({ ...JOB, id: "req-000003" }),
     );
     return r.code === 0 ? r : null;
   });
-  assert.equal(sent.out, "req-000003: queued\n");
+  assert.equal(submitted.out, "req-000003: queued\n");
   assert.equal(
     (
       JSON.parse(
-        (await run(["withdraw", ...at, "req-000003", "--json"])).out,
+        (await run(["withdraw", ...server, "req-000003", "--json"])).out,
       ) as { status: unknown }
     ).status,
     "cancelled",
   );
   assert.match(
-    (await run(["show", ...at, "req-000003"])).out,
+    (await run(["show", ...server, "req-000003"])).out,
     /^req-000003: cancelled/,
   );
-  // A line of two: the second waits, is told so, and goes with the first.
+  // Of two jobs, the second depends on the first: it waits, `show` reports that, and it is cancelled with the first.
   const submit = (
     id: string,
     awaits: string[],
   ): Promise<{ code: number | null; out: string; err: string }> =>
-    run(["submit", ...at, "-"], JSON.stringify({ ...JOB, id, awaits }));
+    run(["submit", ...server, "-"], JSON.stringify({ ...JOB, id, awaits }));
   assert.equal((await submit("req-000004", [])).out, "req-000004: queued\n");
   assert.equal(
     (await submit("req-000005", ["req-000004"])).out,
     "req-000005: queued\n",
   );
   assert.match(
-    (await run(["show", ...at, "req-000005"])).out,
+    (await run(["show", ...server, "req-000005"])).out,
     /^req-000005: queued, 0 done, 0 running, waits for req-000004\n$/,
   );
-  const never = await submit("req-000006", ["req-000099"]);
+  const missingDependency = await submit("req-000006", ["req-000099"]);
   assert.deepEqual(
-    [never.code, never.err],
+    [missingDependency.code, missingDependency.err],
     [1, "linencove: 422: awaits: req-000099 was never accepted\n"],
   );
-  const wrong = await submit("req-000006", ["4"]);
+  const invalidDependency = await submit("req-000006", ["4"]);
   assert.deepEqual(
-    [wrong.code, wrong.err],
+    [invalidDependency.code, invalidDependency.err],
     [1, "linencove: -: awaits.0: must look like req-000412\n"],
   );
-  assert.equal((await run(["withdraw", ...at, "req-000004"])).code, 0);
+  assert.equal((await run(["withdraw", ...server, "req-000004"])).code, 0);
   assert.match(
-    (await run(["show", ...at, "req-000005"])).out,
+    (await run(["show", ...server, "req-000005"])).out,
     /^req-000005: cancelled/,
   );
   const cases: [string[], number, RegExp][] = [
-    [["show", ...at, "req-77"], 1, /^linencove: 404: no such job\n$/],
+    [["show", ...server, "req-77"], 1, /^linencove: 404: no such job\n$/],
     [
       ["show", "--server", "127.0.0.1:1", "req-77"],
       1,
       /^linencove: 127\.0\.0\.1:1: .*ECONNREFUSED/,
     ],
-    [["show", ...at, "77"], 2, /must look like req-000412/],
+    [["show", ...server, "77"], 2, /must look like req-000412/],
     [
-      ["submit", ...at, "/nonexistent.json"],
+      ["submit", ...server, "/nonexistent.json"],
       1,
       /^linencove: \/nonexistent\.json: no such file\n$/,
     ],
     [["frob"], 2, /^linencove: /],
-    [["check", config], 0, /^$/],
+    [["check", configFile], 0, /^$/],
   ];
   for (const [args, code, err] of cases) {
     const r = await run(args);
--- a/test/logging/events.test.ts
+++ b/test/logging/events.test.ts
@@ -16,7 +16,7 @@
 
 const unquoted = (cell: string): string => cell.replace(/^`(.*)`$/, "$1");
 
-/** The rows of the table below "What each line means". */
+/** The rows of the table in the section "What each line means". */
 function rowsOfPage(): Row[] {
   const page = readFileSync("docs/operations.md", "utf8");
   const section = /\n## What each line means\n(.*?)\n## /s.exec(page)![1]!;
@@ -36,7 +36,7 @@
     });
 }
 
-test("each log event has one row in the operators' page, with its level and former text, and each row an event", () => {
+test("each log event has one row on the operators' page, with its level and former message, and each row is an event", () => {
   const catalogue = Object.entries(LOG_EVENTS).map(([event, info]) => ({
     event,
     level: info.level as string,
@@ -46,14 +46,14 @@
   assert.deepEqual(rowsOfPage().sort(byName), catalogue.sort(byName));
 });
 
-test("no two log events have the same former text", () => {
+test("no two log events have the same former message", () => {
   const former = Object.values(LOG_EVENTS).flatMap((info) =>
     info.formerMessage === null ? [] : [info.formerMessage],
   );
   assert.equal(new Set(former).size, former.length);
 });
 
-test("an event's line has its level and name, and the metrics count it under its former text", () => {
+test("the line of an event has its level and name, and the metrics count it under its former message", () => {
   const entry = logEntry("partition acquired", {
     partition: "node-a",
     token: 7,
