--- a/src/verification/quota-model.ts
+++ b/src/verification/quota-model.ts
@@ -19,12 +19,13 @@
  * controllers restart with other settings. A task takes one CPU, or the number given for its partition.
  */
 export interface QuotaScope {
+  /** Names of the partitions. */
   groups: string[];
   teams: string[];
   /** Limit of each team in CPUs, and the later limit, in the settings of a restarted controller. */
   limit: number;
   later: number;
-  /** Partitions in the settings of a restarted controller. */
+  /** Names of the partitions in the settings of a restarted controller. */
   laterGroups: string[];
   /** Number of tasks of each team, by partition. */
   tasks: number[];
