--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -71,7 +71,7 @@
   client.close();
   if (outcome.kind !== "answered")
     throw new RequestRefusedError(
-      `${options.server.host}:${options.server.port}: ${outcome.why}`,
+      `${options.server.host}:${options.server.port}: ${outcome.reason}`,
     );
   const reply = (parseJson(outcome.body) ?? {}) as Record<string, unknown>;
   if (outcome.status !== 200 && outcome.status !== 201)
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -264,7 +264,7 @@
   private tick(): void {
     this.leadership.tick();
     this.watcher.watch();
-    this.watcher.readForWaiting();
+    this.watcher.readForWaitingQueries();
     this.catalogRefresh.tick();
     this.observedLimits.tick(this.leadership.storeLeaseId);
     const areLimitsAgreed = this.observedLimits.areAgreed();
--- a/src/coordination/store/fair-queue.ts
+++ b/src/coordination/store/fair-queue.ts
@@ -57,7 +57,7 @@
   }
 
   /** Records that a query about the job was answered. */
-  answered(id: string): void {
+  noteAnswered(id: string): void {
     this.refusals.delete(id);
   }
 
--- a/src/coordination/store/final-status-reader.ts
+++ b/src/coordination/store/final-status-reader.ts
@@ -100,7 +100,7 @@
     const served = queries.filter((query) => query.askedMs <= sentMs);
     const late = queries.filter((query) => query.askedMs > sentMs);
     if (finalRecord) this.onFound(id, finalRecord);
-    if (failure === null) this.waitingQueries.answered(id);
+    if (failure === null) this.waitingQueries.noteAnswered(id);
     for (const query of served) {
       if (failure !== null) this.waitingQueries.refuse(query, this.ctx.nowMs);
       query.done(finalRecord, failure);
--- a/src/coordination/store/store-watcher.ts
+++ b/src/coordination/store/store-watcher.ts
@@ -92,7 +92,7 @@
   onWake(): void {
     this.isWakeRequested = false;
     this.watch();
-    this.readForWaiting();
+    this.readForWaitingQueries();
   }
 
   /** Opens a watch if none is open and the pause after the last one is over; before the first one, reads all live records. */
@@ -128,16 +128,16 @@
     onRead: (reqId: number, id: string) => void,
   ): void {
     if (this.ctx.cache.finalRecords.has(id)) {
-      this.waitingQueries.answered(id);
+      this.waitingQueries.noteAnswered(id);
       return onRead(reqId, id);
     }
     if (!this.ctx.cache.ready) return this.ports.refuse(reqId, "not ready yet");
     this.enqueue({ reqId, id, askedMs: this.ctx.nowMs, onRead });
-    this.readForWaiting();
+    this.readForWaitingQueries();
   }
 
   /** Sends a read for the waiting queries, if none is in flight and the pause after the last one is over. */
-  readForWaiting(): void {
+  readForWaitingQueries(): void {
     if (this.isReading || this.waitingQueries.size === 0) return;
     if (this.ctx.nowMs < this.nextReadMs)
       return this.requestWakeOnce(this.nextReadMs - this.ctx.nowMs);
@@ -150,7 +150,7 @@
         if (succeeded) this.answer(query);
         else this.retryOrRefuse(query);
       }
-      this.readForWaiting();
+      this.readForWaitingQueries();
     });
   }
 
@@ -173,7 +173,7 @@
   }
 
   private answer({ reqId, id, onRead }: WaitingQuery): void {
-    this.waitingQueries.answered(id);
+    this.waitingQueries.noteAnswered(id);
     onRead(reqId, id);
   }
 
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -104,7 +104,7 @@
     this.workers = new WorkerClient(settings.maxSockets);
     this.mesh = new PeerMesh(settings, {
       serve: (type, body) => this.serve(type, body),
-      stateOk: () => this.state.isReachable,
+      storeReachable: () => this.state.isReachable,
     });
     this.state.peers = this.mesh;
   }
@@ -224,7 +224,7 @@
   }
 
   private tick(): void {
-    const reachable = this.mesh.up();
+    const reachable = this.mesh.reachablePeers();
     if (reachable.join() !== this.lastReachablePeers) {
       this.writeUncounted(logEntry("reachable peers changed", { reachable }));
       this.lastReachablePeers = reachable.join();
@@ -274,11 +274,11 @@
     return this.core.ready;
   }
 
-  malformed(error: string): void {
+  noteMalformedHeartbeat(error: string): void {
     this.inconsistencyLog.warn("malformed heartbeat", error, {});
   }
 
-  fault(error: Error): void {
+  reportError(error: Error): void {
     this.faults++;
     this.writeUncounted(
       logEntry("internal error while serving a request", {
--- a/src/daemon/extensions.ts
+++ b/src/daemon/extensions.ts
@@ -26,11 +26,12 @@
     file,
     `linencove/${version}`,
     {
-      state: (call, priority) => daemon.callForExtension(call, priority),
+      callStore: (call, priority) => daemon.callForExtension(call, priority),
       leadershipLease: () => daemon.leadershipLease,
       log: (entry) => daemon.write(entry),
-      settled: (outcome, tookMs) => metrics?.webhookSettled(outcome, tookMs),
-      attempted: (outcome, tookMs) =>
+      notificationSettled: (outcome, tookMs) =>
+        metrics?.webhookSettled(outcome, tookMs),
+      attemptEnded: (outcome, tookMs) =>
         metrics?.webhookAttempted(outcome, tookMs),
     },
   );
--- a/src/storage/records/capacity.ts
+++ b/src/storage/records/capacity.ts
@@ -4,7 +4,7 @@
  */
 import * as v from "valibot";
 import { PRIORITIES } from "../../coordination/model.js";
-import { read } from "./codec.js";
+import { parseRecord } from "./codec.js";
 
 /** For each priority, the numbers of waiting tasks without and with accelerators. */
 const StoredQueueCounts = v.array(v.tuple([v.number(), v.number()]));
@@ -147,7 +147,7 @@
 }
 
 export function readCapacity(value: unknown): CapacityRecord | null {
-  const stored = read(StoredCapacity, value);
+  const stored = parseRecord(StoredCapacity, value);
   return (
     stored && {
       rows: stored.rows.map(readRow),
--- a/src/storage/records/codec.ts
+++ b/src/storage/records/codec.ts
@@ -5,7 +5,7 @@
 export const StoredRanges = v.array(v.tuple([v.number(), v.number()]));
 
 /** Parses a stored value; null if it does not match the schema. */
-export function read<Schema extends v.GenericSchema>(
+export function parseRecord<Schema extends v.GenericSchema>(
   schema: Schema,
   value: unknown,
 ): v.InferOutput<Schema> | null {
--- a/src/storage/records/completion.ts
+++ b/src/storage/records/completion.ts
@@ -4,7 +4,7 @@
  */
 import * as v from "valibot";
 import { RangeSet } from "../../coordination/jobs/range-set.js";
-import { read, StoredRanges } from "./codec.js";
+import { parseRecord, StoredRanges } from "./codec.js";
 
 /** Ranges; in records of an earlier version possibly a bitmap in base64. */
 const StoredCompletion = v.object({
@@ -38,7 +38,7 @@
 
 /** `block`: the block number in the record's key. */
 export function readCompletion(value: unknown, block: number): RangeSet | null {
-  const stored = read(StoredCompletion, value);
+  const stored = parseRecord(StoredCompletion, value);
   if (!stored) return null;
   if (stored.r) return RangeSet.of(stored.r);
   const bitmap = Buffer.from(stored.b ?? "", "base64");
--- a/src/storage/records/final.ts
+++ b/src/storage/records/final.ts
@@ -6,7 +6,7 @@
 import * as v from "valibot";
 import type { Write } from "../../protocol/state.js";
 import { finalKey, jobKey } from "../keys.js";
-import { read } from "./codec.js";
+import { parseRecord } from "./codec.js";
 
 const StoredFinal = v.object({
   s: v.picklist(["done", "cancelled"]),
@@ -32,7 +32,7 @@
 }
 
 export function readFinal(value: unknown): FinalRecord | null {
-  const stored = read(StoredFinal, value);
+  const stored = parseRecord(StoredFinal, value);
   if (!stored) return null;
   const { s: status, n: tasks, d: done, h: end } = stored;
   if (!end) return { status, tasks, done };
--- a/src/storage/records/gang.ts
+++ b/src/storage/records/gang.ts
@@ -4,9 +4,9 @@
  * record and on the record of the attempt that they follow.
  */
 import * as v from "valibot";
-import { read } from "./codec.js";
+import { parseRecord } from "./codec.js";
 
 const StoredAttempt = v.object({ attempt: v.number() });
 
 export const readGangAttempt = (value: unknown): number | null =>
-  read(StoredAttempt, value)?.attempt ?? null;
+  parseRecord(StoredAttempt, value)?.attempt ?? null;
--- a/src/storage/records/job.ts
+++ b/src/storage/records/job.ts
@@ -10,7 +10,7 @@
   PRIORITIES,
 } from "../../coordination/model.js";
 import { RangeSet } from "../../coordination/jobs/range-set.js";
-import { read, StoredRanges } from "./codec.js";
+import { parseRecord, StoredRanges } from "./codec.js";
 
 /** Stored names of the job kinds. */
 const STORED_KINDS = {
@@ -107,7 +107,7 @@
 }
 
 export function readJob(value: unknown): JobRecord | null {
-  const stored = read(StoredJob, value);
+  const stored = parseRecord(StoredJob, value);
   return (
     stored && {
       spec: readSpec(stored.spec),
--- a/src/storage/records/partition.ts
+++ b/src/storage/records/partition.ts
@@ -4,7 +4,7 @@
  * ends, the store deletes the record. The revision of the record is the leader's fencing token.
  */
 import * as v from "valibot";
-import { read } from "./codec.js";
+import { parseRecord } from "./codec.js";
 
 const StoredPartition = v.object({ owner: v.string(), hold: v.number() });
 const StoredLeadershipBid = v.object({ by: v.string(), token: v.number() });
@@ -25,7 +25,7 @@
 }
 
 export const readPartition = (value: unknown): PartitionRecord | null =>
-  read(StoredPartition, value);
+  parseRecord(StoredPartition, value);
 
 export const readLeadershipBid = (value: unknown): LeadershipBidRecord | null =>
-  read(StoredLeadershipBid, value);
+  parseRecord(StoredLeadershipBid, value);
--- a/src/storage/records/quota.ts
+++ b/src/storage/records/quota.ts
@@ -3,7 +3,7 @@
  * every quota record that the division is based on and, for partitions without a leader, on there still being none.
  */
 import * as v from "valibot";
-import { read } from "./codec.js";
+import { parseRecord } from "./codec.js";
 
 const StoredQuota = v.record(
   v.string(),
@@ -15,11 +15,11 @@
 export type QuotaShares = Record<string, Record<string, [number, number]>>;
 
 export const readQuota = (value: unknown): QuotaShares | null =>
-  read(StoredQuota, value);
+  parseRecord(StoredQuota, value);
 
 /**
  * The hash of the limits in a controller's settings. Each controller writes its own record, conditional on the record's revision
  * and attached to its store lease.
  */
 export const readObservedLimits = (value: unknown): string | null =>
-  read(StoredObservedLimits, value)?.limits ?? null;
+  parseRecord(StoredObservedLimits, value)?.limits ?? null;
--- a/src/storage/records/reclaims.ts
+++ b/src/storage/records/reclaims.ts
@@ -3,7 +3,7 @@
  * record, conditional on their leadership and on its revision.
  */
 import * as v from "valibot";
-import { read } from "./codec.js";
+import { parseRecord } from "./codec.js";
 
 const StoredReclaims = v.object({
   by: v.record(
@@ -35,7 +35,7 @@
 
 /** By partition. */
 export function readReclaims(value: unknown): Map<string, Reclaim[]> | null {
-  const stored = read(StoredReclaims, value);
+  const stored = parseRecord(StoredReclaims, value);
   return (
     stored &&
     new Map(
--- a/src/storage/records/registry.ts
+++ b/src/storage/records/registry.ts
@@ -3,7 +3,7 @@
  * and on the last known revision of each chunk.
  */
 import * as v from "valibot";
-import { read } from "./codec.js";
+import { parseRecord } from "./codec.js";
 
 /** Each type is stored once; machines refer to it by index. */
 const StoredRegistry = v.object({
@@ -32,7 +32,7 @@
 }
 
 export function readRegistry(value: unknown): RegistryRecord | null {
-  const stored = read(StoredRegistry, value);
+  const stored = parseRecord(StoredRegistry, value);
   if (!stored) return null;
   const machines = new Map(
     stored.m.map(([id, typeIndex, returning]) => [
--- a/src/storage/store-client.ts
+++ b/src/storage/store-client.ts
@@ -200,7 +200,7 @@
     else this.failingSinceMs = null;
     return outcome.kind === "answered"
       ? stateReply(call, outcome.status, parseJson(outcome.body))
-      : { is: outcome.kind, why: outcome.why };
+      : { is: outcome.kind, why: outcome.reason };
   }
 
   private static timeoutMs(call: StateCall): number {
--- a/src/transport/cloud-client.ts
+++ b/src/transport/cloud-client.ts
@@ -96,7 +96,7 @@
               resolve(
                 outcome.kind === "answered"
                   ? toReply(call, outcome.status, parseJson(outcome.body))
-                  : { kind: "failed", why: outcome.why },
+                  : { kind: "failed", why: outcome.reason },
               ),
             );
         },
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -4,8 +4,8 @@
 /** `refused`: the request did not reach the server and never will. `unknown`: it may have reached the server, or may still do so. */
 export type HttpOutcome =
   | { kind: "answered"; status: number; body: string }
-  | { kind: "refused"; why: string }
-  | { kind: "unknown"; why: string };
+  | { kind: "refused"; reason: string }
+  | { kind: "unknown"; reason: string };
 
 export type Method = "GET" | "POST" | "PATCH" | "DELETE";
 
@@ -104,9 +104,7 @@
       };
       const fail = (reason: string): void =>
         finish(
-          connected
-            ? { kind: "unknown", why: reason }
-            : { kind: "refused", why: reason },
+          connected ? { kind: "unknown", reason } : { kind: "refused", reason },
         );
       const timer = setTimeout(() => fail("timeout"), timeoutMs);
       const headers: http.OutgoingHttpHeaders =
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -28,9 +28,9 @@
     body: string,
   ): Promise<{ status: number; body: string } | null>;
   /** Called for a heartbeat that cannot be parsed. */
-  malformed(error: string): void;
+  noteMalformedHeartbeat(error: string): void;
   /** Called when handling a request threw an unexpected error. */
-  fault(error: Error): void;
+  reportError(error: Error): void;
 }
 
 const badRequest = (error: string): Response =>
@@ -135,7 +135,7 @@
     const text = await c.req.text();
     const parsed = parseHeartbeat(text);
     if (!parsed.ok) {
-      core.malformed(parsed.error);
+      core.noteMalformedHeartbeat(parsed.error);
       return badRequest(parsed.error);
     }
     const answer = await core.ask((reqId) => ({
@@ -165,7 +165,7 @@
     );
   app.notFound(() => Response.json({ error: "no such path" }, { status: 404 }));
   app.onError((e) => {
-    if ((e as NodeJS.ErrnoException).code !== "ECONNRESET") core.fault(e);
+    if ((e as NodeJS.ErrnoException).code !== "ECONNRESET") core.reportError(e);
     return Response.json(
       { error: "unexpected fault" },
       { status: 503, headers: { "retry-after": "1" } },
--- a/src/transport/peer-mesh.ts
+++ b/src/transport/peer-mesh.ts
@@ -49,7 +49,7 @@
     body: string,
   ): Promise<{ status: number; body: string }>;
   /** Whether the state service answers this controller's own calls. */
-  stateOk(): boolean;
+  storeReachable(): boolean;
 }
 
 interface Peer {
@@ -120,7 +120,7 @@
   }
 
   /** Labels of the peers that have sent a frame within `PEER_TIMEOUT_MS`. */
-  up(): string[] {
+  reachablePeers(): string[] {
     const nowMs = performance.now();
     return this.peers
       .filter((peer) => nowMs - peer.lastFrameMs < PEER_TIMEOUT_MS)
@@ -247,7 +247,7 @@
             encodeFrame(
               Frame.Pong,
               frame.id,
-              Buffer.from([this.handlers.stateOk() ? 1 : 0]),
+              Buffer.from([this.handlers.storeReachable() ? 1 : 0]),
             ),
           );
         else if (
--- a/src/webhooks/delivery.ts
+++ b/src/webhooks/delivery.ts
@@ -74,7 +74,7 @@
   reason: RetryReason | null;
   /** Ask the receiver first whether it has the notification. */
   ask: boolean;
-  sub: Subscription;
+  subscription: Subscription;
 }
 
 /** What a Delivery needs from the webhook core. */
@@ -1004,7 +1004,7 @@
         attempt: entry.attempts,
         reason: entry.reason,
         ask: sub.ask && entry.reason !== null && mayHaveArrived(entry.reason),
-        sub,
+        subscription: sub,
       });
       if (sub.ordered) return;
     }
--- a/src/webhooks/index.ts
+++ b/src/webhooks/index.ts
@@ -22,12 +22,12 @@
 /** What webhooks need from the process that they run in. */
 interface WebhookHost {
   /** Calls the state service within this controller's rate limits. */
-  state(call: StateCall, priority: number): Promise<StateReply>;
+  callStore(call: StateCall, priority: number): Promise<StateReply>;
   leadershipLease(): { storeLease: number | null; untilMs: number };
   log(entry: LogEntry): void;
   /** For metrics. */
-  settled(outcome: "delivered" | "dead", tookMs: number): void;
-  attempted(outcome: string, tookMs: number): void;
+  notificationSettled(outcome: "delivered" | "dead", tookMs: number): void;
+  attemptEnded(outcome: string, tookMs: number): void;
 }
 
 const REQUEST_TIMEOUT_MS = 5_000;
@@ -100,7 +100,7 @@
         REQUEST_TIMEOUT_MS,
       );
       this.pendingRequests.set(reqId, finish);
-      this.step({ type: "request", req: reqId, request });
+      this.step({ type: "request", reqId, request });
     });
   }
 
@@ -112,15 +112,17 @@
     switch (effect.type) {
       case "state":
         void this.host
-          .state(effect.call, effect.priority)
-          .then((reply) => this.step({ type: "state", op: effect.op, reply }));
+          .callStore(effect.call, effect.priority)
+          .then((reply) =>
+            this.step({ type: "state", callId: effect.callId, reply }),
+          );
         break;
       case "attempt": {
         const sentMs = performance.now();
         void this.sender
           .attempt(effect.attemptId, effect.webhook, effect.request)
           .then((result) => {
-            this.host.attempted(
+            this.host.attemptEnded(
               result.is === "failed"
                 ? result.reason
                 : result.is === "answered"
@@ -140,13 +142,13 @@
         this.sender.abort(effect.attemptId);
         break;
       case "reply":
-        this.pendingRequests.get(effect.req)?.({
+        this.pendingRequests.get(effect.reqId)?.({
           status: effect.status,
           body: effect.body,
         });
         break;
       case "settled":
-        this.host.settled(effect.outcome, effect.tookMs);
+        this.host.notificationSettled(effect.outcome, effect.tookMs);
         break;
       case "log":
         this.host.log(effect);
--- a/src/webhooks/records.ts
+++ b/src/webhooks/records.ts
@@ -1,5 +1,5 @@
 import * as v from "valibot";
-import { read } from "../storage/records.js";
+import { parseRecord } from "../storage/records.js";
 
 /**
  * The records of webhooks in the state service, all under `lc/hook/`, which a controller without webhooks does not read:
@@ -166,7 +166,7 @@
 }
 
 export function readSubscription(value: unknown): Subscription | null {
-  const stored = read(SubscriptionValue, value);
+  const stored = parseRecord(SubscriptionValue, value);
   return (
     stored && {
       url: stored.u,
@@ -285,7 +285,7 @@
 export const BATCH_OVERHEAD_BYTES = 120;
 
 export function readProgress(value: unknown): ProgressRecord | null {
-  const stored = read(ProgressValue, value);
+  const stored = parseRecord(ProgressValue, value);
   return (
     stored && {
       seq: stored.q,
@@ -335,7 +335,7 @@
   );
 
 export function readBatch(value: unknown): Batch | null {
-  const stored = read(Batch, value);
+  const stored = parseRecord(Batch, value);
   return (
     stored && {
       to: stored.to && { version: stored.to[0], id: stored.to[1] },
@@ -352,8 +352,8 @@
 /** `hold`: the owner's store lease. */
 export const readLaneOwner = (
   value: unknown,
-): { owner: string; hold: number } | null => read(LaneOwnerValue, value);
+): { owner: string; hold: number } | null => parseRecord(LaneOwnerValue, value);
 export const readPresence = (value: unknown): { hold: number } | null =>
-  read(PresenceValue, value);
+  parseRecord(PresenceValue, value);
 export const readSettledUpTo = (value: unknown): Record<string, number> =>
-  read(SettledUpToValue, value) ?? {};
+  parseRecord(SettledUpToValue, value) ?? {};
--- a/src/webhooks/settings.ts
+++ b/src/webhooks/settings.ts
@@ -117,6 +117,6 @@
     maxSockets: hooks.inFlight,
     maxAnswerBytes: hooks.answerBytes,
     ca,
-    agent,
+    userAgent: agent,
   };
 }
--- a/src/webhooks/webhook-core.ts
+++ b/src/webhooks/webhook-core.ts
@@ -58,13 +58,13 @@
     }
   /** This controller's store lease (null: none), and until when (monotonic time) it may act on the lanes it owns. */
   | { type: "permit"; storeLease: number | null; untilMs: number }
-  | { type: "state"; op: number; reply: StateReply }
+  | { type: "state"; callId: number; reply: StateReply }
   | { type: "attempted"; attemptId: number; result: AttemptResult }
-  | { type: "request"; req: number; request: WebhookRequest }
+  | { type: "request"; reqId: number; request: WebhookRequest }
   | { type: "tick" };
 
 export type WebhookEffect =
-  | { type: "state"; op: number; call: StateCall; priority: CallPriority }
+  | { type: "state"; callId: number; call: StateCall; priority: CallPriority }
   | {
       type: "attempt";
       attemptId: number;
@@ -72,7 +72,7 @@
       request: AttemptRequest;
     }
   | { type: "abort"; attemptId: number }
-  | { type: "reply"; req: number; status: number; body: object }
+  | { type: "reply"; reqId: number; status: number; body: object }
   | {
       type: "settled";
       webhook: string;
@@ -172,7 +172,7 @@
     this.requests = new SubscriptionRequests(
       (call, done) => this.callStore(call, done, CallPriority.UserRequest),
       (reqId, status, body) =>
-        this.effects.push({ type: "reply", req: reqId, status, body }),
+        this.effects.push({ type: "reply", reqId, status, body }),
       (name) => this.figuresOf(name),
       keyIds,
       urlProblem,
@@ -193,8 +193,8 @@
         this.leadershipLeaseUntilMs = input.untilMs;
         break;
       case "state": {
-        const onReply = this.pendingCalls.get(input.op);
-        this.pendingCalls.delete(input.op);
+        const onReply = this.pendingCalls.get(input.callId);
+        this.pendingCalls.delete(input.callId);
         if (input.reply.is === "refused") this.refusedSinceMs ??= nowMs;
         else this.refusedSinceMs = null;
         onReply?.(input.reply);
@@ -207,7 +207,7 @@
         break;
       }
       case "request":
-        this.requests.handle(input.req, input.request);
+        this.requests.handle(input.reqId, input.request);
         break;
       case "tick":
         break;
@@ -233,7 +233,7 @@
       this.nowMs - this.refusedSinceMs < ESCALATE_AFTER_MS;
     this.effects.push({
       type: "state",
-      op: callId,
+      callId,
       call,
       priority:
         priority ??
--- a/src/webhooks/webhook-sender.ts
+++ b/src/webhooks/webhook-sender.ts
@@ -21,7 +21,7 @@
   maxAnswerBytes: number;
   /** PEM certificates to trust in addition to Node's root certificates; null: none. */
   ca: string | null;
-  agent: string;
+  userAgent: string;
 }
 
 const MAX_RETRY_AFTER_MS = 86_400_000;
@@ -102,9 +102,9 @@
     webhook: string,
     request: AttemptRequest,
   ): Promise<AttemptResult> {
-    const problem = this.urlProblem(request.sub.url);
+    const problem = this.urlProblem(request.subscription.url);
     if (problem !== null) return { is: "failed", reason: "blocked" };
-    const keys = request.sub.keys
+    const keys = request.subscription.keys
       .map((k) => this.settings.keys.get(k))
       .filter((k) => k !== undefined);
     if (keys.length === 0) return { is: "failed", reason: "blocked" };
@@ -113,7 +113,7 @@
       const check = await this.sendRequest(
         attemptId,
         "GET",
-        request.sub.url,
+        request.subscription.url,
         this.headers(webhook, request, keys, ""),
         null,
         deadlineAtMs,
@@ -127,7 +127,7 @@
     return this.sendRequest(
       attemptId,
       "POST",
-      request.sub.url,
+      request.subscription.url,
       {
         ...this.headers(webhook, request, keys, body),
         "content-type": "application/json",
@@ -147,7 +147,7 @@
     const id = webhookId(webhook, request.end);
     const timestampS = Math.floor(Date.now() / 1000);
     return {
-      "user-agent": this.settings.agent,
+      "user-agent": this.settings.userAgent,
       "webhook-id": id,
       "webhook-timestamp": String(timestampS),
       "webhook-signature": keys
--- a/test/coordination/jobs/dependencies.test.ts
+++ b/test/coordination/jobs/dependencies.test.ts
@@ -76,7 +76,7 @@
 ): { answer: Answer | null } {
   const reply: { answer: Answer | null } = { answer: null };
   const askedMs = world.now;
-  if (type === "cancel") world.checker.asked.add(id);
+  if (type === "cancel") world.checker.cancelRequests.add(id);
   world.ask(
     node,
     (reqId) => ({ type, reqId, id }),
@@ -92,7 +92,11 @@
   answer?.kind === "job" ? answer.state : String(answer?.kind);
 const runFor = (world: World, ms: number): void => world.run(world.now + ms);
 const assertRulesKept = (world: World): void =>
-  assert.deepEqual(world.checker.broken, [], world.logs.slice(-20).join("\n"));
+  assert.deepEqual(
+    world.checker.brokenRules,
+    [],
+    world.logs.slice(-20).join("\n"),
+  );
 
 test("a job waits for all its dependencies, lists them in its status, and starts once they are done", () => {
   const world = createWorld(1);
@@ -405,7 +409,7 @@
       const world = createWorld(seed);
       pipelines(world, 5_000, 60_000);
       world.run(100_000);
-      if (rule.test(world.checker.broken.join())) return;
+      if (rule.test(world.checker.brokenRules.join())) return;
     }
   } finally {
     restore();
--- a/test/coordination/leadership/orphaned-gangs.test.ts
+++ b/test/coordination/leadership/orphaned-gangs.test.ts
@@ -49,11 +49,11 @@
   injectFaults(world, gangs);
   if (checksWaitingJobs)
     world.at(FAULTS_END_MS, () =>
-      world.every(1_000, () => world.checker.nobodyLeft()),
+      world.every(1_000, () => world.checker.checkNoneLeftWaiting()),
     );
   world.run(END_MS);
   assert.deepEqual(
-    world.checker.broken,
+    world.checker.brokenRules,
     [],
     `seed ${seed}: ${describeWorkload(world)}`,
   );
@@ -92,7 +92,7 @@
   { world, gangs }: Omit<RunResult, "reassigned">,
 ): void {
   for (const { id } of gangs)
-    if (world.checker.told.get(id) !== "cancelled")
+    if (world.checker.toldStates.get(id) !== "cancelled")
       assert.ok(
         world.checker.isDone(id),
         `seed ${seed}: ${id}\n${describeWorkload(world)}`,
@@ -118,12 +118,12 @@
       seed,
       runWithRemovedController(seed, (world) => {
         world.at(RESTARTED_MS, () => {
-          world.lateWrites = 0.2;
-          world.lostAnswers = 0.3;
+          world.lateCommitRate = 0.2;
+          world.lostCommitReplyRate = 0.3;
         });
         world.at(FAULTS_END_MS - 15_000, () => {
-          world.lateWrites = 0;
-          world.lostAnswers = 0;
+          world.lateCommitRate = 0;
+          world.lostCommitReplyRate = 0;
         });
       }),
     );
@@ -158,7 +158,7 @@
     });
     expectReassignedAndDone(seed, result);
     const cancelled = result.gangs.filter(
-      ({ id }) => result.world.checker.told.get(id) === "cancelled",
+      ({ id }) => result.world.checker.toldStates.get(id) === "cancelled",
     );
     assert.ok(cancelled.length > 0);
   }
--- a/test/coordination/machines/delivery-tracker.test.ts
+++ b/test/coordination/machines/delivery-tracker.test.ts
@@ -117,7 +117,7 @@
     deliveredCopies > 1_000 && world.starts > 20,
     `${deliveredCopies} copies, ${world.starts} starts`,
   );
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
 });
 
 test("a late heartbeat of a returned machine does not add the machine again", () => {
@@ -288,7 +288,7 @@
     "the start still counts",
   );
   world.run(110_000);
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
   for (let i = 0; i < spec.tasks; i++)
     assert.ok(world.results.has(`${spec.id}/${i}`), `${i} is done`);
 });
--- a/test/coordination/quota/limited-world.ts
+++ b/test/coordination/quota/limited-world.ts
@@ -91,11 +91,11 @@
   run(untilMs: number, fromMs = 0): void {
     const { world } = this;
     world.at(fromMs, () =>
-      world.every(1_000, () => world.checker.nobodyLeft()),
+      world.every(1_000, () => world.checker.checkNoneLeftWaiting()),
     );
     world.run(untilMs);
     assert.deepEqual(
-      world.checker.broken,
+      world.checker.brokenRules,
       [],
       world.logs
         .filter((line) => /quota|starting|accepted/.test(line))
--- a/test/coordination/quota/process-cluster.ts
+++ b/test/coordination/quota/process-cluster.ts
@@ -159,7 +159,7 @@
     const sentMs = (this.lastSentMs = performance.now());
     const incarnation = this.incarnation;
     const reply = await this.deployment
-      .reach(this.controllerIndex, "POST", "/hello", this.heartbeat())
+      .send(this.controllerIndex, "POST", "/hello", this.heartbeat())
       .catch(() => null);
     this.isSending = false;
     if (this.isStopped) return;
@@ -314,7 +314,7 @@
       };
       for (;;) {
         const reply = await nodes
-          .reach(nodes.rng.int(0, o.controllers - 1), "POST", "/v1/jobs", job)
+          .send(nodes.rng.int(0, o.controllers - 1), "POST", "/v1/jobs", job)
           .catch(() => null);
         if (reply?.status === 200 || reply?.status === 201) return;
         if (reply && reply.status < 429)
@@ -348,7 +348,7 @@
       const i = nodes.rng.int(0, o.controllers - 1);
       if (nodes.rng.chance(0.5)) {
         await nodes.kill(i);
-        setTimeout(() => isOver || nodes.up(i), nodes.rng.real(50, 600));
+        setTimeout(() => isOver || nodes.boot(i), nodes.rng.real(50, 600));
       } else {
         nodes.signal(i, "SIGSTOP");
         setTimeout(
--- a/test/coordination/quota/quota.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -544,9 +544,9 @@
   injectLargeFaults(world, 110_000);
   world.run(150_000);
   assert.deepEqual(
-    world.checker.broken,
+    world.checker.brokenRules,
     [],
-    `seed ${seed}: ${world.checker.broken.join()}\n${world.logs.slice(-20).join("\n")}`,
+    `seed ${seed}: ${world.checker.brokenRules.join()}\n${world.logs.slice(-20).join("\n")}`,
   );
   return { world, maxAllocation: watched.maxAllocation };
 }
@@ -639,7 +639,8 @@
           n +
           (x.gone
             ? 0
-            : [...x.tasks.values()].filter((t) => x.onMachine(t)).length * 2),
+            : [...x.tasks.values()].filter((t) => x.occupiesMachine(t)).length *
+              2),
         0,
       );
       maxUsed = Math.max(maxUsed, used);
@@ -648,9 +649,9 @@
     world.at(165_000, sample);
     world.run(200_000);
     assert.deepEqual(
-      world.checker.broken,
+      world.checker.brokenRules,
       [],
-      `seed ${seed}: ${world.checker.broken.join()}\n${world.logs
+      `seed ${seed}: ${world.checker.brokenRules.join()}\n${world.logs
         .filter((l) => /quota|partition/.test(l))
         .slice(-25)
         .join("\n")}`,
@@ -790,7 +791,8 @@
       (x.gone
         ? 0
         : [...x.tasks.values()].filter(
-            (y) => x.onMachine(y) && world.specs.get(y.job)!.team === teamName,
+            (y) =>
+              x.occupiesMachine(y) && world.specs.get(y.job)!.team === teamName,
           ).length * 4),
     0,
   );
@@ -802,7 +804,7 @@
     const blueCpusBefore = runningCpus(world, "blue");
     assert.ok(blueCpusBefore >= 80, "blue uses the whole cluster");
     world.run(75_000);
-    assert.deepEqual(world.checker.broken, []);
+    assert.deepEqual(world.checker.brokenRules, []);
     assert.ok(runningCpus(world, "blue") >= blueCpusBefore - 24);
     assert.equal(
       runningCpus(world, "red"),
@@ -863,7 +865,7 @@
     submit(4_000, 1, { team: "blue" });
     submit(20_000, 2, { team: "red", tasks: 3 });
     world.run(60_000);
-    assert.deepEqual(world.checker.broken, []);
+    assert.deepEqual(world.checker.brokenRules, []);
     assert.equal(preemptedCpus(world), 0, world.logs.slice(-10).join("\n"));
     assert.equal(runningCpus(world, "blue"), 24);
   }
@@ -886,7 +888,7 @@
     () => "node-b",
   );
   world.run(45_000);
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
   assert.equal(
     runningCpus(world, "red"),
     28,
@@ -997,7 +999,7 @@
         team: "red",
       }));
       world.run(100_000);
-      broken.push(...world.checker.broken);
+      broken.push(...world.checker.brokenRules);
     }
     assert.match(broken.join(), /quota/);
   } finally {
@@ -1084,7 +1086,7 @@
   submit(15_000, { zone: "mid", tasks: 3, cpus: 3, gpus: 1 });
   submit(17_000, { zone: "east", tasks: 4, cpus: 5, gpus: 1 });
   world.run(60_000);
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
   const transfers = world.logs.filter(
     (l) => l.includes("transferring quota") && Number(l.split(" ")[0]) > 25,
   );
@@ -1119,7 +1121,7 @@
     estimateS: 90,
   });
   world.run(90_000);
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
   assert.ok(world.state.data.has(`lc/now/job/${impossibleGang}`));
   const startedTasks = new Set(
     world.logs
@@ -1159,7 +1161,7 @@
     0,
   );
   world.run(140_000);
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
   assert.ok(
     world.logs.some(
       (l) => l.includes("task phase changed") && l.includes(`"${array}/`),
--- a/test/coordination/scheduling/rebalancer.test.ts
+++ b/test/coordination/scheduling/rebalancer.test.ts
@@ -74,9 +74,9 @@
     arrayId = submitArray(world, 2, { team: "red", tasks: 60 });
   });
   world.run(160_000);
-  assert.deepEqual(world.checker.broken, [], describeWorkload(world));
+  assert.deepEqual(world.checker.brokenRules, [], describeWorkload(world));
   assert.equal(
-    world.checker.told.get(arrayId),
+    world.checker.toldStates.get(arrayId),
     "done",
     describeWorkload(world),
   );
@@ -123,6 +123,6 @@
     );
   });
   world.run(150_000);
-  assert.deepEqual(world.checker.broken, [], describeWorkload(world));
+  assert.deepEqual(world.checker.brokenRules, [], describeWorkload(world));
   assert.ok(world.checker.isDone(ids[2]!), describeWorkload(world));
 });
--- a/test/golden/core-trace.ts
+++ b/test/golden/core-trace.ts
@@ -442,7 +442,7 @@
   world.at(30_000, () => world.crash("node-a"));
   world.at(42_000, () => world.nodes.get("node-a") ?? world.boot("node-a"));
   world.run(RUN_MS);
-  for (const violation of world.checker.broken)
+  for (const violation of world.checker.brokenRules)
     coverage.count(`broken rule ${JSON.stringify(violation)}`);
   return {
     sha256: hash.digest("hex"),
--- a/test/golden/transport.ts
+++ b/test/golden/transport.ts
@@ -124,8 +124,8 @@
       relayed.push(`${leader} ${zone} ${body}`);
       return Promise.resolve(relayAnswer);
     },
-    malformed: (error) => void relayed.push(`report ${error}`),
-    fault: (error) => void relayed.push(error.message),
+    noteMalformedHeartbeat: (error) => void relayed.push(`report ${error}`),
+    reportError: (error) => void relayed.push(error.message),
   };
   const app = api(core);
   const send = async (
@@ -337,7 +337,7 @@
       maxSockets: 4,
       maxAnswerBytes: 100,
       ca: null,
-      agent: "linencove/1",
+      userAgent: "linencove/1",
     });
     const sub: Subscription = {
       url: `http://127.0.0.1:${port}/in`,
@@ -356,7 +356,7 @@
       attempt: 2,
       reason: "timeout",
       ask: false,
-      sub,
+      subscription: sub,
     };
     assert.equal(
       (await sender.attempt(1, "alerts", attemptRequest)).is,
@@ -414,10 +414,10 @@
   const replies = new Map<number, { status: number; body: object }>();
   const feed = (input: WebhookInput): void => {
     for (const effect of core.step(input, 1_000, 1_000)) {
-      if (effect.type === "reply") replies.set(effect.req, effect);
+      if (effect.type === "reply") replies.set(effect.reqId, effect);
       if (effect.type === "state")
         store.handle(effect.call, (reply) =>
-          feed({ type: "state", op: effect.op, reply }),
+          feed({ type: "state", callId: effect.callId, reply }),
         );
     }
   };
@@ -425,7 +425,7 @@
   let lastRequestId = 0;
   return webhookRoutes(
     (request) => {
-      feed({ type: "request", req: ++lastRequestId, request });
+      feed({ type: "request", reqId: ++lastRequestId, request });
       return Promise.resolve(replies.get(lastRequestId)!);
     },
     (_, next) => next(),
--- a/test/golden/webhooks-trace.ts
+++ b/test/golden/webhooks-trace.ts
@@ -1,10 +1,10 @@
 import { createHash } from "node:crypto";
 import { stateRequest } from "../../src/protocol/state.js";
 import {
-  calm,
+  endFaults,
   WebhookWorld,
   LIMITS,
-  faults,
+  scheduleFaults,
 } from "../webhooks/webhook-world.js";
 
 const LOAD_MS = 60_000;
@@ -27,8 +27,8 @@
   world.add("all");
   world.add("red-only", { crews: ["red"], ordered: true });
   world.add("asked", { ask: true });
-  world.lossy = 0.02;
-  faults(world, LOAD_MS);
+  world.callLossProbability = 0.02;
+  scheduleFaults(world, LOAD_MS);
   for (let index = 0; index < 150; index++)
     world.at(index * 400, () =>
       world.end(
@@ -38,7 +38,7 @@
       ),
     );
   world.run(LOAD_MS);
-  calm(world);
+  endFaults(world);
   world.run(SETTLE_MS);
   const [node] = world.nodes;
   const requests = [
@@ -60,6 +60,6 @@
       );
   for (const [request, { status, body }] of world.replies)
     hash.update(`${request} ${status} ${JSON.stringify(body)}\n`);
-  hash.update(JSON.stringify(world.broken));
+  hash.update(JSON.stringify(world.violations));
   return hash.digest("hex");
 }
--- a/test/scenarios/cancelled-in-transfer.ts
+++ b/test/scenarios/cancelled-in-transfer.ts
@@ -9,7 +9,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   tasksOnMachines,
 } from "./stage.js";
 
@@ -44,10 +44,13 @@
  * more, and running ones must end in time, although the leader that started them never learns of the cancellation.
  */
 export function cancelledInTransfer(seed: number): ScenarioRun {
-  const world = stage(seed, { controllers: 2 + (seed % 3), runFactor: 12 });
+  const world = setUp(seed, {
+    controllers: 2 + (seed % 3),
+    runFactor: 12,
+  });
   const occurred = new Occurrences(PHASES);
   let current: Transfer | null = null;
-  world.checker.onTold = (id, status) => {
+  world.checker.onStateTold = (id, status) => {
     if (status !== "cancelled" || !current) return;
     const phase = phaseOf(world, current);
     if (phase && isOnPartition(world, id, current.partition))
@@ -139,7 +142,7 @@
 /** The controller is down, paused or cut off from the state service. */
 function isUnresponsive(world: World, name: string): boolean {
   const node = world.nodes.get(name) ?? null;
-  return node === null || node.still !== null || world.stateCut.has(name);
+  return node === null || node.pausedWork !== null || world.stateCut.has(name);
 }
 
 function isOnPartition(world: World, job: string, partition: string): boolean {
@@ -159,7 +162,7 @@
   for (const { machine, task } of tasksOnMachines(world))
     if (
       partitionOf(world, machine) === transfer.partition &&
-      !world.checker.asked.has(task.job)
+      !world.checker.cancelRequests.has(task.job)
     )
       jobs.add(task.job);
   for (const job of [...jobs].slice(0, 3))
--- a/test/scenarios/concurrent-queries.ts
+++ b/test/scenarios/concurrent-queries.ts
@@ -14,7 +14,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   watchPartitions,
 } from "./stage.js";
 
@@ -74,7 +74,10 @@
  * started, has just taken or lost a partition, or has an unanswered commit on the same job.
  */
 export function concurrentQueries(seed: number): ScenarioRun {
-  const world = stage(seed, { controllers: 3 + (seed % 3), runFactor: 0.7 });
+  const world = setUp(seed, {
+    controllers: 3 + (seed % 3),
+    runFactor: 0.7,
+  });
   const { rng } = world;
   const occurred = new Occurrences([
     ...REPORTED_STATUSES.flatMap((t) => CONDITIONS.map((c) => `${t}, ${c}`)),
@@ -83,7 +86,7 @@
   ]);
   const conditions = new ControllerConditions(world);
 
-  world.checker.onTold = (id, status) => {
+  world.checker.onStateTold = (id, status) => {
     if (world.now > FAULTS_END_MS) return;
     for (const afterMs of QUERY_DELAYS_MS)
       world.at(afterMs, () => {
@@ -139,7 +142,7 @@
     const beforeMs = rng.real(1, 20);
     conditions.unansweredCommits.set(id, { name, untilMs: world.now + 1_500 });
     world.at(beforeMs + rng.real(0, 300), () => askAllControllers(world, id));
-    return { beforeMs, answered: false };
+    return { applyAfterMs: beforeMs, answered: false };
   };
 }
 
@@ -151,7 +154,7 @@
   const { rng } = world;
   const changeJobs = (): void => {
     if (world.now > FAULTS_END_MS) return;
-    const accepted = [...world.checker.told].filter(
+    const accepted = [...world.checker.toldStates].filter(
       ([, t]) => t === "accepted",
     );
     for (let n = 0; n < 3 && accepted.length > 0; n++) {
--- a/test/scenarios/delayed-commands.ts
+++ b/test/scenarios/delayed-commands.ts
@@ -12,7 +12,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
 } from "./stage.js";
 
 const FAULTS_END_MS = 160_000;
@@ -35,7 +35,7 @@
  * their leader crashes, their machine can't send heartbeats, or the job is cancelled.
  */
 export function delayedCommands(seed: number): ScenarioRun {
-  const world = stage(seed, {
+  const world = setUp(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 3,
     teams: LOW_LIMITS,
@@ -138,7 +138,7 @@
   );
   if (machine.isMute)
     found.push("carried out late on a machine that can't send heartbeats");
-  if (world.checker.told.get(job) === "cancelled")
+  if (world.checker.toldStates.get(job) === "cancelled")
     found.push("carried out late although the job is cancelled");
   return found;
 }
--- a/test/scenarios/expect.ts
+++ b/test/scenarios/expect.ts
@@ -15,7 +15,7 @@
   const total = new Map<string, number>();
   for (const seed of seeds) {
     const { world, occurred } = scenario(seed);
-    if (world.checker.broken.length > 0)
+    if (world.checker.brokenRules.length > 0)
       assert.fail(`seed ${seed}: ${describeWorkload(world)}`);
     for (const [name, n] of occurred)
       total.set(name, (total.get(name) ?? 0) + n);
--- a/test/scenarios/fast-booting-machines.ts
+++ b/test/scenarios/fast-booting-machines.ts
@@ -9,7 +9,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
 } from "./stage.js";
 
 const FAULTS_END_MS = 200_000;
@@ -49,7 +49,7 @@
  * Their leader crashes around that commit or the first start command.
  */
 export function fastBootingMachines(seed: number): ScenarioRun {
-  const world = stage(seed, {
+  const world = setUp(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 3,
     machinesPerZone: 1,
@@ -113,7 +113,7 @@
       if (entry.crashPoint === "before the registry commit is carried out")
         this.crashLeader(
           entry,
-          world.rng.real(0, Math.min(fate.beforeMs, 500)),
+          world.rng.real(0, Math.min(fate.applyAfterMs, 500)),
         );
     return fate;
   }
@@ -141,15 +141,15 @@
     const { rng } = this.world;
     switch (commitDelay) {
       case "late":
-        return { beforeMs: rng.real(2_000, 12_000), answered: false };
+        return { applyAfterMs: rng.real(2_000, 12_000), answered: false };
       case "slow":
         return {
-          beforeMs: rng.real(100, 700),
+          applyAfterMs: rng.real(100, 700),
           answered: true,
-          afterMs: rng.real(100, 700),
+          replyAfterMs: rng.real(100, 700),
         };
       case "answer lost":
-        return { beforeMs: rng.real(1, 10), answered: false };
+        return { applyAfterMs: rng.real(1, 10), answered: false };
     }
   }
   /** Fast-booting machines that no earlier commit has registered. */
--- a/test/scenarios/large-fleet-checks.ts
+++ b/test/scenarios/large-fleet-checks.ts
@@ -130,7 +130,13 @@
   private checkWarning(name: string, event: string, subject: string): void {
     const node = this.world.nodes.get(name)!;
     const tokens = [...node.core.leaders.values()].map(({ token }) => token);
-    const key = [name, node.life, tokens.join("+"), event, subject].join("/");
+    const key = [
+      name,
+      node.processNumber,
+      tokens.join("+"),
+      event,
+      subject,
+    ].join("/");
     const last = this.lastWarnedMs.get(key) ?? -Infinity;
     const clockMs = this.world.clockOf(name);
     if (clockMs - last < WARNING_GAP_MS)
--- a/test/scenarios/large-fleet.test.ts
+++ b/test/scenarios/large-fleet.test.ts
@@ -33,7 +33,7 @@
   const { world, occurred } = fleet(1, FEW_MACHINES, {
     maxWarningSubjects: 20,
   })(1);
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
   const counted = occurred.get(
     "further subjects of warnings counted in one line",
   );
--- a/test/scenarios/large-fleet.ts
+++ b/test/scenarios/large-fleet.ts
@@ -19,7 +19,7 @@
   partitionOf,
   restartController,
   type ScenarioRun,
-  stage,
+  setUp,
   type Takeover,
   watchPartitions,
 } from "./stage.js";
@@ -98,7 +98,7 @@
 function stageFleet(seed: number, options: LargeFleetOptions): World {
   const perZone = Math.ceil(options.machines / 4);
   const cpusMax = 8 * options.machines;
-  const world = stage(seed, {
+  const world = setUp(seed, {
     controllers: options.controllers,
     machinesPerZone: perZone,
     capacity: perZone,
--- a/test/scenarios/last-task.ts
+++ b/test/scenarios/last-task.ts
@@ -10,7 +10,7 @@
   plainJob,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   tasksOnMachines,
 } from "./stage.js";
 
@@ -31,7 +31,10 @@
 
 /** A cancellation, a status query at all controllers or a repeated submission races with the end of a job's last task, with no other injected fault. */
 export function lastTask(seed: number): ScenarioRun {
-  const world = stage(seed, { controllers: 1 + (seed % 4), runFactor: 0.8 });
+  const world = setUp(seed, {
+    controllers: 1 + (seed % 4),
+    runFactor: 0.8,
+  });
   const { rng } = world;
   world.loss = 0;
   const occurred = new Occurrences(
@@ -65,7 +68,7 @@
     if (request) occurred.note(`${request} after the end, ${shapeOf(id)}`);
     sent.delete(id);
   };
-  world.jobEnded = (id) => {
+  world.onJobEnded = (id) => {
     for (const { request, sentMs } of sent.get(id) ?? [])
       if (world.now - sentMs <= WINDOW_MS)
         occurred.note(`${request} before the end, ${shapeOf(id)}`);
--- a/test/scenarios/late-transactions.ts
+++ b/test/scenarios/late-transactions.ts
@@ -7,7 +7,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
 } from "./stage.js";
 
 const FAULTS_END_MS = 130_000;
@@ -36,7 +36,7 @@
  * records, or after a change of leader.
  */
 export function lateTransactions(seed: number): ScenarioRun {
-  const world = stage(seed, {
+  const world = setUp(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 2,
     machinesPerZone: 1,
@@ -72,7 +72,7 @@
         if (REWRITTEN_KINDS.includes(kind))
           occurred.note(`${kind}: applied after a newer one of its controller`);
     });
-    return { beforeMs: delayMs, answered: false };
+    return { applyAfterMs: delayMs, answered: false };
   };
   injectFaults(world);
   submitWorkload(world, FAULTS_END_MS - 20_000, plainJob);
--- a/test/scenarios/leader-changes.test.ts
+++ b/test/scenarios/leader-changes.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { expectDetected, expectRulesKept } from "./expect.js";
 import { leaderChanges } from "./leader-changes.js";
-import { withoutTakeoverFence } from "../simulation/guards.js";
+import { withoutFailoverFence } from "../simulation/guards.js";
 
 test("ten changes of leader in two minutes, some during outages, all controllers down for longer than a lease, one back at once: the rules hold", () => {
   expectRulesKept(leaderChanges, [0, 1, 2, 3], 3);
@@ -12,6 +12,6 @@
     leaderChanges,
     [0, 1, 2, 3],
     "ran_twice",
-    withoutTakeoverFence,
+    withoutFailoverFence,
   );
 });
--- a/test/scenarios/leader-changes.ts
+++ b/test/scenarios/leader-changes.ts
@@ -8,7 +8,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   tasksOnMachines,
   watchPartitions,
 } from "./stage.js";
@@ -37,7 +37,10 @@
  * apart, and some are cancelled.
  */
 export function leaderChanges(seed: number): ScenarioRun {
-  const world = stage(seed, { controllers: 2 + (seed % 3), runFactor: 3 });
+  const world = setUp(seed, {
+    controllers: 2 + (seed % 3),
+    runFactor: 3,
+  });
   const occurred = new Occurrences(COMBINATIONS);
   const note = (combination: Combination): void => occurred.note(combination);
   watchChanges(world, note);
@@ -77,7 +80,7 @@
     for (const id of partlyDoneJobs(world)) partlyDone.add(id);
     lastChangeMs = world.now;
   });
-  world.checker.onTold = (id, status) => {
+  world.checker.onStateTold = (id, status) => {
     if (status === "done" && partlyDone.has(id))
       note(
         "a job of two or three tasks with one done before a change, another after it",
@@ -90,7 +93,7 @@
 /** Array jobs of two or three tasks of which some are done and some are not. */
 function partlyDoneJobs(world: World): string[] {
   const ids: string[] = [];
-  for (const [id, status] of world.checker.told) {
+  for (const [id, status] of world.checker.toldStates) {
     const spec = world.specs.get(id)!;
     if (status !== "accepted" || spec.kind !== "array") continue;
     if (spec.tasks < 2 || spec.tasks > 3) continue;
--- a/test/scenarios/limits-out-of-reach.ts
+++ b/test/scenarios/limits-out-of-reach.ts
@@ -14,7 +14,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   tasksOnMachines,
   UNREACHABLE_MODES,
   type UnreachableMode,
@@ -42,7 +42,7 @@
  * partition gets a new leader while the task is still there: it must count towards the limit, and must end in time.
  */
 export function limitsOutOfReach(seed: number): ScenarioRun {
-  const world = stage(seed, {
+  const world = setUp(seed, {
     controllers: 3 + (seed % 3),
     runFactor: 5,
     teams: new Map([
@@ -56,7 +56,7 @@
     ),
   );
   const cancelled: CancelledTask[] = [];
-  world.checker.onTold = (id, status) => {
+  world.checker.onStateTold = (id, status) => {
     if (status !== "cancelled") return;
     for (const task of cancelled)
       if (task.job === id && everyTeamAtLimit(world))
@@ -112,7 +112,7 @@
   if (world.now - task.confirmedMs > 1_000 * world.settings.leaseS)
     return false;
   return [...task.machine.tasks.values()].some(
-    (t) => t.job === task.job && task.machine.onMachine(t),
+    (t) => t.job === task.job && task.machine.occupiesMachine(t),
   );
 }
 
@@ -150,7 +150,8 @@
     if (affectedMachines.size >= 8 || affectedMachines.has(machine)) continue;
     if (partitionOf(world, machine) !== partition || spec.kind !== "array")
       continue;
-    if (world.checker.asked.has(task.job) || isUnreachable(machine)) continue;
+    if (world.checker.cancelRequests.has(task.job) || isUnreachable(machine))
+      continue;
     affectedMachines.add(machine);
     const mode = rng.pick(UNREACHABLE_MODES);
     cancelled.push({ job: task.job, machine, mode: mode, confirmedMs: null });
--- a/test/scenarios/lost-replies.ts
+++ b/test/scenarios/lost-replies.ts
@@ -14,7 +14,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   type WorldOptions,
   tasksOnMachines,
 } from "./stage.js";
@@ -90,7 +90,7 @@
  */
 export function lostReplies(seed: number): ScenarioRun {
   const isScarce = seed % 3 === 2;
-  const world = stage(seed, isScarce ? SCARCE_OPTIONS : ampleOptions(seed));
+  const world = setUp(seed, isScarce ? SCARCE_OPTIONS : ampleOptions(seed));
   const occurred = new Occurrences(
     COMMIT_KINDS.map((k) => `${k}: read by a peer before its writer`),
   );
@@ -180,7 +180,7 @@
     if (rng.chance(0.6)) delayReads(world, name, rng.real(1_600, 6_000));
     if (kinds.has("move")) addMachines(world, name);
     if (kinds.has("attempt")) failGangTask(world, commit);
-    return { beforeMs: rng.real(1, 10), answered: false };
+    return { applyAfterMs: rng.real(1, 10), answered: false };
   };
   world.onCommitted.push((name, commit, revision) => {
     noteFollowUps(world, pendingReplies, name, commit, occurred);
@@ -189,7 +189,7 @@
     unappliedCommits.delete(commit);
     pendingReplies.push({
       writer: name,
-      writerLife: world.nodes.get(name)?.life ?? 0,
+      writerLife: world.nodes.get(name)?.processNumber ?? 0,
       kinds: commitInfo.kinds,
       keys: new Set(commit.writes.map((w) => w.key)),
       revision,
@@ -216,7 +216,7 @@
     if (reply.isReadByPeer || world.now - reply.appliedMs > COMMIT_TIMEOUT_MS)
       continue;
     const writer = world.nodes.get(reply.writer);
-    if (!writer || writer.life !== reply.writerLife) continue;
+    if (!writer || writer.processNumber !== reply.writerLife) continue;
     if (writer.core.cache.revision >= reply.revision) continue;
     reply.isReadByPeer = [...world.nodes].some(
       ([name, node]) =>
--- a/test/scenarios/one-task-jobs.ts
+++ b/test/scenarios/one-task-jobs.ts
@@ -8,7 +8,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
 } from "./stage.js";
 
 const SUBMIT_FROM_MS = 5_000;
@@ -43,7 +43,7 @@
 export function oneTaskJobs(
   seed: number,
 ): ScenarioRun & { statistics: WriteStatistics } {
-  const world = stage(seed, { controllers: 3, runFactor: 0.5 });
+  const world = setUp(seed, { controllers: 3, runFactor: 0.5 });
   const occurred = new Occurrences(CANCELLATION_TIMES);
   const perSecond = countWrites(world);
   const cancellationTimes = new Map<string, CancellationTime>();
@@ -52,7 +52,7 @@
     world.at(SUBMIT_FROM_MS + (n * 1000) / JOBS_PER_S, () =>
       submitOne(world, n, cancellationTimes, occurred),
     );
-  world.jobEnded = (id) => {
+  world.onJobEnded = (id) => {
     if (cancellationTimes.get(id) !== "as the task ends") return;
     occurred.note("as the task ends");
     // The result exists already, and the heartbeat that shows it may still be on its way.
@@ -93,7 +93,7 @@
   if (time === "before the submission is answered")
     world.at(
       rng.real(0, 15),
-      () => !world.checker.told.has(spec.id) && cancelNow(),
+      () => !world.checker.toldStates.has(spec.id) && cancelNow(),
     );
   if (time === "at any time") world.at(rng.real(20, 8_000), cancelNow);
   if (time === "as the task starts")
@@ -102,7 +102,7 @@
 
 /** Calls `act` once a start command for the job was carried out, whether or not its image has been pulled yet. */
 function afterStart(world: World, id: string, act: () => void): void {
-  if (world.checker.isDone(id) || world.checker.asked.has(id)) return;
+  if (world.checker.isDone(id) || world.checker.cancelRequests.has(id)) return;
   const isStarted = world.workers.some(
     (m) => !m.gone && [...m.tasks.values()].some((t) => t.job === id),
   );
--- a/test/scenarios/overtaken-heartbeats.ts
+++ b/test/scenarios/overtaken-heartbeats.ts
@@ -25,7 +25,7 @@
   plainJob,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   tasksOnMachines,
 } from "./stage.js";
 
@@ -42,7 +42,7 @@
 
 /** Heartbeats are overtaken by the answers to direct commands that their machines carried out after making them. */
 export function overtakenHeartbeats(seed: number): ScenarioRun {
-  const world = stage(seed, {
+  const world = setUp(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 3,
     teams: LOW_LIMITS,
--- a/test/scenarios/stage.ts
+++ b/test/scenarios/stage.ts
@@ -49,11 +49,11 @@
 ]);
 
 /** Creates a cluster whose machines are up from the start. */
-export function stage(seed: number, options: WorldOptions = {}): World {
+export function setUp(seed: number, options: WorldOptions = {}): World {
   const world = new World(seed, options.tuning, [], options.controllers ?? 3);
   world.capacity = options.capacity ?? 6;
   world.runFactor = options.runFactor ?? 2;
-  world.carries = true;
+  world.relaysStoreCalls = true;
   if (options.teams) {
     world.settings.teams = options.teams;
     world.bootAll();
@@ -173,7 +173,7 @@
   for (const machine of world.workers) {
     if (machine.gone) continue;
     for (const task of machine.tasks.values())
-      if (machine.onMachine(task))
+      if (machine.occupiesMachine(task))
         yield { machine, task, spec: world.specs.get(task.job)! };
   }
 }
@@ -263,10 +263,10 @@
 /** Runs on after the last injected fault at `faultsEndMs`, long enough to detect forgotten jobs and jobs that wait beside free machines. */
 export function runToEnd(world: World, faultsEndMs: number): void {
   world.at(faultsEndMs, () =>
-    world.every(1_000, () => world.checker.nobodyLeft()),
+    world.every(1_000, () => world.checker.checkNoneLeftWaiting()),
   );
   world.at(faultsEndMs + 80_000, () =>
-    world.checker.remembers(faultsEndMs + 5_000),
+    world.checker.checkNoneForgotten(faultsEndMs + 5_000),
   );
   world.run(faultsEndMs + 110_000);
 }
--- a/test/scenarios/stale-heartbeats.ts
+++ b/test/scenarios/stale-heartbeats.ts
@@ -11,7 +11,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   type Takeover,
   watchPartitions,
 } from "./stage.js";
@@ -45,7 +45,7 @@
  * cancelled or moved.
  */
 export function staleHeartbeats(seed: number): ScenarioRun {
-  const world = stage(seed, {
+  const world = setUp(seed, {
     controllers: 2 + (seed % 3),
     runFactor: 2,
     machinesPerZone: 2,
@@ -144,7 +144,7 @@
   for (const task of heartbeat.tasks) {
     if (task.state === "exited") continue;
     const { job, index, attempt } = task;
-    const status = world.checker.told.get(job);
+    const status = world.checker.toldStates.get(job);
     if (status === "cancelled") contents.add("task since cancelled");
     if (world.results.has(`${job}/${index}`)) contents.add("task since done");
     if (hasOtherAttempt(world, job, index, attempt))
--- a/test/scenarios/unreachable-tasks.ts
+++ b/test/scenarios/unreachable-tasks.ts
@@ -14,7 +14,7 @@
   restartController,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   tasksOnMachines,
   UNREACHABLE_MODES,
   watchPartitions,
@@ -30,7 +30,10 @@
  * started again until the machines have sent a heartbeat under the new token or their leases have expired.
  */
 export function unreachableTasks(seed: number): ScenarioRun {
-  const world = stage(seed, { controllers: 2 + (seed % 3), runFactor: 10 });
+  const world = setUp(seed, {
+    controllers: 2 + (seed % 3),
+    runFactor: 10,
+  });
   const occurred = new Occurrences(
     UNREACHABLE_MODES.flatMap((mode) =>
       NEW_LEADER_KINDS.map((l) => `${mode}, ${l}`),
--- a/test/scenarios/zone-failures.ts
+++ b/test/scenarios/zone-failures.ts
@@ -6,7 +6,7 @@
   plainJob,
   runToEnd,
   type ScenarioRun,
-  stage,
+  setUp,
   tasksOnMachines,
 } from "./stage.js";
 
@@ -26,13 +26,17 @@
   seed: number,
   checksInvariants = true,
 ): ScenarioRun {
-  const world = stage(seed, { controllers: 3, runFactor: 6, capacity: 5 });
+  const world = setUp(seed, {
+    controllers: 3,
+    runFactor: 6,
+    capacity: 5,
+  });
   world.checker.invariants = checksInvariants;
   const occurred = new Occurrences(COMBINATIONS);
   const shapeByAffectedJob = new Map<string, string>();
   loseMachines(world, shapeByAffectedJob);
   cutZones(world, occurred);
-  world.checker.onTold = (id, status) => {
+  world.checker.onStateTold = (id, status) => {
     const shape = shapeByAffectedJob.get(id);
     if (status === "done" && shape !== undefined)
       occurred.note(`${shape} restricted to a zone lost a machine and is done`);
@@ -89,7 +93,7 @@
       case 1:
         return machine.restart(rng.real(50, 800));
       case 2:
-        return machine.taken();
+        return machine.reclaim();
     }
   });
 }
@@ -116,7 +120,7 @@
           );
       });
       for (const { task } of tasksInZone)
-        if (rng.chance(0.5) && !world.checker.asked.has(task.job))
+        if (rng.chance(0.5) && !world.checker.cancelRequests.has(task.job))
           world.at(rng.real(500, 5_000), () => cancel(world, task.job));
     });
 }
@@ -126,7 +130,7 @@
     if (
       task.job === id &&
       controllerZones(world).includes(machine.zone) &&
-      world.apart(machine.zone, null)
+      world.isCutApart(machine.zone, null)
     )
       return true;
   return false;
--- a/test/simulation/checker.test.ts
+++ b/test/simulation/checker.test.ts
@@ -10,7 +10,7 @@
 import {
   plainJob,
   runToEnd,
-  stage,
+  setUp,
   tasksOnMachines,
 } from "../scenarios/stage.js";
 import { cancel, malformedRequest, submitWorkload } from "./workloads.js";
@@ -22,7 +22,7 @@
 
 /** A workload without injected faults: two controllers and some jobs. */
 function runQuietWorkload(prepare: (world: World) => void = () => {}): World {
-  const world = stage(4, { controllers: 2, runFactor: 8 });
+  const world = setUp(4, { controllers: 2, runFactor: 8 });
   prepare(world);
   submitWorkload(world, LAST_JOB_MS, plainJob);
   runToEnd(world, LAST_JOB_MS + 10_000);
@@ -48,15 +48,15 @@
 
 const assertBroken = (world: World, rule: string): void =>
   assert.ok(
-    world.checker.broken.some((b) => b.startsWith(rule)),
-    `${rule}: ${world.checker.broken.join("; ")}`,
+    world.checker.brokenRules.some((b) => b.startsWith(rule)),
+    `${rule}: ${world.checker.brokenRules.join("; ")}`,
   );
 
 test("a workload without faults passes every check", () => {
   const world = runQuietWorkload((w) =>
     w.every(1_000, () => malformedRequest(w, w.starts)),
   );
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
 });
 
 test("the checker detects an accepted job that can't run", () => {
@@ -109,7 +109,7 @@
 }
 
 test("the checker detects a cancelled task that goes on after its machine hung", () => {
-  assert.deepEqual(runHangWorkload().checker.broken, []);
+  assert.deepEqual(runHangWorkload().checker.brokenRules, []);
   type WithCommands = { commandsFor(worker: unknown): { op: string }[] };
   const { commandsFor } = PartitionLeader.prototype as unknown as WithCommands;
   const noStops = function (this: unknown, worker: never): unknown {
@@ -126,7 +126,7 @@
     world.checker.startsAfterCancelled;
   const workload = (): World =>
     runQuietWorkload((world) => {
-      world.checker.onTold = (id, status) => {
+      world.checker.onStateTold = (id, status) => {
         if (status === "accepted") world.at(300, () => cancel(world, id));
       };
     });
--- a/test/simulation/checker.ts
+++ b/test/simulation/checker.ts
@@ -54,18 +54,18 @@
 
 /** Checks PROTOCOL's rules against what the simulated workers do and what users are answered. */
 export class Checker {
-  readonly broken: string[] = [];
+  readonly brokenRules: string[] = [];
   /** Whether the invariants behind the rules are checked too; tests turn this off to show that the rules themselves detect a fault. */
   invariants = true;
   /** The state of each job that users were last told. */
-  readonly told = new Map<string, "accepted" | "done" | "cancelled">();
+  readonly toldStates = new Map<string, "accepted" | "done" | "cancelled">();
   /** When the cancellation of a job was first confirmed to a user. */
   private readonly cancelledMs = new Map<string, number>();
 
   constructor(private readonly world: CheckedWorld) {}
 
   fail(rule: string, details: string): void {
-    this.broken.push(
+    this.brokenRules.push(
       `${rule} at ${(this.world.now / 1000).toFixed(3)} s: ${details}`,
     );
   }
@@ -80,7 +80,7 @@
     for (const machine of this.world.workers)
       if (!machine.gone)
         for (const task of machine.tasks.values())
-          if (machine.onMachine(task))
+          if (machine.occupiesMachine(task))
             yield {
               machine,
               job: task.job,
@@ -91,7 +91,7 @@
   }
 
   /** Called when a machine has fetched the image of a task and the task starts there. */
-  begins(machine: SimWorker, job: string, index: number): void {
+  noteTaskStart(machine: SimWorker, job: string, index: number): void {
     this.world.starts++;
     const spec = this.world.specs.get(job)!;
     const used = { cpus: spec.cpus, gpus: spec.gpus };
@@ -320,7 +320,7 @@
     status: "queued" | "running" | "done" | "cancelled",
     askedMs: number,
   ): void {
-    const lastTold = this.told.get(id);
+    const lastTold = this.toldStates.get(id);
     const toldBeforeAsking =
       lastTold !== undefined && (this.toldAtMs.get(id) ?? 0) < askedMs
         ? lastTold
@@ -337,7 +337,7 @@
     const jobAndDependencies = [...this.withDependencies(id)];
     if (
       status === "cancelled" &&
-      !jobAndDependencies.some((x) => this.asked.has(x))
+      !jobAndDependencies.some((x) => this.cancelRequests.has(x))
     )
       this.fail("went_back", `${id} was never cancelled`);
     if (newlyTold === "accepted")
@@ -359,18 +359,18 @@
       return;
     }
     if (lastTold !== newlyTold) this.toldAtMs.set(id, this.world.now);
-    this.told.set(id, newlyTold);
-    if (lastTold !== newlyTold) this.onTold?.(id, newlyTold);
+    this.toldStates.set(id, newlyTold);
+    if (lastTold !== newlyTold) this.onStateTold?.(id, newlyTold);
   }
   /** Called when users are told for the first time that a job is accepted, done or cancelled. */
-  onTold:
+  onStateTold:
     ((id: string, status: "accepted" | "done" | "cancelled") => void) | null =
     null;
   /** When a query about a job was last answered. */
   readonly lastAnsweredMs = new Map<string, number>();
   /** Called 75 s after `sinceMs`, when the last injected fault is over: a job with no answered query since then is forgotten. */
-  remembers(sinceMs: number): void {
-    for (const [id, told] of this.told)
+  checkNoneForgotten(sinceMs: number): void {
+    for (const [id, told] of this.toldStates)
       if (
         told !== "cancelled" &&
         (this.lastAnsweredMs.get(id) ?? -1) < sinceMs &&
@@ -387,7 +387,7 @@
    * Called every second once all injected faults are over: no job may wait for 90 s while suitable machines have room for one of
    * its tasks (for all tasks of a gang) and its team is under its limit.
    */
-  nobodyLeft(): void {
+  checkNoneLeftWaiting(): void {
     const liveTasks = new Map<string, number>();
     const usedByTeam = new Map<string, { cpus: number; gpus: number }>();
     const freeResources = new Map<SimWorker, { cpus: number; gpus: number }>();
@@ -414,11 +414,11 @@
       }
       freeResources.set(machine, available);
     }
-    for (const [id, told] of this.told) {
+    for (const [id, told] of this.toldStates) {
       const spec = this.world.specs.get(id)!;
       const isWaiting =
         told === "accepted" &&
-        !this.asked.has(id) &&
+        !this.cancelRequests.has(id) &&
         !liveTasks.has(id) &&
         !this.isDone(id) &&
         (this.world.dependsOn.get(id) ?? []).every((x) => this.isDone(x));
@@ -481,7 +481,7 @@
   }
   /** Accepted jobs that users were not yet told to be done or cancelled, except services. */
   unfinished(): string[] {
-    return [...this.told]
+    return [...this.toldStates]
       .filter(
         ([id, s]) =>
           s === "accepted" && this.world.specs.get(id)!.kind !== "service",
@@ -491,10 +491,10 @@
   private isPolledWithoutAnswer(id: string): boolean {
     return this.world.polled.has(id) && !this.lastAnsweredMs.has(id);
   }
-  /** When the state in `told` was first reported. */
+  /** When the state in `toldStates` was first reported. */
   private readonly toldAtMs = new Map<string, number>();
   /** Jobs that a user has asked to cancel. */
-  readonly asked = new Set<string>();
+  readonly cancelRequests = new Set<string>();
   refused(id: string, status: number, askedMs: number): void {
     if ((this.toldAtMs.get(id) ?? Infinity) < askedMs)
       this.fail("forgotten", `${id} got ${status}`);
--- a/test/simulation/cloud.ts
+++ b/test/simulation/cloud.ts
@@ -72,7 +72,7 @@
       }
       case "return":
         for (const id of call.machines) {
-          this.rented.get(id)?.taken();
+          this.rented.get(id)?.reclaim();
           this.rented.delete(id);
         }
         return { kind: "returned" };
--- a/test/simulation/failure-scenarios.test.ts
+++ b/test/simulation/failure-scenarios.test.ts
@@ -20,7 +20,7 @@
   for (let seed = 0; seed < 12; seed++) {
     const world = playFailureScenario(seed);
     assert.deepEqual(
-      world.checker.broken,
+      world.checker.brokenRules,
       [],
       `seed ${seed}: ${describeWorkload(world)}`,
     );
@@ -162,7 +162,7 @@
   world.run(19_000);
   const before = world.workers.length;
   world.run(80_000);
-  assert.deepEqual(world.checker.broken, [], describeWorkload(world));
+  assert.deepEqual(world.checker.brokenRules, [], describeWorkload(world));
   const startsBetween = (fromS: number, toS: number): number =>
     world.logs.filter(
       (line) =>
@@ -206,7 +206,7 @@
   failingJobs.forEach((s, n) => submit(world, 4_000 + n * 50, s));
   goodJobs.forEach((s, n) => submit(world, 6_000 + n * 1_500, s));
   world.run(90_000);
-  assert.deepEqual(world.checker.broken, [], describeWorkload(world));
+  assert.deepEqual(world.checker.brokenRules, [], describeWorkload(world));
   for (const s of goodJobs)
     assert.ok(isDone(world, s), `${s.id}\n${describeWorkload(world)}`);
   assert.equal(
@@ -266,7 +266,7 @@
       startedMs = world.now;
   };
   world.run(320_000);
-  assert.deepEqual(world.checker.broken, [], describeWorkload(world));
+  assert.deepEqual(world.checker.brokenRules, [], describeWorkload(world));
   return (startedMs - 20_000) / 1000;
 }
 
@@ -302,7 +302,7 @@
             queue.add({ id }, round);
           }
           for (const { id } of queue.take()) {
-            queue.answered(id);
+            queue.noteAnswered(id);
             waitingSinceRound.delete(id);
           }
           for (const [id, from] of waitingSinceRound)
@@ -408,7 +408,7 @@
     world.crash("node-c");
     world.bootAll();
     world.run(120_000);
-    assert.deepEqual(world.checker.broken, [], describeWorkload(world));
+    assert.deepEqual(world.checker.brokenRules, [], describeWorkload(world));
     assert.ok(
       world.logs.some((l) =>
         l.includes("reassigning tasks of removed partition"),
--- a/test/simulation/fault-combinations-extended.test.ts
+++ b/test/simulation/fault-combinations-extended.test.ts
@@ -27,7 +27,7 @@
       drawExtendedFaults(seed),
     );
     assert.deepEqual(
-      world.checker.broken,
+      world.checker.brokenRules,
       [],
       `seed ${seed}, ${JSON.stringify(drawExtendedFaults(seed))}: ${describeWorkload(world)}`,
     );
@@ -56,7 +56,7 @@
   for (const seed of [3, 6, 23, 39, 57, 72]) {
     const world = lossyWorkload(seed);
     assert.deepEqual(
-      world.checker.broken,
+      world.checker.brokenRules,
       [],
       `seed ${seed}, ${JSON.stringify(drawBasicFaults(seed))}: ${describeWorkload(world)}`,
     );
@@ -73,7 +73,7 @@
   for (const seed of [235, 480]) {
     const world = extendedWorkload(seed);
     assert.deepEqual(
-      world.checker.broken,
+      world.checker.brokenRules,
       [],
       `seed ${seed}: ${describeWorkload(world)}`,
     );
@@ -84,7 +84,7 @@
 // another partition waited beside machines with room.
 test("small work of a team that is under its limit does not wait 90 s behind larger work of the same team", () => {
   const world = extendedWorkload(229);
-  assert.deepEqual(world.checker.broken, [], describeWorkload(world));
+  assert.deepEqual(world.checker.brokenRules, [], describeWorkload(world));
 });
 
 // Failure: the part of a gang in the partition of a removed controller was never reclaimed, so that the rest of the gang waited forever.
@@ -95,7 +95,7 @@
     [lossyExtendedWorkload(137), 137],
   ] as const)
     assert.deepEqual(
-      world.checker.broken,
+      world.checker.brokenRules,
       [],
       `seed ${seed}: ${describeWorkload(world)}`,
     );
--- a/test/simulation/fault-combinations.test.ts
+++ b/test/simulation/fault-combinations.test.ts
@@ -19,7 +19,7 @@
 import {
   expectGuardNeeded,
   describeWorkload,
-  withoutTakeoverFence,
+  withoutFailoverFence,
   withoutPinnedStarts,
   withoutReadBeforeAnswer,
 } from "./guards.js";
@@ -51,7 +51,7 @@
   for (let seed = 0; seed < 14; seed++) {
     const { world, occurred: counts } = playCancellationGap(seed);
     assert.deepEqual(
-      world.checker.broken,
+      world.checker.brokenRules,
       [],
       `seed ${seed}: ${describeWorkload(world)}`,
     );
@@ -167,14 +167,14 @@
   assert.ok(
     world.logs.some((l) =>
       /node-[bc] partition acquired .*"partition":"node-a"/.test(l),
-    ) || world.checker.broken.length > 0,
+    ) || world.checker.brokenRules.length > 0,
     "a peer takes the partition over",
   );
   return world;
 }
 test("guard: the leadership lease counts from the last renewal as well as from the last read: no partition has two leaders", () => {
   const world = withDelayedRenewals();
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
   const expiryLines = world.logs.filter((l) =>
     l.includes("node-a leadership lease expired"),
   );
@@ -189,7 +189,10 @@
   assert.ok(renewalAgeMs! > ttlMs! - 500 && readAgeMs! < 6_000, expiryLines[0]);
   const restore = withLeaseCountedFrom((o) => o.readMs)();
   try {
-    assert.match(withDelayedRenewals().checker.broken.join(), /two_masters/);
+    assert.match(
+      withDelayedRenewals().checker.brokenRules.join(),
+      /two_masters/,
+    );
   } finally {
     restore();
   }
@@ -520,7 +523,7 @@
   for (let seed = 0; seed < 14; seed++) {
     const { world, occurred: counts } = playBasic(seed, drawBasicFaults(seed));
     assert.deepEqual(
-      world.checker.broken,
+      world.checker.brokenRules,
       [],
       `seed ${seed}, ${JSON.stringify(drawBasicFaults(seed))}: ${describeWorkload(world)}`,
     );
@@ -531,7 +534,7 @@
 });
 
 test("guard: tasks that a former leader may have started are counted until their machines send a heartbeat or their leases expire", () => {
-  expectGuardNeeded(drawnWorkload, [11, 15], "ran_twice", withoutTakeoverFence);
+  expectGuardNeeded(drawnWorkload, [11, 15], "ran_twice", withoutFailoverFence);
 });
 test("guard: a start command without a reply pins its task, since the command may still be applied", () => {
   expectGuardNeeded(drawnWorkload, [2, 4], "quota", withoutPinnedStarts);
--- a/test/simulation/fault-combinations.ts
+++ b/test/simulation/fault-combinations.ts
@@ -162,7 +162,7 @@
 }
 
 const hasTasks = (m: SimWorker): boolean =>
-  !m.gone && [...m.tasks.values()].some((t) => m.onMachine(t));
+  !m.gone && [...m.tasks.values()].some((t) => m.occupiesMachine(t));
 
 function inject(
   w: World,
@@ -200,8 +200,8 @@
       w.stateLatencyMs = 3_000 * f.share;
       return whenOver(() => (w.stateLatencyMs = 0));
     case "lateWrites":
-      w.lateWrites = f.share;
-      return whenOver(() => (w.lateWrites = 0));
+      w.lateCommitRate = f.share;
+      return whenOver(() => (w.lateCommitRate = 0));
     case "copies":
       w.duplicatedHeartbeatRate = f.share;
       return whenOver(() => (w.duplicatedHeartbeatRate = 0));
@@ -254,13 +254,13 @@
       return whenOver(() => machines.forEach((m) => (m.isMute = false)));
     }
     case "lostAnswers":
-      w.lostAnswers = f.share;
-      return whenOver(() => (w.lostAnswers = 0));
+      w.lostCommitReplyRate = f.share;
+      return whenOver(() => (w.lostCommitReplyRate = 0));
     case "forNext":
       w.keptHeartbeatRate = f.share;
       return whenOver(() => (w.keptHeartbeatRate = 0));
     case "atEnd":
-      w.jobEnded = (id) => {
+      w.onJobEnded = (id) => {
         if (!r.chance(f.share)) return;
         counts.requestsAtJobEnd++;
         const action = r.int(0, 2);
@@ -272,15 +272,15 @@
               : submit(w, w.specs.get(id)!, -1e9),
         );
       };
-      return whenOver(() => (w.jobEnded = null));
+      return whenOver(() => (w.onJobEnded = null));
     case "concurrentQueries":
-      w.checker.onTold = (id, status) => {
+      w.checker.onStateTold = (id, status) => {
         counts.concurrentQueries++;
         askAllControllers(w, id);
         if (status === "accepted" && r.chance(0.2))
           w.at(r.real(0, 100), () => cancel(w, id));
       };
-      return whenOver(() => (w.checker.onTold = null));
+      return whenOver(() => (w.checker.onStateTold = null));
     case "malformedRequests":
       for (let n = 0; n * 400 < f.forMs; n++)
         w.at(n * 400, () => {
@@ -318,7 +318,7 @@
           if (r.chance(0.25))
             w.at(
               r.real(0, 8_000),
-              () => w.checker.told.has(spec.id) && cancel(w, spec.id),
+              () => w.checker.toldStates.has(spec.id) && cancel(w, spec.id),
             );
         });
       return;
@@ -359,7 +359,7 @@
       w.queryRate = 8;
       return whenOver(() => (w.queryRate = 1));
     case "cancel":
-      for (const [id, told] of [...w.checker.told])
+      for (const [id, told] of [...w.checker.toldStates])
         if (told === "accepted" && r.chance(f.share))
           w.at(r.real(0, f.forMs), () => cancel(w, id));
   }
@@ -427,7 +427,7 @@
             (spec) =>
               spec.kind === "array" &&
               spec.tasks > 1 &&
-              world.checker.told.get(spec.id) === "accepted" &&
+              world.checker.toldStates.get(spec.id) === "accepted" &&
               world.results.has(`${spec.id}/0`) !==
                 world.results.has(`${spec.id}/1`),
           )
@@ -452,7 +452,7 @@
     }
     countedCancellations = cancellations;
     const isAllDown = world.names.every(
-      (n) => !world.nodes.get(n) || world.nodes.get(n)!.still,
+      (n) => !world.nodes.get(n) || world.nodes.get(n)!.pausedWork,
     );
     if (!isAllDown) allDownSinceMs = world.now;
     if (
@@ -493,7 +493,7 @@
   const counts = zeroCounts();
   world.capacity = 6;
   world.runFactor = runFactor;
-  world.carries = true;
+  world.relaysStoreCalls = true;
   for (const z of world.zones)
     for (let i = 0; i < 3; i++) world.cloud.add(world.types[0]!, z, false, 0);
   countCombinations(world, counts);
@@ -519,7 +519,7 @@
   for (const fault of faults)
     world.at(fault.atMs, () => inject(world, fault, counts));
   world.at(FAULTS_END_MS + 80_000, () =>
-    world.checker.remembers(FAULTS_END_MS + 5_000),
+    world.checker.checkNoneForgotten(FAULTS_END_MS + 5_000),
   );
   world.run(FAULTS_END_MS + 85_000);
   return { world, occurred: counts };
@@ -550,7 +550,7 @@
   }
   const seenCancellations = new Set<string>();
   world.every(250, () => {
-    for (const [id, told] of world.checker.told) {
+    for (const [id, told] of world.checker.toldStates) {
       if (told !== "cancelled" || seenCancellations.has(id)) continue;
       seenCancellations.add(id);
       const { team } = world.specs.get(id)!;
@@ -601,10 +601,10 @@
   for (const fault of faults)
     world.at(fault.atMs, () => inject(world, fault, counts));
   world.at(FAULTS_END_MS, () =>
-    world.every(1_000, () => world.checker.nobodyLeft()),
+    world.every(1_000, () => world.checker.checkNoneLeftWaiting()),
   );
   world.at(FAULTS_END_MS + 80_000, () =>
-    world.checker.remembers(FAULTS_END_MS + 5_000),
+    world.checker.checkNoneForgotten(FAULTS_END_MS + 5_000),
   );
   world.run(FAULTS_END_MS + 110_000);
   return { world, occurred: counts };
@@ -683,7 +683,7 @@
   let remaining = [...faults];
   for (let i = 0; i < remaining.length;) {
     const fewer = remaining.filter((_, k) => k !== i);
-    if (runFaults(seed, fewer).world.checker.broken.length > 0)
+    if (runFaults(seed, fewer).world.checker.brokenRules.length > 0)
       remaining = fewer;
     else i++;
   }
@@ -771,7 +771,7 @@
     refusalMs += untilOutageMs + downMs + rng.real(6_000, 14_000);
   }
   world.at(refusalMs + 80_000, () =>
-    world.checker.remembers(refusalMs + 5_000),
+    world.checker.checkNoneForgotten(refusalMs + 5_000),
   );
   world.run(refusalMs + 85_000);
   return { world, occurred: counts };
--- a/test/simulation/guards.ts
+++ b/test/simulation/guards.ts
@@ -17,7 +17,7 @@
 
 /** The broken rules of a workload and the last 20 lines of its log. */
 export const describeWorkload = (world: World): string =>
-  `${world.checker.broken.join("; ")}\n${world.logs.slice(-20).join("\n")}`;
+  `${world.checker.brokenRules.join("; ")}\n${world.logs.slice(-20).join("\n")}`;
 
 /** Switches a guard off and expects the checker to find `rule` broken in the workload of at least one of these seeds. */
 export function expectGuardNeeded(
@@ -30,7 +30,9 @@
   const restoreCount = rule === UNCOUNTED ? () => {} : withoutCountCheck();
   try {
     for (const seed of seeds)
-      if (workload(seed).checker.broken.some((text) => text.startsWith(rule)))
+      if (
+        workload(seed).checker.brokenRules.some((text) => text.startsWith(rule))
+      )
         return;
   } finally {
     restoreCount();
@@ -50,7 +52,7 @@
 }
 
 /** Switches off the failover fence: a new leader starts tasks that machines of the former leader may still run. */
-export function withoutTakeoverFence(): () => void {
+export function withoutFailoverFence(): () => void {
   const original = PartitionState.prototype.mayStart;
   PartitionState.prototype.mayStart = (job) =>
     !job.isOver && !job.waiting.isEmpty;
--- a/test/simulation/hunt.ts
+++ b/test/simulation/hunt.ts
@@ -40,7 +40,7 @@
   world.at(world.rng.real(75_000, 110_000), () => (world.limitsFell = true));
   pipelines(world, 75_000, 170_000);
   injectFaults(world, 190_000);
-  world.at(275_000, () => world.checker.remembers(200_000));
+  world.at(275_000, () => world.checker.checkNoneForgotten(200_000));
   world.run(330_000);
   return { world, comesToRest: true };
 }
@@ -108,9 +108,9 @@
     }
     const open = checker.unfinished();
     const isOpen = workload.comesToRest === true && open.length > MOST_OPEN;
-    if (checker.broken.length === 0 && !isOpen) continue;
-    console.log(seed, checker.broken, { open, starts });
-    if (checker.broken.length > 0 && workload.minimalFaults)
+    if (checker.brokenRules.length === 0 && !isOpen) continue;
+    console.log(seed, checker.brokenRules, { open, starts });
+    if (checker.brokenRules.length > 0 && workload.minimalFaults)
       console.log(
         seed,
         "fewest injected faults:",
--- a/test/simulation/machine.ts
+++ b/test/simulation/machine.ts
@@ -51,7 +51,7 @@
   readonly results: Set<string>;
   readonly keptHeartbeats: Heartbeat[];
   readonly onHeartbeat: readonly ((heartbeat: Heartbeat) => void)[];
-  readonly jobEnded: ((id: string) => void) | null;
+  readonly onJobEnded: ((id: string) => void) | null;
   readonly commandHold:
     | ((
         name: string,
@@ -64,7 +64,7 @@
     | ((machine: SimWorker, heartbeat: Heartbeat) => HeartbeatHold | undefined)
     | null;
   readonly checker: {
-    begins(machine: SimWorker, job: string, index: number): void;
+    noteTaskStart(machine: SimWorker, job: string, index: number): void;
     isDone(job: string): boolean;
   };
   retransmissionMs(): number;
@@ -72,7 +72,7 @@
   lateCommands: number;
   commandsToMuteMachines: number;
   at(delayMs: number, fn: () => void): void;
-  apart(a: string | null, b: string | null): boolean;
+  isCutApart(a: string | null, b: string | null): boolean;
   zoneOf(name: string): string;
   note(event: string, fields?: Record<string, unknown>): void;
   heartbeat(
@@ -133,10 +133,11 @@
   }
   private isCut(node: string): boolean {
     return (
-      this.cut.has(node) || this.world.apart(this.zone, this.world.zoneOf(node))
+      this.cut.has(node) ||
+      this.world.isCutApart(this.zone, this.world.zoneOf(node))
     );
   }
-  onMachine(task: SimTask): boolean {
+  occupiesMachine(task: SimTask): boolean {
     return (
       task.state === "waiting" ||
       task.state === "running" ||
@@ -493,7 +494,7 @@
     if (!this.holdsTask(task) || task.state !== "fetching") return;
     if (this.hung) return this.world.at(300, () => this.hasImage(task, spec));
     this.images.add(spec.image);
-    this.world.checker.begins(this, task.job, task.index);
+    this.world.checker.noteTaskStart(this, task.job, task.index);
     if (this.world.results.has(`${task.job}/${task.index}`)) {
       task.state = "running";
       return this.exit(task, "done");
@@ -535,8 +536,8 @@
       if (spec.kind === "gang")
         this.world.gangDone(task.job, task.attempt, spec);
       else this.exit(task, "done");
-      if (this.world.jobEnded && this.world.checker.isDone(task.job))
-        this.world.jobEnded(task.job);
+      if (this.world.onJobEnded && this.world.checker.isDone(task.job))
+        this.world.onJobEnded(task.job);
     });
   }
   exit(task: SimTask, cause: ExitCause, checkpointed = false): void {
@@ -550,7 +551,7 @@
     this.tasks.clear();
   }
   /** The cloud takes the machine back. */
-  taken(): void {
+  reclaim(): void {
     this.vanish();
     this.removedMs = this.world.now;
   }
--- a/test/simulation/quota-comparison.ts
+++ b/test/simulation/quota-comparison.ts
@@ -173,7 +173,7 @@
     writes: [...world.checker.writesByKind]
       .filter(([k]) => k !== "past")
       .reduce((n, [, x]) => n + x, 0),
-    brokenRules: world.checker.broken,
+    brokenRules: world.checker.brokenRules,
   };
 }
 
--- a/test/simulation/replay-seed.ts
+++ b/test/simulation/replay-seed.ts
@@ -5,4 +5,4 @@
 const world = playFailureScenario(Number(seed));
 for (const l of world.logs)
   if (!filter || new RegExp(filter).test(l)) console.log(l);
-console.log(world.checker.broken, world.starts);
+console.log(world.checker.brokenRules, world.starts);
--- a/test/simulation/rules.test.ts
+++ b/test/simulation/rules.test.ts
@@ -15,7 +15,7 @@
 } from "./workloads.js";
 import type { SimWorker } from "./machine.js";
 import { World } from "./world.js";
-import { withoutCountCheck, withoutTakeoverFence } from "./guards.js";
+import { withoutCountCheck, withoutFailoverFence } from "./guards.js";
 
 const WORKLOAD_MS = 240_000;
 
@@ -29,12 +29,12 @@
 }
 
 const describeSeed = (world: World, seed: number): string =>
-  `seed ${seed}: ${world.checker.broken.join("; ")}\n${world.logs.slice(-30).join("\n")}`;
+  `seed ${seed}: ${world.checker.brokenRules.join("; ")}\n${world.logs.slice(-30).join("\n")}`;
 
 test("a workload without faults keeps the rules and finishes all jobs", () => {
   for (let seed = 1; seed <= 4; seed++) {
     const world = runWorkload(seed, false);
-    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, seed));
     const unfinished = world.checker.unfinished();
     assert.ok(world.starts > 100, `only ${world.starts} starts`);
     assert.deepEqual(
@@ -49,7 +49,7 @@
   let starts = 0;
   for (let seed = 100; seed < 125; seed++) {
     const world = runWorkload(seed, true);
-    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, seed));
     starts += world.starts;
   }
   assert.ok(starts > 2_000, `only ${starts} starts`);
@@ -86,7 +86,7 @@
     submitWorkload(world, 80_000, largeJob);
     injectFaults(world, 90_000);
     world.run(120_000);
-    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, seed));
     assert.ok(world.starts > 300, `only ${world.starts} starts`);
     // The capacity report covers all machines, not only the first forty. The checker verifies that the stored report fits the limits.
     for (const node of world.nodes.values())
@@ -128,7 +128,7 @@
   let expiredLeases = 0;
   for (let seed = 520; seed < 544; seed++) {
     const world = withPausesAndZoneCuts(seed);
-    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, seed));
     starts += world.starts;
     expiredLeases += world.logs.filter((l) =>
       l.includes("store lease expired"),
@@ -153,7 +153,7 @@
     injectFaults(world, 70_000);
     injectLargeFaults(world, 80_000);
     world.run(110_000);
-    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, seed));
     starts += world.starts;
   }
   assert.ok(starts > 500, `only ${starts} starts`);
@@ -302,7 +302,7 @@
     ),
   );
   world.run(200_000);
-  assert.deepEqual(world.checker.broken, [], describeSeed(world, 13));
+  assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, 13));
   assert.ok(
     endedMs > 20_000 && reportedDoneMs > 0 && reportedDoneMs < endedMs + 3_000,
     `ended ${endedMs}, reported ${reportedDoneMs}`,
@@ -353,7 +353,7 @@
       world.at(at + 6_000, () => world.nodes.get(node) ?? world.boot(node));
     }
     world.run(150_000);
-    assert.deepEqual(world.checker.broken, [], describeSeed(world, seed));
+    assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, seed));
     for (const [id, spec] of world.specs)
       for (let i = 0; i < spec.tasks; i++)
         assert.ok(
@@ -416,7 +416,9 @@
   try {
     for (let seed = 200; seed < 240; seed++)
       if (
-        runWorkload(seed, true).checker.broken.some((b) => b.startsWith(rule))
+        runWorkload(seed, true).checker.brokenRules.some((b) =>
+          b.startsWith(rule),
+        )
       )
         return;
   } finally {
@@ -473,7 +475,7 @@
   assert.ok(transfers() <= 40, `transferred ${transfers()} times`);
   world.capacity = 3;
   world.run(140_000);
-  assert.deepEqual(world.checker.broken, [], describeSeed(world, 21));
+  assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, 21));
   for (const id of ["req-000001", "req-000002"])
     for (let i = 0; i < 3; i++)
       assert.ok(
@@ -519,7 +521,7 @@
     });
   const reportMemory = (atMs: number, short: boolean): void =>
     world.at(atMs, () =>
-      world.feed("node-a", world.nodes.get("node-a")!.life, {
+      world.feed("node-a", world.nodes.get("node-a")!.processNumber, {
         type: "memory",
         short,
       }),
@@ -549,7 +551,7 @@
 });
 
 test("the checker detects a leader without a failover fence", () => {
-  expectDetected("ran_twice", withoutTakeoverFence);
+  expectDetected("ran_twice", withoutFailoverFence);
 });
 
 test("the checker detects quota shares that ignore the other partitions", () => {
@@ -591,7 +593,7 @@
   world.at(15_000, () => world.stateCut.set("node-a", "refused"));
   world.at(16_000, () => {
     assert.ok(world.starts > 0, "the job runs");
-    world.checker.asked.add(spec.id);
+    world.checker.cancelRequests.add(spec.id);
     world.ask(
       "node-b",
       (reqId) => ({ type: "cancel", reqId, id: spec.id }),
@@ -602,13 +604,13 @@
   });
   world.at(75_000, () => world.stateCut.delete("node-a"));
   world.run(90_000);
-  assert.equal(world.checker.told.get(spec.id), "cancelled");
+  assert.equal(world.checker.toldStates.get(spec.id), "cancelled");
   return world;
 }
 
 test("a leader that can't read cancellations lets its leases expire in time", () => {
   const world = cancelWhileLeaderRefused();
-  assert.deepEqual(world.checker.broken, [], describeSeed(world, 7));
+  assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, 7));
 });
 
 test("the checker detects commands without a leadership lease", () => {
@@ -618,7 +620,7 @@
   Controller.prototype.maySend = () => true;
   try {
     assert.match(
-      cancelWhileLeaderRefused(false).checker.broken.join(),
+      cancelWhileLeaderRefused(false).checker.brokenRules.join(),
       /ran_cancelled/,
     );
   } finally {
@@ -654,7 +656,7 @@
   )!;
   const brokenRules = (invariants: boolean): string[] =>
     Array.from({ length: 12 }, (_, k) =>
-      withUnreachableStore(600 + k, invariants).checker.broken.join(),
+      withUnreachableStore(600 + k, invariants).checker.brokenRules.join(),
     ).filter((x) => x !== "");
   assert.deepEqual(brokenRules(true), []);
   Object.defineProperty(Leadership.prototype, "leadershipLeaseUntilMs", {
@@ -771,7 +773,7 @@
   world.run(19_000);
   assert.equal(world.starts, 2, "both replicas run");
   world.run(70_000);
-  assert.deepEqual(world.checker.broken, [], describeSeed(world, 9));
+  assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, 9));
   assert.ok(
     world.results.has(`${gang.id}/0`) && world.results.has(`${gang.id}/1`),
     world.logs.slice(-15).join("\n"),
@@ -811,7 +813,7 @@
     world.at(at + 1_000, () => world.boot("node-a"));
   }
   world.run(70_000);
-  assert.deepEqual(world.checker.broken, [], describeSeed(world, 11));
+  assert.deepEqual(world.checker.brokenRules, [], describeSeed(world, 11));
   const failovers = world.logs.filter(
     (l) => l.includes("failover complete") && l.includes("node-a"),
   );
@@ -859,7 +861,7 @@
   world.run(25_000);
   // The machine never came up, or a task is still fetching its image.
   if (machine.tasks.size === 0 || world.starts < 3) return null;
-  if (third === "taken") machine.taken();
+  if (third === "taken") machine.reclaim();
   else for (const n of world.names) machine.cut.add(n);
   world.crash("node-a");
   // A free machine, on which the third task would start if its machine were wrongly taken for lost.
@@ -886,11 +888,12 @@
   assert.ok(withList.length > 15);
   for (const { world, afterMs } of withList) {
     assert.ok(afterMs < 9_700, `${afterMs}`);
-    assert.deepEqual(world.checker.broken, []);
+    assert.deepEqual(world.checker.brokenRules, []);
   }
   const notListed = runFailovers("cut off, up for a second", true);
   assert.ok(notListed.length > 5);
-  for (const { world } of notListed) assert.deepEqual(world.checker.broken, []);
+  for (const { world } of notListed)
+    assert.deepEqual(world.checker.brokenRules, []);
   // Trusting a list that does not contain the machine yet starts its task twice.
   const prototype = PartitionState.prototype as unknown as {
     noteMachineList: (m: Map<string, unknown>, asOfMs: number) => void;
@@ -903,7 +906,7 @@
   try {
     assert.match(
       runFailovers("cut off, up for a second", true)
-        .map((x) => x.world.checker.broken.join())
+        .map((x) => x.world.checker.brokenRules.join())
         .join(),
       /ran_twice/,
     );
--- a/test/simulation/workloads.ts
+++ b/test/simulation/workloads.ts
@@ -99,7 +99,7 @@
     done(answer);
   };
   world.at(waitMs, () => finish(null));
-  if (world.apart(world.zoneOf(name), null)) return;
+  if (world.isCutApart(world.zoneOf(name), null)) return;
   world.ask(name, input, finish);
 }
 
@@ -145,7 +145,7 @@
     world.specs.set(spec.id, spec);
     world.dependsOn.set(spec.id, dependencies);
     const submitWhenAccepted = (): void => {
-      if (dependencies.some((x) => !world.checker.told.has(x)))
+      if (dependencies.some((x) => !world.checker.toldStates.has(x)))
         return world.at(300, submitWhenAccepted);
       submit(world, spec, world.now);
     };
@@ -180,7 +180,9 @@
         cancel(
           world,
           rng.pick(
-            jobIds.filter((x) => world.checker.told.has(x)).concat(first.id),
+            jobIds
+              .filter((x) => world.checker.toldStates.has(x))
+              .concat(first.id),
           ),
         ),
       );
@@ -232,7 +234,7 @@
     for (const isSubmission of [false, true])
       world.at(world.rng.real(0, 20), () => {
         const askedMs = world.now;
-        if (world.apart(world.zoneOf(name), null)) return;
+        if (world.isCutApart(world.zoneOf(name), null)) return;
         world.ask(
           name,
           (reqId) =>
@@ -254,10 +256,12 @@
 /** Cancels a job that is done, submits an accepted job again, and submits a job that must be rejected. */
 export function malformedRequest(world: World, requestNumber: number): void {
   const rng = world.rng;
-  const doneJobs = [...world.checker.told].filter(([, s]) => s === "done");
+  const doneJobs = [...world.checker.toldStates].filter(
+    ([, s]) => s === "done",
+  );
   if (doneJobs.length > 0 && rng.chance(0.5))
     cancel(world, rng.pick(doneJobs)[0]);
-  const acceptedJobs = [...world.checker.told].filter(
+  const acceptedJobs = [...world.checker.toldStates].filter(
     ([, s]) => s === "accepted",
   );
   if (acceptedJobs.length > 0)
@@ -280,7 +284,7 @@
   );
 }
 export function cancel(world: World, id: string): void {
-  world.checker.asked.add(id);
+  world.checker.cancelRequests.add(id);
   const askedMs = world.now;
   request(
     world,
@@ -345,7 +349,7 @@
         // Half of these machines fail and half are reclaimed without notice; in half of the cases a controller crashes right after.
         for (const machine of world.workers)
           if (machine.up && !machine.gone && rng.chance(0.15)) {
-            if (rng.chance(0.5)) machine.taken();
+            if (rng.chance(0.5)) machine.reclaim();
             else machine.vanish();
           }
         if (rng.chance(0.5)) {
@@ -438,7 +442,7 @@
           if (machine.spot && rng.chance(0.5)) {
             machine.noticeMs = world.now + 4_000;
             world.at(4_000, () =>
-              rng.chance(0.5) ? machine.taken() : machine.vanish(),
+              rng.chance(0.5) ? machine.reclaim() : machine.vanish(),
             );
           }
         break;
@@ -554,7 +558,7 @@
   submitWorkload(world, 150_000);
   injectScenarioFaults(world, 190_000);
   if (seed % 2 === 0) injectFaults(world, 190_000);
-  world.at(275_000, () => world.checker.remembers(200_000));
+  world.at(275_000, () => world.checker.checkNoneForgotten(200_000));
   world.run(330_000);
   return world;
 }
--- a/test/simulation/world.ts
+++ b/test/simulation/world.ts
@@ -36,9 +36,9 @@
 export type CommitCall = Extract<StateCall, { op: "commit" }>;
 /** What happens to a transaction: how long until the store applies it, whether it is answered, and how long the reply takes. */
 export interface CommitFate {
-  beforeMs: number;
+  applyAfterMs: number;
   answered: boolean;
-  afterMs?: number;
+  replyAfterMs?: number;
 }
 /** Commands travel in the answer to a heartbeat, or in a direct command to the worker. */
 type CommandChannel = "answer" | "command";
@@ -48,11 +48,11 @@
   core: Controller;
   startedMs: number;
   /** Number of the process, which tells it from its predecessors under the same name. */
-  life: number;
+  processNumber: number;
   /** Rate of its monotonic clock relative to simulated time. */
   drift: number;
   /** While the process is paused (its clocks keep running): its queued inputs and the effects of its last step; otherwise null. */
-  still: (() => void)[] | null;
+  pausedWork: (() => void)[] | null;
   /** If not 0, the process pauses for this long after its next step, before or after the lease check on that step's effects. */
   pauseNextMs: number;
   /** Since when its own calls to the state service have been refused or unanswered; null while they succeed. */
@@ -73,27 +73,27 @@
   /** Multiplies the boot time of machines. */
   bootFactor = 1;
   /** Fraction of the transactions that get no reply and are applied 2 to 12 s later, after newer ones. */
-  lateWrites = 0;
+  lateCommitRate = 0;
   /** Longest extra latency of a request to the state service; up to half of it passes before the request is applied. */
   stateLatencyMs = 0;
   /** Multiplies the run time of tasks. */
   runFactor = 1;
   /** Whether a peer relays the calls of a controller that alone can't reach the state service. */
-  carries = false;
+  relaysStoreCalls = false;
   /** Calls to the state service that a peer relayed. */
   relayedCalls = 0;
-  /** Transactions that were applied late (see `lateWrites`). */
+  /** Transactions that were applied late (see `lateCommitRate`). */
   lateCommits = 0;
   /** Fraction of the transactions that are applied at once but whose reply is lost. */
-  lostAnswers = 0;
-  /** Transactions whose reply was lost (see `lostAnswers`). */
+  lostCommitReplyRate = 0;
+  /** Transactions whose reply was lost (see `lostCommitReplyRate`). */
   lostCommitReplies = 0;
   /** Fraction of the heartbeats of which a copy is kept for replay to the partition's next leader. */
   keptHeartbeatRate = 0;
   /** The kept copies. */
   keptHeartbeats: Heartbeat[] = [];
   /** Called when the last task of a job completes. */
-  jobEnded: ((id: string) => void) | null = null;
+  onJobEnded: ((id: string) => void) | null = null;
   /** Direct commands applied by machines that could not connect to any controller. */
   commandsToMuteMachines = 0;
   /** Duplicated heartbeats that arrived late. */
@@ -311,7 +311,7 @@
       const event = this.events.take()!;
       this.now = event.atMs;
       event.run();
-      if (this.checker.broken.length > 0) return;
+      if (this.checker.brokenRules.length > 0) return;
     }
     this.now = untilMs;
   }
@@ -351,9 +351,9 @@
     const node: SimController = {
       core,
       startedMs: this.now,
-      life: ++this.processCount,
+      processNumber: ++this.processCount,
       drift,
-      still: null,
+      pausedWork: null,
       pauseNextMs: 0,
       failingSinceMs: null,
       lastProbeMs: 0,
@@ -361,13 +361,13 @@
     this.nodes.set(name, node);
     const tick = (): void => {
       if (this.nodes.get(name) !== node) return;
-      this.feed(name, node.life, { type: "tick" });
+      this.feed(name, node.processNumber, { type: "tick" });
       this.at(200, tick);
     };
     tick();
     const sendPeers = (): void => {
       if (this.nodes.get(name) !== node) return;
-      this.feed(name, node.life, {
+      this.feed(name, node.processNumber, {
         type: "peers",
         up: this.names.filter(
           (n) => n !== name && this.nodes.get(n) && !this.isMeshCut(n, name),
@@ -395,13 +395,17 @@
   /** Pauses a controller's process for this long after its next step. */
   freeze(name: string, forMs: number): void {
     const node = this.nodes.get(name);
-    if (node && !node.still) node.pauseNextMs = forMs;
+    if (node && !node.pausedWork) node.pauseNextMs = forMs;
   }
   private thaw(node: SimController): void {
     // Queued work is handled in order and at once, before the process accepts new input.
-    for (let next = node.still?.shift(); next; next = node.still?.shift())
+    for (
+      let next = node.pausedWork?.shift();
+      next;
+      next = node.pausedWork?.shift()
+    )
       next();
-    node.still = null;
+    node.pausedWork = null;
   }
 
   /** A controller's monotonic clock, in ms. */
@@ -418,7 +422,7 @@
     this.at(forMs, () => this.cutZones.delete(zone));
   }
   /** Whether no packet passes between these two zones; null stands for users, cloud and state service, which are in no zone. */
-  apart(fromZone: string | null, toZone: string | null): boolean {
+  isCutApart(fromZone: string | null, toZone: string | null): boolean {
     return (
       fromZone !== toZone &&
       ((fromZone !== null && this.cutZones.has(fromZone)) ||
@@ -444,7 +448,7 @@
     return (
       this.meshCuts.has(from) ||
       this.meshCuts.has(to) ||
-      this.apart(this.zoneOf(from), this.zoneOf(to))
+      this.isCutApart(this.zoneOf(from), this.zoneOf(to))
     );
   }
   /** Controllers cut off from all their peers. */
@@ -462,7 +466,7 @@
       (answer) => {
         this.notifyOnCommands(name, heartbeat, answer);
         if (answer?.kind !== "relay") return done(answer);
-        const processNumber = this.nodes.get(name)?.life ?? 0;
+        const processNumber = this.nodes.get(name)?.processNumber ?? 0;
         const fail = (): void => {
           this.feed(name, processNumber, {
             type: "leaderUnreachable",
@@ -519,14 +523,14 @@
     if (!node) return done(null);
     const reqId = ++this.lastReqId;
     this.pendingRequests.set(reqId, done);
-    this.feed(name, node.life, input(reqId));
+    this.feed(name, node.processNumber, input(reqId));
   }
 
   feed(name: string, processNumber: number, input: Input): void {
     const node = this.nodes.get(name);
-    if (!node || node.life !== processNumber) return;
-    if (node.still)
-      return void node.still.push(() => this.step(name, node, input));
+    if (!node || node.processNumber !== processNumber) return;
+    if (node.pausedWork)
+      return void node.pausedWork.push(() => this.step(name, node, input));
     this.step(name, node, input);
   }
   private step(name: string, node: SimController, input: Input): void {
@@ -545,7 +549,7 @@
             this.checker.checkLeaseOnSend(name, node.core, effect);
           this.carryOut(name, node, effect);
         } else if (effect.type === "workerCommand")
-          this.feed(name, node.life, {
+          this.feed(name, node.processNumber, {
             type: "commandReply",
             callId: effect.callId,
             reply: { kind: "refused" },
@@ -558,7 +562,7 @@
       }
     };
     if (node.pauseNextMs === 0) return sendEffects();
-    node.still = [sendEffects];
+    node.pausedWork = [sendEffects];
     this.at(node.pauseNextMs, () => this.thaw(node));
     node.pauseNextMs = 0;
   }
@@ -566,7 +570,7 @@
   /** The peer that relays a controller's calls to the state service, chosen as `StoreClient` does; null if it calls by itself. */
   private relayPeer(name: string, node: SimController): string | null {
     if (
-      !this.carries ||
+      !this.relaysStoreCalls ||
       node.failingSinceMs === null ||
       this.now - node.failingSinceMs < 1_200 ||
       this.production.has(name)
@@ -576,7 +580,7 @@
       (n) =>
         n !== name &&
         this.nodes.get(n)?.failingSinceMs === null &&
-        !this.nodes.get(n)!.still &&
+        !this.nodes.get(n)!.pausedWork &&
         !this.isMeshCut(name, n),
     );
     if (peer === undefined) return null;
@@ -612,20 +616,20 @@
       cut === "held" ||
       (cut === "writes" && isWrite) ||
       (cut === "reads" && !isWrite) ||
-      this.apart(this.zoneOf(name), null) ||
+      this.isCutApart(this.zoneOf(name), null) ||
       this.rng.chance(this.loss / 4);
     const isLate =
       call.op === "commit" &&
-      this.lateWrites > 0 &&
-      this.rng.chance(this.lateWrites);
+      this.lateCommitRate > 0 &&
+      this.rng.chance(this.lateCommitRate);
     const isReplyLost =
       call.op === "commit" &&
-      this.lostAnswers > 0 &&
-      this.rng.chance(this.lostAnswers);
+      this.lostCommitReplyRate > 0 &&
+      this.rng.chance(this.lostCommitReplyRate);
     const fate =
       call.op === "commit" ? this.commitFate?.(name, call) : undefined;
     const delayMs = fate
-      ? fate.beforeMs
+      ? fate.applyAfterMs
       : isHeld
         ? this.rng.real(1_600, 60_000)
         : isLate
@@ -646,7 +650,7 @@
             notify(name, call, reply.epoch);
         if (fate)
           return fate.answered
-            ? this.at(fate.afterMs ?? 1, () => finish(reply))
+            ? this.at(fate.replyAfterMs ?? 1, () => finish(reply))
             : undefined;
         if (isLate && reply.is === "committed") this.lateCommits++;
         if (isReplyLost && reply.is === "committed") this.lostCommitReplies++;
@@ -670,7 +674,9 @@
   private carryOut(name: string, node: SimController, effect: Effect): void {
     if (this.nodes.get(name) !== node) return;
     const feedLater = (input: Input): void =>
-      this.at(this.rng.real(1, 10), () => this.feed(name, node.life, input));
+      this.at(this.rng.real(1, 10), () =>
+        this.feed(name, node.processNumber, input),
+      );
     switch (effect.type) {
       case "answer": {
         const done = this.pendingRequests.get(effect.reqId);
@@ -729,7 +735,8 @@
         };
         this.at(4_000, () => reply({ kind: "failed", why: "timeout" }));
         const isHeld =
-          this.apart(this.zoneOf(name), null) || this.rng.chance(this.loss);
+          this.isCutApart(this.zoneOf(name), null) ||
+          this.rng.chance(this.loss);
         this.at(isHeld ? this.rng.real(5_000, 40_000) : 100, () => {
           const result = this.cloud.handle(effect.call);
           if (!isHeld) reply(result);
@@ -781,7 +788,7 @@
       }
       case "wake":
         this.at(effect.afterMs, () =>
-          this.feed(name, node.life, { type: "wake" }),
+          this.feed(name, node.processNumber, { type: "wake" }),
         );
         break;
       case "log":
--- a/test/software-limits.test.ts
+++ b/test/software-limits.test.ts
@@ -235,11 +235,11 @@
   const never = (): Promise<never> => new Promise(() => {});
   const sender = new PeerMesh(settingsFor(east, west, senderSockets), {
     serve: never,
-    stateOk: () => true,
+    storeReachable: () => true,
   });
   const receiver = new PeerMesh(settingsFor(west, east, receiverSockets), {
     serve,
-    stateOk: () => true,
+    storeReachable: () => true,
   });
   await receiver.listen();
   await sender.listen();
@@ -247,7 +247,8 @@
     sender.close();
     receiver.close();
   });
-  while (sender.up().length === 0) await new Promise((r) => setTimeout(r, 20));
+  while (sender.reachablePeers().length === 0)
+    await new Promise((r) => setTimeout(r, 20));
   return sender;
 }
 const HEARTBEAT_BODY = JSON.stringify({ padding: "x".repeat(1_000) });
--- a/test/transport/transport.test.ts
+++ b/test/transport/transport.test.ts
@@ -95,8 +95,8 @@
     },
     ready: () => true,
     relay: () => Promise.resolve(null),
-    malformed: () => {},
-    fault: (e) => assert.fail(e),
+    noteMalformedHeartbeat: () => {},
+    reportError: (e) => assert.fail(e),
   });
   const oversized = JSON.stringify({
     ...JSON.parse(JOB),
@@ -222,8 +222,8 @@
     ask: () => Promise.resolve({ kind: "unknownJob" }),
     ready: () => true,
     relay: () => Promise.resolve(null),
-    malformed: () => {},
-    fault: (e) => faults.push(e),
+    noteMalformedHeartbeat: () => {},
+    reportError: (e) => faults.push(e),
   };
   const app = api(core);
   const requestWithBodyError = (e: Error): Promise<Response> => {
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -513,16 +513,16 @@
   return world;
 }
 const describeRun = (world: World, seed: number): string =>
-  `seed ${seed}: ${world.checker.broken.join("; ")}\n${world.logs.slice(-30).join("\n")}`;
+  `seed ${seed}: ${world.checker.brokenRules.join("; ")}\n${world.logs.slice(-30).join("\n")}`;
 const dependentJobs = (world: World, status: string): string[] =>
-  [...world.checker.told]
+  [...world.checker.toldStates]
     .filter(([id, s]) => s === status && world.dependsOn.has(id))
     .map(([id]) => id);
 
 test("an upgrade without injected faults keeps the rules, and all chains of dependent jobs end", () => {
   for (let seed = 700; seed < 704; seed++) {
     const world = upgradeRun(seed, false);
-    assert.deepEqual(world.checker.broken, [], describeRun(world, seed));
+    assert.deepEqual(world.checker.brokenRules, [], describeRun(world, seed));
     const unfinished = dependentJobs(world, "accepted");
     assert.deepEqual(
       unfinished,
@@ -555,7 +555,7 @@
     // Has its own test below.
     if (seed === OVERWRITTEN_REGISTRY_SEED) continue;
     const world = upgradeRun(seed, true);
-    assert.deepEqual(world.checker.broken, [], describeRun(world, seed));
+    assert.deepEqual(world.checker.brokenRules, [], describeRun(world, seed));
     doneCount += dependentJobs(world, "done").length;
   }
   assert.ok(doneCount > 200, `${doneCount} dependent jobs done`);
@@ -564,7 +564,7 @@
 test("an upgrade during which a late commit of production overwrites its registry: running tasks are not started twice", () => {
   const world = upgradeRun(OVERWRITTEN_REGISTRY_SEED, true);
   assert.deepEqual(
-    world.checker.broken,
+    world.checker.brokenRules,
     [],
     describeRun(world, OVERWRITTEN_REGISTRY_SEED),
   );
@@ -591,7 +591,7 @@
       (w) => w.key === registryKey("node-a", 0) && name === "node-a",
     );
     if (!isRegistry || ++registryCommits > 1) return undefined;
-    return { beforeMs: 12_000, answered: false };
+    return { applyAfterMs: 12_000, answered: false };
   };
   world.at(5_000, () => {
     const spec: JobSpec = {
@@ -635,7 +635,7 @@
 
 test("after a late commit overwrote production's registry, the new leader does not start tasks that run on a missing machine", () => {
   const world = overwrittenRegistry();
-  assert.deepEqual(world.checker.broken, [], describeRun(world, 3));
+  assert.deepEqual(world.checker.brokenRules, [], describeRun(world, 3));
 });
 
 test("guard: a new leader also waits for machines that may be missing from a registry written by production", () => {
--- a/test/webhooks/delivery.test.ts
+++ b/test/webhooks/delivery.test.ts
@@ -4,7 +4,12 @@
 import { FINAL_PREFIX, readFinal } from "../../src/storage/records.js";
 import { pipelines, submitWorkload } from "../simulation/workloads.js";
 import { World } from "../simulation/world.js";
-import { calm, WebhookWorld, LIMITS, faults } from "./webhook-world.js";
+import {
+  endFaults,
+  WebhookWorld,
+  LIMITS,
+  scheduleFaults,
+} from "./webhook-world.js";
 
 /**
  * Simulates 180 s with three receivers, injected faults of all kinds and a few hundred job ends. `wrong`: ids of jobs whose
@@ -31,8 +36,8 @@
   });
   const asked = world.add("asked", { ask: true });
   const durationMs = 180_000;
-  world.lossy = 0.02;
-  faults(world, durationMs);
+  world.callLossProbability = 0.02;
+  scheduleFaults(world, durationMs);
   let lastId = 0;
   for (let atMs = 0; atMs < durationMs; atMs += world.rng.real(50, 1_200)) {
     const count = world.rng.chance(0.05) ? world.rng.int(5, 40) : 1;
@@ -47,7 +52,7 @@
     });
   }
   world.run(durationMs);
-  calm(world);
+  endFaults(world);
   for (
     let round = 0;
     round < 60 &&
@@ -71,7 +76,7 @@
   let sent = 0;
   for (let seed = 1; seed <= Number(process.env["HOOK_DAYS"] ?? 12); seed++) {
     const { world, wrong } = simulateFaults(seed);
-    assert.deepEqual(world.broken, [], `seed ${seed}`);
+    assert.deepEqual(world.violations, [], `seed ${seed}`);
     assert.deepEqual(
       wrong,
       [],
@@ -134,7 +139,7 @@
       const ending =
         final.status === "done"
           ? "done"
-          : world.checker.asked.has(id)
+          : world.checker.cancelRequests.has(id)
             ? "withdrawn"
             : (world.dependsOn.get(id)?.length ?? 0) > 0
               ? "with one that it needs"
@@ -142,7 +147,7 @@
       endings.set(ending, (endings.get(ending) ?? 0) + 1);
     }
   }
-  assert.deepEqual(world.checker.broken, []);
+  assert.deepEqual(world.checker.brokenRules, []);
   assert.deepEqual([...endings.keys()].sort(), [
     "done",
     "with one that it needs",
--- a/test/webhooks/measure.ts
+++ b/test/webhooks/measure.ts
@@ -190,7 +190,7 @@
   )
     world.run(5_000);
   print(
-    `  caught up after ${Math.round((world.now - recoveredMs) / 1000)} s; broken: ${world.broken.length}; lost: ${world.missing(unreachable).length}`,
+    `  caught up after ${Math.round((world.now - recoveredMs) / 1000)} s; broken: ${world.violations.length}; lost: ${world.missing(unreachable).length}`,
   );
 }
 
--- a/test/webhooks/processes.test.ts
+++ b/test/webhooks/processes.test.ts
@@ -8,7 +8,7 @@
   try {
     const { nodes } = deployment as unknown as { nodes: { child: unknown }[] };
     const { child } = nodes[0]!;
-    deployment.up(0);
+    deployment.boot(0);
     assert.equal(nodes[0]!.child, child);
   } finally {
     await deployment.stop();
--- a/test/webhooks/processes.ts
+++ b/test/webhooks/processes.ts
@@ -351,7 +351,7 @@
         child: null,
       });
     }
-    for (let i = 0; i < controllers; i++) this.up(i);
+    for (let i = 0; i < controllers; i++) this.boot(i);
   }
 
   get mode(): ReceiverMode {
@@ -380,7 +380,7 @@
     this.nodes[i]!.child?.kill(signal);
   }
   /** Sends a request to one controller. */
-  async reach(
+  async send(
     i: number,
     method: string,
     path: string,
@@ -404,7 +404,7 @@
     };
   }
   /** Starts a controller unless it is running: of two processes for one controller, one would never be stopped. */
-  up(i: number): void {
+  boot(i: number): void {
     if (this.isRunning(i)) return;
     const node = this.nodes[i]!;
     const child = spawn(
@@ -647,7 +647,7 @@
         for (const i of affected) await deployment.kill(i);
         killCount += affected.length;
         await sleep(deployment.rng.real(0, 300));
-        for (const i of affected) deployment.up(i);
+        for (const i of affected) deployment.boot(i);
       }
     })();
     const ended: string[] = [];
--- a/test/webhooks/webhook-sending.test.ts
+++ b/test/webhooks/webhook-sending.test.ts
@@ -234,7 +234,7 @@
   attempt: 1,
   reason: null,
   ask: false,
-  sub: {
+  subscription: {
     url,
     teams: null,
     classes: null,
@@ -259,7 +259,7 @@
     maxSockets: 4,
     maxAnswerBytes: 1_000,
     ca: null,
-    agent: "test",
+    userAgent: "test",
     ...overrides,
   });
 /** Starts a server that is closed when the test ends, also by a failure: an open server would keep the whole run from ending. */
@@ -611,7 +611,7 @@
   unreachable.mode = "healthy";
   world.run(300_000);
   assert.deepEqual(world.missing(unreachable), []);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test("a receiver that answers 410 ends its subscription, which can be resumed", () => {
@@ -640,5 +640,5 @@
     [...receiver.receivedCounts.keys()],
     ["req-000001", "req-000003"],
   );
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/webhooks/webhook-world.ts
+++ b/test/webhooks/webhook-world.ts
@@ -143,7 +143,7 @@
   readonly nodes: Node[];
   readonly receivers = new Map<string, Receiver>();
   /** Violated rules. */
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   /** The job ends so far, by job id. */
   readonly ended = new Map<
     string,
@@ -155,7 +155,7 @@
     { status: number; body: Record<string, unknown> }
   >();
   /** Probability that a call to the state service, or its reply, is lost. */
-  lossy = 0;
+  callLossProbability = 0;
   private events: { atMs: number; sequence: number; run: () => void }[] = [];
   private lastSequence = 0;
   private lastReqId = 0;
@@ -322,7 +322,7 @@
       });
     if (node.disconnected)
       return this.at(200, () => deliverReply({ is: "refused", why: "503" }));
-    const lost = this.rng.chance(this.lossy);
+    const lost = this.rng.chance(this.callLossProbability);
     if (lost && this.rng.chance(0.5)) {
       // The commit may be carried out long after the caller gave it up.
       if (call.op === "commit")
@@ -362,7 +362,7 @@
     switch (effect.type) {
       case "state":
         return this.call(node, incarnation, effect.call, (reply) =>
-          this.feed(node, { type: "state", op: effect.op, reply }),
+          this.feed(node, { type: "state", callId: effect.callId, reply }),
         );
       case "attempt":
         return this.attempt(
@@ -389,7 +389,7 @@
         return;
       }
       case "reply":
-        this.replies.set(effect.req, {
+        this.replies.set(effect.reqId, {
           status: effect.status,
           body: effect.body as Record<string, unknown>,
         });
@@ -404,7 +404,7 @@
     }
   }
   private reportViolation(what: string): void {
-    this.broken.push(`${(this.now / 1000).toFixed(3)} s: ${what}`);
+    this.violations.push(`${(this.now / 1000).toFixed(3)} s: ${what}`);
   }
 
   private attempt(
@@ -458,7 +458,7 @@
       attempt: request.attempt,
       node: `${node.label}/${incarnation}`,
     });
-    const receiver = this.receivers.get(request.sub.url)!;
+    const receiver = this.receivers.get(request.subscription.url)!;
     const finish = (result: AttemptResult, afterMs: number): void =>
       this.at(afterMs, () => {
         if (
@@ -514,7 +514,7 @@
     request: Extract<WebhookInput, { type: "request" }>["request"],
   ): number {
     const reqId = ++this.lastReqId;
-    this.feed(node, { type: "request", req: reqId, request });
+    this.feed(node, { type: "request", reqId, request });
     return reqId;
   }
   /** Adds a subscription (by default to all ends) with a receiver of its own, and waits until it exists. */
@@ -596,7 +596,7 @@
 ];
 
 /** Schedules faults: failing receivers, controllers killed, frozen or without the state service. */
-export function faults(world: WebhookWorld, forMs: number): void {
+export function scheduleFaults(world: WebhookWorld, forMs: number): void {
   const { rng } = world;
   for (const receiver of world.receivers.values())
     for (
@@ -633,9 +633,9 @@
   }
 }
 /** Ends all injected faults and restarts killed controllers. */
-export function calm(world: WebhookWorld): void {
+export function endFaults(world: WebhookWorld): void {
   for (const receiver of world.receivers.values()) receiver.mode = "healthy";
-  world.lossy = 0;
+  world.callLossProbability = 0;
   for (const node of world.nodes) {
     node.disconnected = false;
     if (!node.core) world.start(node);
