--- a/test/scenarios/last-task.ts
+++ b/test/scenarios/last-task.ts
@@ -31,10 +31,7 @@
 
 /** A cancellation, a status query at all controllers or a repeated submission races with the end of a job's last task, with no other injected fault. */
 export function lastTask(seed: number): ScenarioRun {
-  const world = setUp(seed, {
-    controllers: 1 + (seed % 4),
-    runFactor: 0.8,
-  });
+  const world = setUp(seed, { controllers: 1 + (seed % 4), runFactor: 0.8 });
   const { rng } = world;
   world.loss = 0;
   const occurred = new Occurrences(
