--- a/src/verification/explore.ts
+++ b/src/verification/explore.ts
@@ -40,31 +40,33 @@
   const seen = new Map<bigint, number>();
   const parents: number[] = [-1];
   const labels: string[] = [""];
-  let frontier: { state: S; n: number }[] = [{ state: model.initial, n: 0 }];
+  let frontier: { state: S; index: number }[] = [
+    { state: model.initial, index: 0 },
+  ];
   seen.set(hasher.h64(model.key(model.initial)), 0);
   let steps = 0;
   let depth = 0;
   const result = (
     complete: boolean,
-    violation: { why: string; n: number } | null,
+    violation: { problem: string; index: number } | null,
   ): Exploration => {
     const trace: string[] = [];
-    for (let n = violation?.n ?? 0; n > 0; n = parents[n]!)
-      trace.unshift(labels[n]!);
+    for (let i = violation?.index ?? 0; i > 0; i = parents[i]!)
+      trace.unshift(labels[i]!);
     return {
       states: seen.size,
       steps,
       depth,
       complete,
-      broken: violation && { why: violation.why, trace },
+      broken: violation && { why: violation.problem, trace },
     };
   };
   const initialProblem = model.check(model.initial);
   if (initialProblem !== null)
-    return result(false, { why: initialProblem, n: 0 });
+    return result(false, { problem: initialProblem, index: 0 });
   while (frontier.length > 0) {
-    const nextFrontier: { state: S; n: number }[] = [];
-    for (const { state, n: parent } of frontier)
+    const nextFrontier: { state: S; index: number }[] = [];
+    for (const { state, index: parent } of frontier)
       for (const step of model.next(state)) {
         steps++;
         const hash = hasher.h64(model.key(step.state));
@@ -73,9 +75,9 @@
         labels.push(step.label);
         seen.set(hash, index);
         const problem = model.check(step.state);
-        if (problem !== null) return result(false, { why: problem, n: index });
+        if (problem !== null) return result(false, { problem, index });
         if (seen.size >= maxStates) return result(false, null);
-        nextFrontier.push({ state: step.state, n: index });
+        nextFrontier.push({ state: step.state, index });
       }
     frontier = nextFrontier;
     if (frontier.length > 0) depth++;
--- a/src/verification/quota-model.ts
+++ b/src/verification/quota-model.ts
@@ -108,7 +108,7 @@
   partitions: PartitionState[];
   commits: CommitInFlight[];
   lastToken: number;
-  takeovers: number;
+  failovers: number;
   restarts: number;
   /** Description of a task start beyond the largest limit that applied; null if there was none. */
   violation: string | null;
@@ -300,7 +300,7 @@
     })),
     commits: [],
     lastToken: scope.groups.length,
-    takeovers: 0,
+    failovers: 0,
     restarts: 0,
     violation: null,
   };
@@ -373,9 +373,9 @@
             to.partitions[i]!.change = null;
           else to.partitions[i]!.change!.unanswered = true;
         });
-      if (s.takeovers < scope.takeovers)
+      if (s.failovers < scope.takeovers)
         yield step(`${name} gets a new leader`, (to) => {
-          to.takeovers++;
+          to.failovers++;
           Object.assign(to.partitions[i]!, {
             token: ++to.lastToken,
             copy: to.record,
@@ -459,7 +459,7 @@
     return JSON.stringify([
       rank(s.record.version),
       shares(s.record.shares),
-      s.takeovers,
+      s.failovers,
       s.restarts,
       s.violation,
       s.partitions.map((g) => [
