--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -74,7 +74,7 @@
 }`;
 
 /** Settings of webhooks in the operators' file. Their presence enables webhooks. docs/hooks.md describes the unit and effect of each. */
-export interface HooksFile {
+export interface WebhookFileSettings {
   key: { id: string; file: string; variable: string }[];
   allow: string[];
   onlyListed: boolean;
@@ -98,12 +98,14 @@
 export interface Operator {
   tuning: Tuning;
   /** null if webhooks are disabled. */
-  hooks: HooksFile | null;
+  hooks: WebhookFileSettings | null;
   metrics: boolean;
 }
 
 /** Minimum and maximum of each number in `hooks`. */
-const WEBHOOK_BOUNDS: Partial<Record<keyof HooksFile, [number, number]>> = {
+const WEBHOOK_BOUNDS: Partial<
+  Record<keyof WebhookFileSettings, [number, number]>
+> = {
   inFlight: [1, 512],
   parallel: [1, 64],
   deadlineS: [0.1, 60],
@@ -154,7 +156,7 @@
     typeof protobuf.Root.prototype.lookupType
   > & { fromText(text: string): object };
   let fields: Record<string, unknown>;
-  let hooks: HooksFile | null;
+  let hooks: WebhookFileSettings | null;
   try {
     const message = type.fromText(text) as unknown as { hooks?: object | null };
     fields = type.toObject(message as never);
@@ -162,7 +164,7 @@
       ? (type.root.lookupType("Hooks").toObject(message.hooks as never, {
           defaults: true,
           arrays: true,
-        }) as HooksFile)
+        }) as WebhookFileSettings)
       : null;
   } catch (e) {
     throw new SettingsError(
--- a/src/verification/explore.ts
+++ b/src/verification/explore.ts
@@ -24,7 +24,7 @@
   /** Whether all reachable states were visited. */
   complete: boolean;
   /** The first invalid state and a shortest sequence of steps to it; null if none was found. */
-  broken: { why: string; trace: string[] } | null;
+  violation: { problem: string; trace: string[] } | null;
 }
 
 /**
@@ -58,7 +58,7 @@
       steps,
       depth,
       complete,
-      broken: violation && { why: violation.problem, trace },
+      violation: violation && { problem: violation.problem, trace },
     };
   };
   const initialProblem = model.check(model.initial);
--- a/src/verification/quota-model.ts
+++ b/src/verification/quota-model.ts
@@ -20,13 +20,13 @@
  */
 export interface QuotaScope {
   /** Names of the partitions. */
-  groups: string[];
+  names: string[];
   teams: string[];
   /** Limit of each team in CPUs, and the later limit, in the settings of a restarted controller. */
   limit: number;
   later: number;
   /** Names of the partitions in the settings of a restarted controller. */
-  laterGroups: string[];
+  laterNames: string[];
   /** Number of tasks of each team, by partition. */
   tasks: number[];
   /** CPUs per task, by partition; 1 if absent. A partition lends free quota that is too small for any of its waiting tasks. */
@@ -34,9 +34,9 @@
   /** Partition of a large job for which quota is always reserved. */
   reservedFor?: string;
   /** Maximum number of commits in flight. */
-  flights: number;
+  commits: number;
   /** Maximum number of failovers, and of controllers that restart with the later settings. */
-  takeovers: number;
+  failovers: number;
   restarts: number;
 }
 
@@ -168,7 +168,7 @@
     );
   const teams = { false: teamsOf(false), true: teamsOf(true) };
   const configured = (g: PartitionState): string[] =>
-    g.later ? scope.laterGroups : scope.groups;
+    g.later ? scope.laterNames : scope.names;
   const records = (g: PartitionState): QuotaRecords =>
     g.copy.version === 0
       ? new Map()
@@ -181,11 +181,11 @@
     const team = scope.teams[t]!;
     const own = teams[g.later ? "true" : "false"].get(team)!;
     let entry = entryOf(records(g), team);
-    if (off.has("what is written holds") && !entry?.shares[scope.groups[i]!])
+    if (off.has("what is written holds") && !entry?.shares[scope.names[i]!])
       return own.cpusMax / configured(g).length;
     if (entry && off.has("overdrawn stops starts"))
       entry = { ...entry, sum: [0, 0] };
-    const [max] = maxUsage(own, entry, scope.groups[i]!, () => [g.used[t]!, 0]);
+    const [max] = maxUsage(own, entry, scope.names[i]!, () => [g.used[t]!, 0]);
     const c = g.change;
     if (!c || c.base !== g.copy.version || off.has("keeps what it gives"))
       return max;
@@ -209,7 +209,7 @@
     s.partitions.forEach((other, k) => {
       if (k !== i)
         otherDemands.set(
-          scope.groups[k]!,
+          scope.names[k]!,
           new Map(
             other.published.flatMap((demand, t) =>
               demand ? [[scope.teams[t]!, toDemand(demand)] as const] : [],
@@ -223,16 +223,16 @@
       if (demand) ownDemands.set(team, toDemand(demand));
     });
     const removedPartitions = new Set(
-      scope.groups.filter(
+      scope.names.filter(
         (_, k) =>
-          !configured(g).includes(scope.groups[k]!) &&
+          !configured(g).includes(scope.names[k]!) &&
           s.partitions[k]!.removed &&
           (off.has("gone only after its leases") ||
             s.partitions[k]!.used.every((n) => n === 0)),
       ),
     );
     return planQuotas({
-      partition: scope.groups[i]!,
+      partition: scope.names[i]!,
       partitions: configured(g),
       teams: teams[g.later ? "true" : "false"],
       records: records(g),
@@ -244,7 +244,7 @@
       otherDemands,
       needAheadOf: (team, _since, otherPartition) => {
         const t = scope.teams.indexOf(team);
-        return [scope.groups[i]! < otherPartition ? g.queued[t]! : 0, 0];
+        return [scope.names[i]! < otherPartition ? g.queued[t]! : 0, 0];
       },
       lendable: (team) => {
         const t = scope.teams.indexOf(team);
@@ -253,16 +253,16 @@
       },
       keptForBackfill: () => [0, 0],
       reservation: (team) => {
-        const at = scope.groups.findIndex((name) => name === scope.reservedFor);
+        const at = scope.names.findIndex((name) => name === scope.reservedFor);
         const holder = s.partitions[at];
         const t = scope.teams.indexOf(team);
         const demand = at === i ? demandOf(g, i, t) : holder?.published[t];
         if (!demand || holder?.removed) return null;
-        return toReservation(scope.groups[at]!, demand);
+        return toReservation(scope.names[at]!, demand);
       },
       keptForOverdueJob: (team, { partition }) => {
         const t = scope.teams.indexOf(team);
-        return [partition === scope.groups[i]! ? g.queued[t]! : 0, 0];
+        return [partition === scope.names[i]! ? g.queued[t]! : 0, 0];
       },
       limitsAgreed: s.partitions.every((p) => p.removed || p.later === g.later),
       removedPartitions,
@@ -288,7 +288,7 @@
     );
   const initial: QuotaModelState = {
     record: { version: 0, shares: {} },
-    partitions: scope.groups.map((_, i) => ({
+    partitions: scope.names.map((_, i) => ({
       token: i + 1,
       later: false,
       copy: { version: 0, shares: {} },
@@ -299,7 +299,7 @@
       removed: false,
     })),
     commits: [],
-    lastToken: scope.groups.length,
+    lastToken: scope.names.length,
     failovers: 0,
     restarts: 0,
     violation: null,
@@ -315,7 +315,7 @@
       return { label, state: to };
     };
     for (const [i, g] of s.partitions.entries()) {
-      const name = scope.groups[i]!;
+      const name = scope.names[i]!;
       for (const [t, team] of scope.teams.entries()) {
         if (g.used[t]! > 0)
           yield step(`${name}: a task of ${team} ends`, (to) => {
@@ -344,7 +344,7 @@
           // Another revision of the record shows the outcome of the change.
           if (p.change && p.change.base !== to.record.version) p.change = null;
         });
-      if (!g.change && s.commits.length < scope.flights) {
+      if (!g.change && s.commits.length < scope.commits) {
         const planned = plan(s, i);
         if (planned)
           yield step(
@@ -373,7 +373,7 @@
             to.partitions[i]!.change = null;
           else to.partitions[i]!.change!.unanswered = true;
         });
-      if (s.failovers < scope.takeovers)
+      if (s.failovers < scope.failovers)
         yield step(`${name} gets a new leader`, (to) => {
           to.failovers++;
           Object.assign(to.partitions[i]!, {
@@ -390,13 +390,13 @@
             copy: to.record,
             change: null,
             later: true,
-            removed: !scope.laterGroups.includes(name),
+            removed: !scope.laterNames.includes(name),
           });
         });
     }
     for (const [k, c] of s.commits.entries()) {
       yield step(
-        `a commit of ${scope.groups[c.from]!} is lost`,
+        `a commit of ${scope.names[c.from]!} is lost`,
         (to) => void to.commits.splice(k, 1),
       );
       const applies =
@@ -412,12 +412,12 @@
         };
       if (applies)
         yield step(
-          `a commit of ${scope.groups[c.from]!} is applied`,
+          `a commit of ${scope.names[c.from]!} is applied`,
           deliver(false),
         );
       if (applies && !c.delivered)
         yield step(
-          `a commit of ${scope.groups[c.from]!} is applied and may be delivered again`,
+          `a commit of ${scope.names[c.from]!} is applied and may be delivered again`,
           deliver(true),
         );
     }
@@ -454,7 +454,7 @@
     const shares = (x: QuotaShares): unknown =>
       scope.teams.map((t) => [
         x[CAPS_NAME]?.[t]?.[0],
-        scope.groups.map((g) => x[t]?.[g]?.[0]),
+        scope.names.map((g) => x[t]?.[g]?.[0]),
       ]);
     return JSON.stringify([
       rank(s.record.version),
--- a/src/webhooks/index.ts
+++ b/src/webhooks/index.ts
@@ -2,7 +2,7 @@
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { Hono, MiddlewareHandler } from "hono";
-import type { HooksFile } from "../config/operator.js";
+import type { WebhookFileSettings } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
 import type { Effect } from "../coordination/effects.js";
 import type { LogEntry } from "../logging/events.js";
@@ -44,7 +44,7 @@
 
   /** Throws a SettingsError if the settings are invalid. `file`: the operators' file, for the message. */
   constructor(
-    settings: HooksFile,
+    settings: WebhookFileSettings,
     platform: Settings,
     file: string,
     userAgent: string,
--- a/src/webhooks/settings.ts
+++ b/src/webhooks/settings.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from "node:fs";
-import type { HooksFile } from "../config/operator.js";
+import type { WebhookFileSettings } from "../config/operator.js";
 import { type Settings, SettingsError } from "../config/settings.js";
 import type { WebhookLimits } from "./webhook-core.js";
 import { AllowedNetworks, parseNetwork } from "./allowed-networks.js";
@@ -7,7 +7,10 @@
 import type { SenderSettings } from "./webhook-sender.js";
 
 /** Reads the signing keys from the files or environment variables that the operators' file names; it never holds them itself. */
-function readKeys(hooks: HooksFile, file: string): Map<string, Uint8Array> {
+function readKeys(
+  hooks: WebhookFileSettings,
+  file: string,
+): Map<string, Uint8Array> {
   const keys = new Map<string, Uint8Array>();
   hooks.key.forEach((key, index) => {
     const field = `${file}: hooks.key[${index}]`;
@@ -45,7 +48,10 @@
 }
 
 /** Checks the settings as far as that is possible without starting anything; throws a SettingsError. */
-export function checkWebhookSettings(hooks: HooksFile, file: string): void {
+export function checkWebhookSettings(
+  hooks: WebhookFileSettings,
+  file: string,
+): void {
   hooks.allow.forEach((text, index) => {
     try {
       parseNetwork(text);
@@ -60,7 +66,7 @@
 
 /** Webhooks may use `changesShare` of this controller's write rate; user requests, leases and partition leaders have the rest. */
 export function webhookLimits(
-  hooks: HooksFile,
+  hooks: WebhookFileSettings,
   platform: Settings,
 ): WebhookLimits {
   const controllers = platform.peers.length + 1;
@@ -95,7 +101,7 @@
 }
 
 export function senderSettings(
-  hooks: HooksFile,
+  hooks: WebhookFileSettings,
   file: string,
   agent: string,
 ): SenderSettings {
--- a/test/coordination/quota/quota.test.ts
+++ b/test/coordination/quota/quota.test.ts
@@ -390,73 +390,73 @@
 
 const SCOPES: Record<string, QuotaScope> = {
   give: {
-    groups: ["a", "b", "c"],
+    names: ["a", "b", "c"],
     teams: ["x"],
     limit: 3,
     later: 3,
-    laterGroups: ["a", "b", "c"],
+    laterNames: ["a", "b", "c"],
     tasks: [2, 0, 0],
-    flights: 2,
-    takeovers: 0,
+    commits: 2,
+    failovers: 0,
     restarts: 0,
   },
   take: {
-    groups: ["a", "b"],
+    names: ["a", "b"],
     teams: ["x"],
     limit: 2,
     later: 2,
-    laterGroups: ["a", "b"],
+    laterNames: ["a", "b"],
     tasks: [2, 0],
-    flights: 1,
-    takeovers: 1,
+    commits: 1,
+    failovers: 1,
     restarts: 0,
   },
   // Tasks of two CPUs leave one CPU of the limit unused, which partition b can use.
   backfill: {
-    groups: ["a", "b"],
+    names: ["a", "b"],
     teams: ["x"],
     limit: 3,
     later: 3,
-    laterGroups: ["a", "b"],
+    laterNames: ["a", "b"],
     tasks: [2, 2],
     sizes: [2, 1],
-    flights: 2,
-    takeovers: 1,
+    commits: 2,
+    failovers: 1,
     restarts: 0,
   },
   reserve: {
-    groups: ["a", "b"],
+    names: ["a", "b"],
     teams: ["x"],
     limit: 3,
     later: 3,
-    laterGroups: ["a", "b"],
+    laterNames: ["a", "b"],
     tasks: [1, 2],
     sizes: [2, 1],
     reservedFor: "a",
-    flights: 2,
-    takeovers: 1,
+    commits: 2,
+    failovers: 1,
     restarts: 0,
   },
   lower: {
-    groups: ["a", "b"],
+    names: ["a", "b"],
     teams: ["x"],
     limit: 4,
     later: 2,
-    laterGroups: ["a", "b"],
+    laterNames: ["a", "b"],
     tasks: [2, 1],
-    flights: 1,
-    takeovers: 0,
+    commits: 1,
+    failovers: 0,
     restarts: 1,
   },
   fewer: {
-    groups: ["a", "b"],
+    names: ["a", "b"],
     teams: ["x"],
     limit: 2,
     later: 2,
-    laterGroups: ["a"],
+    laterNames: ["a"],
     tasks: [2, 1],
-    flights: 1,
-    takeovers: 0,
+    commits: 1,
+    failovers: 0,
     restarts: 2,
   },
 };
@@ -465,9 +465,9 @@
   for (const [name, scope] of Object.entries(SCOPES)) {
     const result = await explore(quotaModel(scope), 12_000);
     assert.equal(
-      result.broken,
+      result.violation,
       null,
-      `${name}: ${result.broken?.why}\n${result.broken?.trace.join("\n")}`,
+      `${name}: ${result.violation?.problem}\n${result.violation?.trace.join("\n")}`,
     );
     assert.ok(result.states > 500, `${name}: ${result.states} states`);
   }
@@ -490,7 +490,7 @@
       quotaModel(SCOPES[SCOPE_BY_GUARD[guard]]!, new Set<Guard>([guard])),
       80_000,
     );
-    assert.ok(result.broken !== null, `${guard}: ${result.states} states`);
+    assert.ok(result.violation !== null, `${guard}: ${result.states} states`);
   }
 });
 
